--- a/soak/faults.py
+++ b/soak/faults.py
@@ -26,7 +26,7 @@
 from railfold._internal.forwarding.store.shared_records import KEY_NAME, decode_key
 from soak.world import Injected, World
 from standins.chaining_engine import Engine
-from tests.lib.crashes import POISON_BODY
+from tests.lib.crashing_fleet import POISON_BODY
 from tests.lib.forwarding import Connection
 
 # The link of an entry of the smaller kind, and for how long entries have it.
--- a/soak/world.py
+++ b/soak/world.py
@@ -21,7 +21,7 @@
 from standins.chaining_engine import LAYERS, Engine
 from standins.cluster import free_port
 from standins.metadata_store import MetadataStore
-from tests.lib.crashes import POISON_BODY
+from tests.lib.crashing_fleet import POISON_BODY
 from tests.lib.forwarding import (
     MODEL_SERVICE,
     PLAIN_SERVICE,
--- a/src/railfold/_internal/decisions/quarantine/__init__.py
+++ b/src/railfold/_internal/decisions/quarantine/__init__.py
@@ -1,21 +1,21 @@
 """Which requests are held back because each backend server that runs them ends."""
 
-from railfold._internal.decisions.quarantine.contents import (
+from railfold._internal.decisions.quarantine.models import (
     UNKNOWN_VERSION,
-    Content,
     Crash,
     QuarantineChange,
+    QuarantineDecision,
     QuarantineState,
-    Standing,
+    RequestContent,
 )
 from railfold._internal.decisions.quarantine.quarantine import Quarantine
 
 __all__ = [
     "UNKNOWN_VERSION",
-    "Content",
     "Crash",
     "Quarantine",
     "QuarantineChange",
+    "QuarantineDecision",
     "QuarantineState",
-    "Standing",
+    "RequestContent",
 ]
--- a/src/railfold/_internal/decisions/quarantine/likelihood.py
+++ b/src/railfold/_internal/decisions/quarantine/likelihood.py
@@ -15,27 +15,27 @@
 from itertools import combinations
 from math import prod
 
-__all__ = ["RunAtEnd", "Suspect", "likelihoods"]
+__all__ = ["RunAtIncident", "Suspect", "fault_likelihoods"]
 
 # How often servers end for another reason, in parts of ends that are looked into.
-_UNRELATED = 0.1
+_UNRELATED_SHARE = 0.1
 
 # How likely a content is at fault that was under several ends, before more is known:
 # one that a client sends again when it fails; one that several clients send at the same
 # time; one that ran well before; and one that was under a single end.
-_REPEATED = 0.1
-_SIDE_BY_SIDE = 0.01
-_SUCCEEDED = 0.001
-_SINGLE = 0.003
+_PRIOR_REPEATED = 0.1
+_PRIOR_CONCURRENT = 0.01
+_PRIOR_SUCCEEDED = 0.001
+_PRIOR_SINGLE = 0.003
 
 # A stream that is at fault ends its server before its first event, and others have
 # mostly brought one: how much more likely a run without, or with, events makes a fault.
-_SILENT_RATIO = 2.0
-_EVENTS_RATIO = 0.05
+_SILENT_LIKELIHOOD_RATIO = 2.0
+_EVENTS_LIKELIHOOD_RATIO = 0.05
 
 # A content that runs one at a time is seldom at a server that ends for another reason:
 # how much more likely its presence makes a fault.
-_ONE_AT_A_TIME_RATIO = 2.0
+_ONE_AT_A_TIME_LIKELIHOOD_RATIO = 2.0
 
 # Bounds of the work: contents that are weighed, and how many may be at fault at once.
 _MAX_SUSPECTS = 8
@@ -43,7 +43,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RunAtEnd:
+class RunAtIncident:
     """A content's run at a server that ended.
 
     :param silent: whether it had brought no event; ``None`` if it brings none.
@@ -54,16 +54,18 @@
     one_at_a_time: bool
 
     @property
-    def ratio(self) -> float:
+    def likelihood_ratio(self) -> float:
         """How much more likely such a run is if its content is at fault."""
-        ratio = _ONE_AT_A_TIME_RATIO if self.one_at_a_time else 1.0
+        likelihood_ratio = (
+            _ONE_AT_A_TIME_LIKELIHOOD_RATIO if self.one_at_a_time else 1.0
+        )
         match self.silent:
             case None:
-                return ratio
+                return likelihood_ratio
             case True:
-                return ratio * _SILENT_RATIO
+                return likelihood_ratio * _SILENT_LIKELIHOOD_RATIO
             case False:
-                return ratio * _EVENTS_RATIO
+                return likelihood_ratio * _EVENTS_LIKELIHOOD_RATIO
 
 
 @dataclass(frozen=True, slots=True)
@@ -77,71 +79,91 @@
     """
 
     digest: str
-    runs: Mapping[int, RunAtEnd]
+    runs: Mapping[int, RunAtIncident]
     has_succeeded: bool = False
-    ran_side_by_side: bool = False
-    proved: bool = False
+    ran_concurrently: bool = False
+    is_proven: bool = False
 
     @property
-    def odds(self) -> float:
+    def prior_odds(self) -> float:
         """How likely it is at fault before its crashes are looked at, as odds."""
-        prior = _REPEATED
-        if self.ran_side_by_side:
-            prior = min(prior, _SIDE_BY_SIDE)
+        prior = _PRIOR_REPEATED
+        if self.ran_concurrently:
+            prior = min(prior, _PRIOR_CONCURRENT)
         if self.has_succeeded:
-            prior = min(prior, _SUCCEEDED)
+            prior = min(prior, _PRIOR_SUCCEEDED)
         return prior / (1.0 - prior)
 
 
-def likelihoods(suspects: Iterable[Suspect]) -> dict[str, float]:
+def fault_likelihoods(suspects: Iterable[Suspect]) -> dict[str, float]:
     """Return how likely contents are at fault that were under several ends.
 
     Ends under contents that are proved count for no other.
     """
-    known = list(suspects)
-    explained = {end for s in known if s.proved for end in s.runs}
-    open_suspects = [_Weighed(s, explained) for s in known if not s.proved]
+    all_suspects = list(suspects)
+    explained_incidents = {
+        incident for s in all_suspects if s.is_proven for incident in s.runs
+    }
+    unproven_suspects = [
+        _WeightedSuspect(s, explained_incidents)
+        for s in all_suspects
+        if not s.is_proven
+    ]
     repeated = sorted(
-        (s for s in open_suspects if len(s.ratios) > 1),
-        key=lambda s: (-len(s.ratios), s.digest),
+        (s for s in unproven_suspects if len(s.likelihood_ratios) > 1),
+        key=lambda s: (-len(s.likelihood_ratios), s.digest),
     )[:_MAX_SUSPECTS]
-    chosen = {suspect.digest for suspect in repeated}
-    ends = {end for suspect in repeated for end in suspect.ratios}
-    unrelated = dict.fromkeys(ends, _UNRELATED)
-    for suspect in open_suspects:
-        if suspect.digest not in chosen:
-            for end in suspect.ratios.keys() & ends:
-                unrelated[end] += _SINGLE * suspect.ratios[end]
+    repeated_digests = {suspect.digest for suspect in repeated}
+    incidents = {
+        incident for suspect in repeated for incident in suspect.likelihood_ratios
+    }
+    unrelated_likelihoods = dict.fromkeys(incidents, _UNRELATED_SHARE)
+    for suspect in unproven_suspects:
+        if suspect.digest not in repeated_digests:
+            for incident in suspect.likelihood_ratios.keys() & incidents:
+                unrelated_likelihoods[incident] += (
+                    _PRIOR_SINGLE * suspect.likelihood_ratios[incident]
+                )
     total = 0.0
-    with_content = dict.fromkeys(chosen, 0.0)
+    weight_by_digest = dict.fromkeys(repeated_digests, 0.0)
     for at_fault in _subsets(repeated):
-        weight = _weight(at_fault, unrelated)
+        weight = _weight(at_fault, unrelated_likelihoods)
         total += weight
         for suspect in at_fault:
-            with_content[suspect.digest] += weight
-    return {digest: weight / total for digest, weight in with_content.items()}
+            weight_by_digest[suspect.digest] += weight
+    return {digest: weight / total for digest, weight in weight_by_digest.items()}
 
 
-class _Weighed:
+class _WeightedSuspect:
     """A suspect, and what its runs at ends that nothing explains say of it."""
 
-    def __init__(self, suspect: Suspect, explained: set[int]) -> None:
+    def __init__(self, suspect: Suspect, explained_incidents: set[int]) -> None:
         self.digest = suspect.digest
-        self.odds = suspect.odds
-        self.ratios = {
-            end: run.ratio for end, run in suspect.runs.items() if end not in explained
+        self.prior_odds = suspect.prior_odds
+        self.likelihood_ratios = {
+            incident: run.likelihood_ratio
+            for incident, run in suspect.runs.items()
+            if incident not in explained_incidents
         }
 
 
-def _subsets(suspects: list[_Weighed]) -> Iterator[tuple[_Weighed, ...]]:
+def _subsets(
+    suspects: list[_WeightedSuspect],
+) -> Iterator[tuple[_WeightedSuspect, ...]]:
     for size in range(min(_MAX_AT_FAULT, len(suspects)) + 1):
         yield from combinations(suspects, size)
 
 
-def _weight(at_fault: tuple[_Weighed, ...], unrelated: Mapping[int, float]) -> float:
+def _weight(
+    at_fault: tuple[_WeightedSuspect, ...], unrelated_likelihoods: Mapping[int, float]
+) -> float:
     """Return how likely it is that just these are at fault, up to a common factor."""
-    weight = prod(suspect.odds for suspect in at_fault)
-    for end, otherwise in unrelated.items():
-        ratios = [s.ratios[end] for s in at_fault if end in s.ratios]
-        weight *= prod(ratios) if ratios else otherwise
+    weight = prod(suspect.prior_odds for suspect in at_fault)
+    for incident, unrelated_likelihood in unrelated_likelihoods.items():
+        likelihood_ratios = [
+            s.likelihood_ratios[incident]
+            for s in at_fault
+            if incident in s.likelihood_ratios
+        ]
+        weight *= prod(likelihood_ratios) if likelihood_ratios else unrelated_likelihood
     return weight
--- a/src/railfold/_internal/decisions/quarantine/contents.py
+++ b/src/railfold/_internal/decisions/quarantine/models.py
@@ -7,11 +7,11 @@
 
 __all__ = [
     "UNKNOWN_VERSION",
-    "Content",
     "Crash",
     "QuarantineChange",
+    "QuarantineDecision",
     "QuarantineState",
-    "Standing",
+    "RequestContent",
 ]
 
 # Of a server that ended before its registration was read, or doesn't tell it.
@@ -33,17 +33,17 @@
     LIFTED = "lifted"  # The operator, or new software, let it run again.
 
 
-class Standing(Enum):
+class QuarantineDecision(Enum):
     """What may be done with a request now."""
 
-    FREE = "free"
-    HELD = "held"
-    WAITS = "waits"  # For what comes of another request's trial, under a second.
-    MAY_BE_TRIED = "may be tried"
+    ALLOW = "free"
+    REFUSE = "held"
+    WAIT = "waits"  # For what comes of another request's trial, under a second.
+    ALLOW_TRIAL = "may be tried"
 
 
 @dataclass(frozen=True, slots=True)
-class Content:
+class RequestContent:
     """What requests with the same path, caller and body are known by.
 
     :param digest: a keyed hash of them.
@@ -75,7 +75,7 @@
     silent: bool = False
 
     @property
-    def order(self) -> tuple[float, float, int]:
+    def sort_key(self) -> tuple[float, float, int]:
         """By when it ended, the first one first."""
         return (self.ended_s, self.began_s, self.after_event)
 
@@ -90,11 +90,11 @@
     :param until_s: when it may be tried again.
     """
 
-    content: Content
+    content: RequestContent
     state: QuarantineState
     crashes: tuple[Crash, ...]
     reason: str
-    was_held: bool = False
-    held_s: float = 0.0
-    holds: int = 0
-    until_s: float = 0.0
+    was_held_back: bool = False
+    held_since_s: float = 0.0
+    hold_count: int = 0
+    held_until_s: float = 0.0
--- a/src/railfold/_internal/decisions/quarantine/quarantine.py
+++ b/src/railfold/_internal/decisions/quarantine/quarantine.py
@@ -35,19 +35,22 @@
 
 from collections.abc import Iterable, Mapping
 
-from railfold._internal.decisions.quarantine.contents import (
-    UNKNOWN_VERSION,
-    Content,
-    Crash,
-    QuarantineChange,
-    QuarantineState,
-    Standing,
+from railfold._internal.decisions.quarantine.content_record import (
+    CLOCK_SKEW_S,
+    ContentRecord,
 )
 from railfold._internal.decisions.quarantine.evidence import (
     CRASHES_TO_SUSPECT,
     Evidence,
 )
-from railfold._internal.decisions.quarantine.record import SKEW_S, ContentRecord
+from railfold._internal.decisions.quarantine.models import (
+    UNKNOWN_VERSION,
+    Crash,
+    QuarantineChange,
+    QuarantineDecision,
+    QuarantineState,
+    RequestContent,
+)
 
 __all__ = ["Quarantine"]
 
@@ -60,23 +63,23 @@
 # What else ran where a server ended is known to all entries by then: each sees its own
 # connections end at the same time, finds the server gone one round trip later, and
 # tells the others within milliseconds.
-_SETTLE_S = 0.1
+_REVIEW_DELAY_S = 0.1
 
 # One that ends its server does so within a third of a second after it was sent there.
 # For so long other contents' trials wait, and requests of the same content somewhat
 # longer, yet no longer than a client takes for a pause. Where engines queue requests a
 # trial may begin a second after it was sent: of several whose end isn't known each
 # takes twice as long, up to 1.4 s for other contents and 3.2 s for its own.
-_TRIAL_ALONE_S = 0.35
+_EXCLUSIVE_TRIAL_S = 0.35
 _PROBATION_TRIAL_S = 0.8
-_MOST_DOUBLINGS = 2
+_MAX_DOUBLINGS = 2
 
 # The trial of one that was held back: it has ended well or badly after this time; a
 # client may also have left.
-_TRIAL_S = 30.0
+_HELD_BACK_TRIAL_S = 30.0
 
 # Crashes further back than this say nothing of a request that comes now.
-_FORGET_S = 600.0
+_CRASH_EXPIRY_S = 600.0
 
 
 class Quarantine:
@@ -93,104 +96,108 @@
         return len(self._records)
 
     @property
-    def held(self) -> list[QuarantineChange]:
+    def held_back(self) -> list[QuarantineChange]:
         """What is held back now, or awaits its trial."""
         return [
-            record.changed(QuarantineState.HELD_BACK, "")
+            record.change_to(QuarantineState.HELD_BACK, "")
             for record in self._records.values()
-            if record.held_s is not None
+            if record.held_since_s is not None
         ]
 
     def crashes_of(self, digest: str) -> tuple[Crash, ...]:
         """Return the crashes that are known of a content, oldest first."""
         record = self._records.get(digest)
-        return record.newest_crashes if record is not None else ()
+        return record.sorted_crashes if record is not None else ()
 
-    def is_near_limit(self, digest: str) -> bool:
+    def is_near_restriction(self, digest: str) -> bool:
         """Return whether a content is restricted, or would be with one crash more."""
         record = self._records.get(digest)
         if record is None:
             return False
         return (
             record.is_restricted
-            or len(self._evidence.counted(record)) + 1 >= CRASHES_TO_SUSPECT
+            or len(self._evidence.counted_crashes(record)) + 1 >= CRASHES_TO_SUSPECT
         )
 
     # What was seen
 
-    def crashed(
-        self, seen: Mapping[Content, Iterable[Crash]], now_s: float
+    def record_crashes(
+        self, crashes_by_content: Mapping[RequestContent, Iterable[Crash]], now_s: float
     ) -> list[QuarantineChange]:
         """Join crashes to what is known; return what changed.
 
         :param seen: crashes by content; those of one server belong together, so that
             each is judged by what all of them were under.
         """
-        self._evidence.changed()
+        self._evidence.invalidate_likelihoods()
         changes: list[QuarantineChange] = []
-        touched = [
+        updated_records = [
             record
-            for content, crashes in seen.items()
-            if (record := self._join(content, crashes, now_s, changes)) is not None
+            for content, crashes in crashes_by_content.items()
+            if (record := self._merge_crashes(content, crashes, now_s, changes))
+            is not None
         ]
-        for record in touched:
+        for record in updated_records:
             changes += self._judge(record, now_s)
-        self._evidence.bound()
+        self._evidence.evict_excess()
         return changes
 
-    def _join(
+    def _merge_crashes(
         self,
-        content: Content,
+        content: RequestContent,
         crashes: Iterable[Crash],
         now_s: float,
         changes: list[QuarantineChange],
     ) -> ContentRecord | None:
-        since_s = max(self.last_success_s(content.digest), now_s - _FORGET_S)
-        recent = [crash for crash in crashes if crash.ended_s > since_s]
-        if not recent:
+        since_s = max(self.last_success_s(content.digest), now_s - _CRASH_EXPIRY_S)
+        recent_crashes = [crash for crash in crashes if crash.ended_s > since_s]
+        if not recent_crashes:
             return None
         record = self._records.get(content.digest) or ContentRecord(content)
-        before = dict(record.crashes)
-        for crash in recent:
-            record.take(crash)
-        record.trim()
-        if record.crashes == before:
+        previous_crashes = dict(record.crashes)
+        for crash in recent_crashes:
+            record.add_crash(crash)
+        record.drop_oldest_crashes()
+        if record.crashes == previous_crashes:
             return None
         self._records[content.digest] = record
-        record.last_s = max(record.last_s, now_s)
-        if record.held_s is None and record.crashes.keys() != before.keys():
-            changes.append(record.changed(QuarantineState.SUSPECTED, ""))
+        record.last_updated_s = max(record.last_updated_s, now_s)
+        if (
+            record.held_since_s is None
+            and record.crashes.keys() != previous_crashes.keys()
+        ):
+            changes.append(record.change_to(QuarantineState.SUSPECTED, ""))
         return record
 
     # The verdict
 
     def _judge(self, record: ContentRecord, now_s: float) -> list[QuarantineChange]:
-        if record.held_s is not None:
-            return self._judge_held(record, now_s)
+        if record.held_since_s is not None:
+            return self._judge_held_back(record, now_s)
         if not self._evidence.is_suspect(record):
             return []
-        if record.probation_s is not None:
-            if record.crashes_on_trial:
-                record.trial_until_s = min(record.trial_until_s, now_s)
+        if record.probation_since_s is not None:
+            if record.trial_crash_server_ids:
+                record.trial_deadline_s = min(record.trial_deadline_s, now_s)
             return []
-        changes = self._reopen_covered(record, now_s)
+        changes = self._reconsider_held_back(record, now_s)
         record.start_probation(now_s)
         reason = "servers ended under it, one after the other"
-        changes.append(record.changed(QuarantineState.ON_PROBATION, reason))
+        changes.append(record.change_to(QuarantineState.ON_PROBATION, reason))
         return changes
 
-    def _judge_held(
+    def _judge_held_back(
         self, record: ContentRecord, now_s: float
     ) -> list[QuarantineChange]:
         """Hold a content back again if its trial ended a server."""
-        since_s = record.held_until_s - SKEW_S
-        under_trial = [c for c in record.crashes.values() if c.began_s >= since_s]
-        if not under_trial:
+        since_s = record.held_until_s - CLOCK_SKEW_S
+        trial_crashes = [c for c in record.crashes.values() if c.began_s >= since_s]
+        if not trial_crashes:
             return []
-        record.proofs.update(crash.server_id for crash in under_trial)
-        return self._prove(record, now_s)
+        record.proof_server_ids.update(crash.server_id for crash in trial_crashes)
+        return self._hold_back_proven(record, now_s)
 
-    def _reopen_covered(
+    def _reconsider_held_back(
         self, record: ContentRecord, now_s: float
     ) -> list[QuarantineChange]:
         """Put on probation what is held back for servers that this one explains too.
@@ -201,19 +208,21 @@
         if self._evidence.has_succeeded(record):
             return []
         changes: list[QuarantineChange] = []
-        for other in self._evidence.others(record):
-            if other.held_s is None or other.proofs:
+        for other in self._evidence.other_records(record):
+            if other.held_since_s is None or other.proof_server_ids:
                 continue
             if other.crashes.keys() <= record.crashes.keys():
                 reason = f"content {record.content.digest} was there each time too"
-                changes.append(other.changed(QuarantineState.CLEARED, reason))
-                self._evidence.changed()
-                other.held_s = None
+                changes.append(other.change_to(QuarantineState.CLEARED, reason))
+                self._evidence.invalidate_likelihoods()
+                other.held_since_s = None
                 other.start_probation(now_s)
-                changes.append(other.changed(QuarantineState.ON_PROBATION, reason))
+                changes.append(other.change_to(QuarantineState.ON_PROBATION, reason))
         return changes
 
-    def settle(self, now_s: float, digest: str | None = None) -> list[QuarantineChange]:
+    def review_probation(
+        self, now_s: float, digest: str | None = None
+    ) -> list[QuarantineChange]:
         """Judge contents on probation of which all has been heard.
 
         :param digest: only this one; by default all.
@@ -225,66 +234,73 @@
             records = [r for r in (self._records.get(digest),) if r is not None]
         changes: list[QuarantineChange] = []
         for record in records:
-            if record.probation_s is not None and now_s >= self._settled_s(record):
-                changes += self._settle(record, now_s)
+            if record.probation_since_s is not None and now_s >= self._review_due_s(
+                record
+            ):
+                changes += self._review(record, now_s)
         return changes
 
-    def _settled_s(self, record: ContentRecord) -> float:
+    def _review_due_s(self, record: ContentRecord) -> float:
         """Return when all has been heard of what is known of a content now."""
-        return record.last_s + _SETTLE_S
+        return record.last_updated_s + _REVIEW_DELAY_S
 
-    def _settle(self, record: ContentRecord, now_s: float) -> list[QuarantineChange]:
+    def _review(self, record: ContentRecord, now_s: float) -> list[QuarantineChange]:
         if not self._evidence.is_suspect(record):
             return []
         if self._evidence.likelihood(record) < _HOLD_LIKELIHOOD:
             return []
-        if record.crashes_on_trial:
-            record.proofs.update(record.crashes_on_trial)
-            return self._prove(record, now_s)
-        if len(self._evidence.counted(record, proved=False)) < CRASHES_TO_SUSPECT:
+        if record.trial_crash_server_ids:
+            record.proof_server_ids.update(record.trial_crash_server_ids)
+            return self._hold_back_proven(record, now_s)
+        if (
+            len(self._evidence.counted_crashes(record, only_proven=False))
+            < CRASHES_TO_SUSPECT
+        ):
             return []  # Another one that is held back may explain the rest.
         reason = "nothing else explains the servers that ended"
-        return self._hold(record, now_s, reason)
+        return self._hold_back(record, now_s, reason)
 
-    def _prove(self, record: ContentRecord, now_s: float) -> list[QuarantineChange]:
+    def _hold_back_proven(
+        self, record: ContentRecord, now_s: float
+    ) -> list[QuarantineChange]:
         """Hold a content back, and clear those whose crashes it explains."""
-        changes = self._hold(record, now_s, "a server ended under its trial")
-        for other in list(self._evidence.others(record)):
-            if other.proved or not other.is_restricted:
+        changes = self._hold_back(record, now_s, "a server ended under its trial")
+        for other in list(self._evidence.other_records(record)):
+            if other.is_proven or not other.is_restricted:
                 continue
             if self._evidence.is_suspect(other):
                 continue
             reason = f"content {record.content.digest} explains its crashes"
-            changes += self._release(other, now_s, reason)
+            changes += self._clear_or_put_on_probation(other, now_s, reason)
         return changes
 
-    def _release(
+    def _clear_or_put_on_probation(
         self, record: ContentRecord, now_s: float, reason: str
     ) -> list[QuarantineChange]:
         """Let a content go, or let its requests run one at a time if it is suspect."""
         likelihood = self._evidence.likelihood(record)
         if likelihood < _CLEAR_LIKELIHOOD:
-            change = record.changed(QuarantineState.CLEARED, reason)
-            self._reset(record)
+            change = record.change_to(QuarantineState.CLEARED, reason)
+            self._remove_restrictions(record)
             return [change]
-        if record.held_s is None or likelihood >= _HOLD_LIKELIHOOD:
+        if record.held_since_s is None or likelihood >= _HOLD_LIKELIHOOD:
             return []
-        changes = [record.changed(QuarantineState.CLEARED, reason)]
-        self._evidence.changed()
-        record.held_s = None
+        changes = [record.change_to(QuarantineState.CLEARED, reason)]
+        self._evidence.invalidate_likelihoods()
+        record.held_since_s = None
         record.start_probation(now_s)
-        changes.append(record.changed(QuarantineState.ON_PROBATION, reason))
+        changes.append(record.change_to(QuarantineState.ON_PROBATION, reason))
         return changes
 
-    def _hold(
+    def _hold_back(
         self, record: ContentRecord, now_s: float, reason: str
     ) -> list[QuarantineChange]:
-        self._evidence.changed()
-        record.holds += 1
-        record.held_s = now_s
-        record.probation_s = None
-        record.trial_until_s = float("-inf")
-        return [record.changed(QuarantineState.HELD_BACK, reason)]
+        self._evidence.invalidate_likelihoods()
+        record.hold_count += 1
+        record.held_since_s = now_s
+        record.probation_since_s = None
+        record.trial_deadline_s = float("-inf")
+        return [record.change_to(QuarantineState.HELD_BACK, reason)]
 
     # What speaks for a content
 
@@ -316,7 +332,7 @@
     def lift(self, digest: str, now_s: float, reason: str) -> list[QuarantineChange]:
         """Let a content run again."""
         record = self._records.get(digest)
-        if record is None or record.held_s is None:
+        if record is None or record.held_since_s is None:
             return []
         self._evidence.record_success(digest, now_s)
         return self._clear(record, now_s, QuarantineState.LIFTED, reason)
@@ -328,19 +344,19 @@
 
         :param versions: of the service's backend servers that may get work now.
         """
-        due = [
+        outdated = [
             record
             for record in self._records.values()
-            if record.held_s is not None
+            if record.held_since_s is not None
             and record.content.service == service
             and versions
-            and versions.isdisjoint(record.versions)
-            and UNKNOWN_VERSION not in record.versions
+            and versions.isdisjoint(record.crashed_versions)
+            and UNKNOWN_VERSION not in record.crashed_versions
         ]
         reason = "all backend servers run another version"
         return [
             change
-            for record in due
+            for record in outdated
             for change in self.lift(record.content.digest, now_s, reason)
         ]
 
@@ -348,70 +364,80 @@
         self, record: ContentRecord, at_s: float, state: QuarantineState, reason: str
     ) -> list[QuarantineChange]:
         """Forget crashes before a time, and what followed from them only."""
-        self._evidence.changed()
-        change = record.changed(state, reason)
-        later = {k: c for k, c in record.crashes.items() if c.ended_s > at_s}
-        if not later:
+        self._evidence.invalidate_likelihoods()
+        change = record.change_to(state, reason)
+        later_crashes = {k: c for k, c in record.crashes.items() if c.ended_s > at_s}
+        if not later_crashes:
             del self._records[record.content.digest]
             return [change]
-        record.crashes = later
+        record.crashes = later_crashes
         if not record.is_restricted or self._evidence.is_suspect(record):
             return []
-        self._reset(record)
+        self._remove_restrictions(record)
         return [change]
 
-    def _reset(self, record: ContentRecord) -> None:
+    def _remove_restrictions(self, record: ContentRecord) -> None:
         """Let a content run, and keep only the crashes that are known of it."""
-        self._evidence.changed()
+        self._evidence.invalidate_likelihoods()
         digest = record.content.digest
         self._records[digest] = ContentRecord(
-            record.content, record.crashes, last_s=record.last_s
+            record.content, record.crashes, last_updated_s=record.last_updated_s
         )
 
     # Holding back
 
-    def restore(
-        self, content: Content, crashes: Iterable[Crash], held_s: float, holds: int
+    def restore_hold(
+        self,
+        content: RequestContent,
+        crashes: Iterable[Crash],
+        held_since_s: float,
+        hold_count: int,
     ) -> list[QuarantineChange]:
         """Take a hold that another entry has recorded.
 
         :param held_s: when it was held back, on this process's clock.
         """
-        if self.last_success_s(content.digest) >= held_s:
+        if self.last_success_s(content.digest) >= held_since_s:
             return []
         record = self._records.setdefault(content.digest, ContentRecord(content))
-        if record.held_s is not None and record.holds >= holds:
+        if record.held_since_s is not None and record.hold_count >= hold_count:
             return []
-        self._evidence.changed()
+        self._evidence.invalidate_likelihoods()
         for crash in crashes:
-            record.take(crash)
-        record.trim()
-        record.holds = holds
-        record.held_s = held_s
-        record.probation_s = None
-        record.last_s = max(record.last_s, held_s)
-        change = record.changed(QuarantineState.HELD_BACK, "another entry's record")
-        self._evidence.bound()
+            record.add_crash(crash)
+        record.drop_oldest_crashes()
+        record.hold_count = hold_count
+        record.held_since_s = held_since_s
+        record.probation_since_s = None
+        record.last_updated_s = max(record.last_updated_s, held_since_s)
+        change = record.change_to(QuarantineState.HELD_BACK, "another entry's record")
+        self._evidence.evict_excess()
         return [change]
 
-    def standing(self, digest: str, now_s: float) -> Standing:
+    def decision(self, digest: str, now_s: float) -> QuarantineDecision:
         """Return what may be done with a request of this content now."""
         record = self._records.get(digest)
         if record is None:
-            return Standing.FREE
-        if record.held_s is not None:
-            held = now_s < record.held_until_s or now_s < record.trial_until_s
-            return Standing.HELD if held else Standing.MAY_BE_TRIED
-        if record.probation_s is None:
-            return Standing.FREE
+            return QuarantineDecision.ALLOW
+        if record.held_since_s is not None:
+            is_held_back = (
+                now_s < record.held_until_s or now_s < record.trial_deadline_s
+            )
+            return (
+                QuarantineDecision.REFUSE
+                if is_held_back
+                else QuarantineDecision.ALLOW_TRIAL
+            )
+        if record.probation_since_s is None:
+            return QuarantineDecision.ALLOW
         if now_s < self._wait_until_s(record):
-            return Standing.WAITS
-        return Standing.MAY_BE_TRIED
+            return QuarantineDecision.WAIT
+        return QuarantineDecision.ALLOW_TRIAL
 
     def wait_s(self, digest: str, now_s: float) -> float:
         """Return after which time a request that waits may be tried, under a second."""
         record = self._records.get(digest)
-        if record is None or record.probation_s is None:
+        if record is None or record.probation_since_s is None:
             return 0.0
         return max(0.0, self._wait_until_s(record) - now_s)
 
@@ -421,29 +447,31 @@
         Trials of a service's contents come one after the other, so that two of them
         don't meet at one server; but none waits for another one for long.
         """
-        until_s = max(self._settled_s(record), record.trial_until_s)
-        for other in self._evidence.others(record):
-            if other.probation_s is None:
+        until_s = max(self._review_due_s(record), record.trial_deadline_s)
+        for other in self._evidence.other_records(record):
+            if other.probation_since_s is None:
                 continue
             if other.content.service != record.content.service:
                 continue
-            doublings = min(_MOST_DOUBLINGS, max(0, other.trials - 1))
-            alone_until_s = other.trial_began_s + _TRIAL_ALONE_S * 2.0**doublings
-            until_s = max(until_s, min(alone_until_s, other.trial_until_s))
+            doublings = min(_MAX_DOUBLINGS, max(0, other.trial_count - 1))
+            exclusive_until_s = (
+                other.trial_started_s + _EXCLUSIVE_TRIAL_S * 2.0**doublings
+            )
+            until_s = max(until_s, min(exclusive_until_s, other.trial_deadline_s))
         return until_s
 
-    def begin_trial(self, digest: str, now_s: float) -> list[QuarantineChange]:
+    def start_trial(self, digest: str, now_s: float) -> list[QuarantineChange]:
         """Let one request of a content through; others wait for what comes of it."""
         record = self._records.get(digest)
         if record is None or not record.is_restricted:
             return []
-        if record.held_s is not None:
-            wait_s, reason = _TRIAL_S, "its time has passed"
+        if record.held_since_s is not None:
+            wait_s, reason = _HELD_BACK_TRIAL_S, "its time has passed"
         else:
-            wait_s = _PROBATION_TRIAL_S * 2.0 ** min(_MOST_DOUBLINGS, record.trials)
+            wait_s = _PROBATION_TRIAL_S * 2.0 ** min(_MAX_DOUBLINGS, record.trial_count)
             reason = "it is on probation"
         record.start_trial(now_s, wait_s)
-        return [record.changed(QuarantineState.ON_TRIAL, reason)]
+        return [record.change_to(QuarantineState.ON_TRIAL, reason)]
 
     def withdraw_trial(self, digest: str, now_s: float) -> bool:
         """Take that a trial's request wasn't run; return whether one was under way.
@@ -451,7 +479,7 @@
         Others needn't wait for what comes of it.
         """
         record = self._records.get(digest)
-        if record is None or now_s >= record.trial_until_s:
+        if record is None or now_s >= record.trial_deadline_s:
             return False
         record.withdraw_trial(now_s)
         return True
@@ -459,9 +487,9 @@
     def is_explained(self, digest: str) -> bool:
         """Return whether contents that are held back explain all its crashes."""
         record = self._records.get(digest)
-        if record is None or record.held_s is not None:
+        if record is None or record.held_since_s is not None:
             return False
-        return not self._evidence.counted(record, proved=False)
+        return not self._evidence.counted_crashes(record, only_proven=False)
 
     def retract_crash(self, server_id: str) -> list[QuarantineChange]:
         """A backend server hasn't ended: what was reported of its crash was wrong."""
@@ -469,23 +497,24 @@
         for record in list(self._records.values()):
             if record.crashes.pop(server_id, None) is None:
                 continue
-            self._evidence.changed()
-            record.proofs.discard(server_id)
-            wrongly = not self._evidence.is_suspect(record)
-            if not record.crashes or (record.is_restricted and wrongly):
+            self._evidence.invalidate_likelihoods()
+            record.proof_server_ids.discard(server_id)
+            is_unfounded = not self._evidence.is_suspect(record)
+            if not record.crashes or (record.is_restricted and is_unfounded):
                 del self._records[record.content.digest]
                 reason = f"server {server_id} hasn't ended"
-                changes.append(record.changed(QuarantineState.CLEARED, reason))
+                changes.append(record.change_to(QuarantineState.CLEARED, reason))
         return changes
 
     def expire(self, now_s: float) -> None:
         """Forget suspicions that no crash has renewed."""
-        due = [
+        expired = [
             digest
             for digest, record in self._records.items()
-            if record.held_s is None and record.last_s < now_s - _FORGET_S
+            if record.held_since_s is None
+            and record.last_updated_s < now_s - _CRASH_EXPIRY_S
         ]
-        if due:
-            self._evidence.changed()
-        for digest in due:
+        if expired:
+            self._evidence.invalidate_likelihoods()
+        for digest in expired:
             del self._records[digest]
--- a/src/railfold/_internal/forwarding/quarantine/crash_notices.py
+++ b/src/railfold/_internal/forwarding/quarantine/crash_notices.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from railfold._internal.decisions.quarantine import Content, Crash
+from railfold._internal.decisions.quarantine import Crash, RequestContent
 from railfold._internal.forwarding.peers.peer_messages import (
     CrashesNotice,
     CrashNotice,
@@ -19,7 +19,7 @@
 
 
 def crashes_notice(
-    content: Content, crashes: Sequence[Crash], now_s: float
+    content: RequestContent, crashes: Sequence[Crash], now_s: float
 ) -> CrashesNotice:
     """Return what tells other entries of crashes under a content."""
     notices = [
--- a/src/railfold/_internal/forwarding/quarantine/crash_watch.py
+++ b/src/railfold/_internal/forwarding/quarantine/crash_watch.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from railfold._internal.decisions.quarantine import Content, Crash
+from railfold._internal.decisions.quarantine import Crash, RequestContent
 
 __all__ = ["CLEARED_AFTER_S", "CrashWatch", "EndedRun", "RunFigures", "reported_name"]
 
@@ -61,7 +61,7 @@
 class EndedRun:
     """What is kept of such a run: not the request itself, which may be large."""
 
-    content: Content
+    content: RequestContent
     figures: RunFigures
     ended_s: float
 
--- a/src/railfold/_internal/forwarding/quarantine/quarantine_records.py
+++ b/src/railfold/_internal/forwarding/quarantine/quarantine_records.py
@@ -81,7 +81,7 @@
                 self._removals.discard(digest)
             case QuarantineState.CLEARED | QuarantineState.LIFTED:
                 self._due_s.pop(digest, None)
-                if change.was_held and not from_peer:
+                if change.was_held_back and not from_peer:
                     self._removals.add(digest)
             case (
                 QuarantineState.SUSPECTED
@@ -167,8 +167,8 @@
         change.content.service,
         change.content.route,
         change.content.workspace,
-        _unix_ms(change.held_s, offset_s),
-        change.holds,
+        _unix_ms(change.held_since_s, offset_s),
+        change.hold_count,
         [
             RecordedCrash(
                 crash.server_id,
--- a/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
+++ b/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
@@ -14,11 +14,11 @@
 from railfold._internal import clock
 from railfold._internal.decisions.engine_directory import DirectoryEntry
 from railfold._internal.decisions.quarantine import (
-    Content,
     Crash,
     Quarantine,
     QuarantineChange,
-    Standing,
+    QuarantineDecision,
+    RequestContent,
 )
 from railfold._internal.decisions.routing_table import CredentialOwner, Route
 from railfold._internal.errors import RepeatedCrashesError, RequestOnTrialError
@@ -121,14 +121,14 @@
         digest = self._digests.of(request, owner)
         now_s = self._loop.time()
         match self._standing(digest, now_s):
-            case Standing.FREE:
+            case QuarantineDecision.ALLOW:
                 return False
-            case Standing.HELD:
+            case QuarantineDecision.REFUSE:
                 raise self._refusal(digest)
-            case Standing.WAITS:
+            case QuarantineDecision.WAIT:
                 raise self._wait(digest, now_s)
-            case Standing.MAY_BE_TRIED:
-                self._take(self._quarantine.begin_trial(digest, now_s))
+            case QuarantineDecision.ALLOW_TRIAL:
+                self._take(self._quarantine.start_trial(digest, now_s))
                 self._announce(TrialBegun(digest))
                 return True
 
@@ -145,16 +145,16 @@
         digest = self._digests.of(request, owner)
         now_s = self._loop.time()
         match self._standing(digest, now_s):
-            case Standing.FREE:
+            case QuarantineDecision.ALLOW:
                 return
-            case Standing.WAITS | Standing.MAY_BE_TRIED:
+            case QuarantineDecision.WAIT | QuarantineDecision.ALLOW_TRIAL:
                 raise self._wait(digest, now_s)
-            case Standing.HELD:
+            case QuarantineDecision.REFUSE:
                 raise self._refusal(digest)
 
-    def _standing(self, digest: str, now_s: float) -> Standing:
-        self._take(self._quarantine.settle(now_s, digest))
-        return self._quarantine.standing(digest, now_s)
+    def _standing(self, digest: str, now_s: float) -> QuarantineDecision:
+        self._take(self._quarantine.review_probation(now_s, digest))
+        return self._quarantine.decision(digest, now_s)
 
     def _wait(self, digest: str, now_s: float) -> RequestOnTrialError:
         self._router.metrics.count("quarantine.waited")
@@ -181,10 +181,10 @@
             return
         digest = self._digests.of(request, owner)
         standing = self._standing(digest, self._loop.time())
-        if standing is Standing.HELD:
+        if standing is QuarantineDecision.REFUSE:
             raise self._refusal(digest)
-        is_suspect = self._quarantine.is_near_limit(digest)
-        if on_trial or is_suspect or standing is not Standing.FREE:
+        is_suspect = self._quarantine.is_near_restriction(digest)
+        if on_trial or is_suspect or standing is not QuarantineDecision.ALLOW:
             raise self._repeat_later(digest)
 
     def _repeat_later(self, digest: str) -> RequestOnTrialError:
@@ -211,7 +211,9 @@
             return False
         digest = self._digests.of(request, owner)
         quarantine = self._quarantine
-        return quarantine.is_near_limit(digest) and not quarantine.is_explained(digest)
+        return quarantine.is_near_restriction(digest) and not quarantine.is_explained(
+            digest
+        )
 
     def trial_not_run(
         self, request: ClientRequest, owner: CredentialOwner | None
@@ -248,7 +250,7 @@
         """A run broke off."""
         if not self._digests.ready:
             return
-        content = Content(
+        content = RequestContent(
             self._digests.of(request, owner),
             figures.service,
             route.name,
@@ -294,7 +296,7 @@
     def _on_crash(self, server_id: str, runs: list[EndedRun]) -> None:
         now_s = self._loop.time()
         version = self._reports.version_of(server_id)
-        seen: dict[Content, list[Crash]] = {}
+        seen: dict[RequestContent, list[Crash]] = {}
         for run in runs:
             seen.setdefault(run.content, []).append(run.crash(server_id, version))
         self._router.metrics.count("servers.crashed")
@@ -306,11 +308,11 @@
                 round((now_s - runs[-1].ended_s) * 1000, 1),
             )
         )
-        self._take(self._quarantine.crashed(seen, now_s))
+        self._take(self._quarantine.record_crashes(seen, now_s))
         for content in self._most_suspicious(runs):
             self._announce_crashes(content, now_s)
 
-    def _most_suspicious(self, runs: list[EndedRun]) -> list[Content]:
+    def _most_suspicious(self, runs: list[EndedRun]) -> list[RequestContent]:
         """Return which contents to announce: first those that ended servers before.
 
         Then those without an event, and those that began last.
@@ -323,7 +325,7 @@
         ordered = sorted(runs, key=suspicion, reverse=True)
         return list(dict.fromkeys(run.content for run in ordered))[:_MOST_CONTENTS_SENT]
 
-    def _announce_crashes(self, content: Content, now_s: float) -> None:
+    def _announce_crashes(self, content: RequestContent, now_s: float) -> None:
         crashes = self._quarantine.crashes_of(content.digest)[-MOST_CRASHES_SENT:]
         if not crashes:
             return
@@ -334,13 +336,15 @@
     def take_crashes(self, message: CrashesNotice) -> None:
         """Another entry saw servers end under a content."""
         now_s = self._loop.time()
-        content = Content(
+        content = RequestContent(
             message.digest, message.service, message.route, message.workspace
         )
         crashes = crashes_in(message, now_s)
         self._reports.record((crash.server_id for crash in crashes), now_s)
         self._confirmer.suspected_elsewhere(content.digest, now_s)
-        self._take(self._quarantine.crashed({content: crashes}, now_s), from_peer=True)
+        self._take(
+            self._quarantine.record_crashes({content: crashes}, now_s), from_peer=True
+        )
 
     def take_success(self, message: ContentCleared) -> None:
         """Another entry saw a request run well."""
@@ -354,7 +358,7 @@
     def take_trial_begun(self, message: TrialBegun) -> None:
         """Another entry lets one request of a content through."""
         now_s = self._loop.time()
-        self._take(self._quarantine.begin_trial(message.digest, now_s), from_peer=True)
+        self._take(self._quarantine.start_trial(message.digest, now_s), from_peer=True)
 
     def take_trial_not_run(self, message: TrialNotRun) -> None:
         """Another entry's trial wasn't run."""
@@ -365,7 +369,7 @@
     def record_read(self, digest: str, record: HoldRecord) -> None:
         """The store holds a content that is held back."""
         offset_s = clock.unix_time_s() - self._loop.time()
-        changes = self._quarantine.restore(
+        changes = self._quarantine.restore_hold(
             record.content(digest),
             record.crashes_at(offset_s),
             record.held_at_unix_ms / 1000.0 - offset_s,
@@ -386,7 +390,7 @@
 
     def log_went_back(self) -> None:
         """The store may have lost what was recorded."""
-        self._records.log_went_back(self._quarantine.held)
+        self._records.log_went_back(self._quarantine.held_back)
 
     # Upkeep
 
@@ -396,7 +400,7 @@
         while True:
             await asyncio.sleep(_CHECK_S)
             self._check()
-            await self._records.write(self._quarantine.held)
+            await self._records.write(self._quarantine.held_back)
 
     def _check(self) -> None:
         now_s = self._loop.time()
@@ -406,14 +410,14 @@
         for server_id in self._reports.take_contradicted(now_s):
             self._router.metrics.count("peers.contradicted")
             self._take(self._quarantine.retract_crash(server_id))
-        self._take(self._quarantine.settle(now_s))
+        self._take(self._quarantine.review_probation(now_s))
         self._lift_for_versions(now_s)
         self._quarantine.expire(now_s)
         self._confirmer.expire(now_s)
-        self._router.metrics.gauge("quarantine.held", len(self._quarantine.held))
+        self._router.metrics.gauge("quarantine.held", len(self._quarantine.held_back))
 
     def _lift_for_versions(self, now_s: float) -> None:
-        services = {change.content.service for change in self._quarantine.held}
+        services = {change.content.service for change in self._quarantine.held_back}
         for service in services:
             versions = frozenset(
                 entry.registration.version
@@ -448,6 +452,6 @@
                 [crash.server_id for crash in change.crashes],
                 age_ms(now_s, newest_s),
                 "another entry" if from_peer else "this entry",
-                max(0, round((change.until_s - now_s) * 1000)),
+                max(0, round((change.held_until_s - now_s) * 1000)),
             )
         )
--- a/src/railfold/_internal/forwarding/store/shared_records.py
+++ b/src/railfold/_internal/forwarding/store/shared_records.py
@@ -14,7 +14,7 @@
 
 from railfold._internal.core import parse_address
 from railfold._internal.decisions.peers import Peer
-from railfold._internal.decisions.quarantine import Content, Crash
+from railfold._internal.decisions.quarantine import Crash, RequestContent
 from railfold._internal.errors import PeerMessageError
 
 __all__ = [
@@ -66,9 +66,9 @@
     holds: Annotated[int, Meta(ge=1, le=1000)]
     crashes: Annotated[list[RecordedCrash], Meta(max_length=64)]
 
-    def content(self, digest: str) -> Content:
+    def content(self, digest: str) -> RequestContent:
         """Return what the record is about."""
-        return Content(digest, self.service, self.route, self.workspace)
+        return RequestContent(digest, self.service, self.route, self.workspace)
 
     def crashes_at(self, offset_s: float) -> list[Crash]:
         """Return the crashes on a clock that is behind the time of day by so much."""
--- a/tests/forwarding/test_crashes_beside_popular.py
+++ b/tests/forwarding/test_crashes_beside_popular.py
@@ -20,7 +20,7 @@
 
 import pytest
 
-from tests.lib.crashes import play_beside_popular
+from tests.lib.crashing_fleet import run_poison_beside_popular
 from tests.lib.forwarding import Deployment, running
 
 # What one entry has seen reaches all others within this time.
@@ -45,11 +45,11 @@
 async def test_the_one_that_ends_its_servers_is_held_back_and_no_other(
     entries: Deployment, path: str, after_s: float, same_id: bool
 ) -> None:
-    outcome = await play_beside_popular(
-        entries, path, PLAYED_S, same_id=same_id, after_s=after_s
+    outcome = await run_poison_beside_popular(
+        entries, path, PLAYED_S, same_id=same_id, poison_delay_s=after_s
     )
-    popular, single = outcome.others
+    popular, single = outcome.other_senders
     assert outcome.late_crashes(CONTACT_S) <= MOST_LATE_CRASHES
-    assert popular.longest_refused_s <= LONGEST_REFUSED_S
-    assert single.longest_refused_s <= LONGEST_REFUSED_S
-    assert outcome.others_served(last_s=PLAYED_S - 5.0) >= 0.95
+    assert popular.longest_refusal_s <= LONGEST_REFUSED_S
+    assert single.longest_refusal_s <= LONGEST_REFUSED_S
+    assert outcome.other_served_share(window_s=PLAYED_S - 5.0) >= 0.95
--- a/tests/forwarding/test_repeated_crashes.py
+++ b/tests/forwarding/test_repeated_crashes.py
@@ -27,12 +27,17 @@
 from click.testing import CliRunner
 
 from railfold._internal.cli.main import cli
-from railfold._internal.decisions.quarantine import Content
+from railfold._internal.decisions.quarantine import RequestContent
 from railfold._internal.forwarding.peers.peer_messages import CrashesNotice, CrashNotice
 from railfold._internal.forwarding.quarantine import crash_reports
 from railfold._internal.forwarding.quarantine.crash_watch import EndedRun, RunFigures
 from standins.chaining_engine import Engine
-from tests.lib.crashes import POISON_BODY, CrashingFleet, Sender, play
+from tests.lib.crashing_fleet import (
+    POISON_BODY,
+    CrashingFleet,
+    RequestSender,
+    run_poison_requests,
+)
 from tests.lib.forwarding import Deployment, Reply, running, until
 
 # What one entry has seen reaches all others within this time.
@@ -55,9 +60,9 @@
 async def test_a_stream_that_ends_its_engines_is_held_back(
     two_entries: Deployment,
 ) -> None:
-    outcome = await play(two_entries, "/draft/1", PLAYED_S)
+    outcome = await run_poison_requests(two_entries, "/draft/1", PLAYED_S)
     assert outcome.late_sends(CONTACT_S) <= MOST_LATE_SENDS
-    assert outcome.others_served(last_s=2.0) >= 0.95
+    assert outcome.other_served_share(window_s=2.0) >= 0.95
 
 
 @pytest.mark.parametrize("path", [SAFE, UNSAFE])
@@ -65,17 +70,17 @@
     two_entries: Deployment, path: str
 ) -> None:
     # There are two servers; the third one that ends is one that came back.
-    outcome = await play(two_entries, path, PLAYED_S + 3.0)
+    outcome = await run_poison_requests(two_entries, path, PLAYED_S + 3.0)
     assert outcome.late_sends(CONTACT_S) <= MOST_LATE_SENDS
-    assert outcome.others_served(last_s=2.0) >= 0.95
+    assert outcome.other_served_share(window_s=2.0) >= 0.95
 
 
 async def test_few_engines_end_wherever_its_client_sends_it(
     four_entries: Deployment,
 ) -> None:
     """Each entry that learned by itself would cost two or three."""
-    outcome = await play(four_entries, STREAM, 5.0)
-    assert len(outcome.fleet.crashes_s) <= 5
+    outcome = await run_poison_requests(four_entries, STREAM, 5.0)
+    assert len(outcome.fleet.crash_times_s) <= 5
 
 
 async def test_entries_tell_each_other_while_the_store_is_out(
@@ -83,13 +88,15 @@
 ) -> None:
     await recognizing(two_entries)
     fleet = CrashingFleet(two_entries)
-    fleet.arm()
+    fleet.enable_crashes()
     await send(two_entries, STREAM, "poison-1")
-    assert len(fleet.crashes_s) == 2
-    await until(lambda: len(fleet.gone) == 2 and placed_anew(two_entries), 15.0)
+    assert len(fleet.crash_times_s) == 2
+    await until(
+        lambda: len(fleet.replaced_servers) == 2 and placed_anew(two_entries), 15.0
+    )
     two_entries.store.mode = "silent"
     await send(two_entries, STREAM, "poison-2")
-    assert len(fleet.crashes_s) == 3
+    assert len(fleet.crash_times_s) == 3
     await until(lambda: all(map(held_at, two_entries.entries)), 1.0)
     await fleet.stop()
 
@@ -116,14 +123,14 @@
 def held_at(entry: object) -> list[str]:
     """Return what an entry holds back."""
     quarantine = entry._peering.quarantine._quarantine  # type: ignore[attr-defined]
-    return [change.content.digest for change in quarantine.held]
+    return [change.content.digest for change in quarantine.held_back]
 
 
 async def hold_back(deployment: Deployment, path: str = SAFE) -> CrashingFleet:
     """Let a request end servers until the first entry holds it back."""
     await recognizing(deployment)
     fleet = CrashingFleet(deployment)
-    fleet.arm()
+    fleet.enable_crashes()
     number = 0
     while not held_at(deployment.entry):
         number += 1
@@ -168,7 +175,7 @@
     """Most of what runs where a server ends is innocent."""
     await recognizing(deployment)
     fleet = CrashingFleet(deployment)
-    fleet.arm()
+    fleet.enable_crashes()
     suspected: list[Reply] = []
     while not held_at(deployment.entry):
         reply = await send(deployment, SAFE, f"suspect-{len(suspected)}")
@@ -184,7 +191,7 @@
 
 async def test_others_with_the_same_path_are_served(deployment: Deployment) -> None:
     fleet = await hold_back(deployment)
-    sender = Sender(deployment, SAFE, random.Random(1))
+    sender = RequestSender(deployment, SAFE, random.Random(1))
     # All servers of the service are back by then, and known.
     await until(lambda: deployment.all_known(), 10.0)
     await sender.send("another", b"another body", 1)
@@ -255,12 +262,12 @@
     """Many clients send it, while servers end one after the other for other reasons."""
     await recognizing(two_entries)
     fleet = CrashingFleet(two_entries)
-    fleet.arm()
+    fleet.enable_crashes()
     for server in fleet.servers:
         server.crash_body = None
-    senders = [Sender(two_entries, SAFE, random.Random(n)) for n in range(6)]
+    senders = [RequestSender(two_entries, SAFE, random.Random(n)) for n in range(6)]
 
-    async def keep_asking(sender: Sender) -> None:
+    async def keep_asking(sender: RequestSender) -> None:
         for number in range(80):
             await sender.send(f"popular-{number}", b"the same for all", 1)
             await asyncio.sleep(0.02)
@@ -273,7 +280,7 @@
 
     await asyncio.gather(crash_in_turn(), *map(keep_asking, senders))
     replies = [reply for sender in senders for reply in sender.replies if reply]
-    assert len(fleet.crashes_s) >= 3
+    assert len(fleet.crash_times_s) >= 3
     assert not any(b"repeated_crashes" in reply.body for reply in replies)
     await fleet.stop()
 
@@ -304,11 +311,11 @@
     await recognizing(two_entries)
     quarantine = two_entries.entry._peering.quarantine
     now_s = asyncio.get_running_loop().time()
-    old = Content("f" * 32, "llm", "draft", "quality")
+    old = RequestContent("f" * 32, "llm", "draft", "quality")
     quarantine._on_crash("gone-1", [ended_run(old, now_s - 1.0)])
     runs = [ended_run(old, now_s - 0.9)]
     for number in range(30):
-        content = Content(f"{number:032x}", "llm", "draft", "quality")
+        content = RequestContent(f"{number:032x}", "llm", "draft", "quality")
         runs.append(ended_run(content, now_s - 0.1))
     quarantine._on_crash("gone-2", runs)
     other = two_entries.entries[1]._peering.quarantine._quarantine
@@ -316,6 +323,6 @@
     assert len(other) <= 9
 
 
-def ended_run(content: Content, began_s: float) -> EndedRun:
+def ended_run(content: RequestContent, began_s: float) -> EndedRun:
     figures = RunFigures("llm", ("gone",), began_s, moved_s=0.0, after_event=0)
     return EndedRun(content, figures, began_s + 0.05)
--- a/tests/forwarding/test_store_goes_back.py
+++ b/tests/forwarding/test_store_goes_back.py
@@ -14,7 +14,7 @@
 
 from railfold._internal.core import Address
 from railfold._internal.decisions.log_epoch import RETURN_S
-from railfold._internal.decisions.quarantine import Content, Crash
+from railfold._internal.decisions.quarantine import Crash, RequestContent
 from railfold._internal.forwarding.store.shared_records import KEY_NAME
 from railfold._internal.platform.store import GroupLease
 from standins.metadata_store import PARTITIONS, StoreCopy
@@ -184,7 +184,7 @@
     old_key = store.topic(QUARANTINE).newest[KEY_NAME][1]
     quarantine = deployment.entry._peering.quarantine._quarantine
     content, crashes = held_content(asyncio.get_running_loop().time())
-    quarantine.restore(content, crashes, crashes[-1].ended_s, 1)
+    quarantine.restore_hold(content, crashes, crashes[-1].ended_s, 1)
     await lose_store(deployment)
     copy = store.copy()
     copy.topics[QUARANTINE].newest.clear()
@@ -197,9 +197,9 @@
     assert all(len(e._peering._channel._view) == 1 for e in deployment.entries)  # type: ignore[union-attr]
 
 
-def held_content(now_s: float) -> tuple[Content, list[Crash]]:
+def held_content(now_s: float) -> tuple[RequestContent, list[Crash]]:
     crashes = [Crash(f"i-{n}", now_s - 3 + n, now_s - 2.9 + n, "v1") for n in range(3)]
-    return Content("f" * 32, "line-records", "tray", "quality"), crashes
+    return RequestContent("f" * 32, "line-records", "tray", "quality"), crashes
 
 
 async def test_a_fencing_token_only_rises(deployment: Deployment) -> None:
--- /dev/null
+++ b/tests/lib/crash_simulation.py
@@ -0,0 +1,360 @@
+"""Plays of requests that end their servers, without a network.
+
+Entries hold a quarantine each, tell each other what they saw, and lose or repeat some
+of it. Servers come back as new incarnations. All is drawn from a seed.
+"""
+
+from __future__ import annotations
+
+import heapq
+import itertools
+import random
+from collections.abc import Callable
+from dataclasses import dataclass, field
+
+from railfold._internal.decisions.quarantine import (
+    Crash,
+    Quarantine,
+    QuarantineChange,
+    QuarantineDecision,
+    QuarantineState,
+    RequestContent,
+)
+
+RESTART_S = 1.5
+CRASH_DETECTION_S = 0.005
+RECENT_SUCCESS_S = 60.0
+ENTRY_RETRIES = 1
+
+# A stream's first event, as long as nothing waits.
+FIRST_EVENT_S = 0.06
+
+
+@dataclass(frozen=True)
+class Scenario:
+    """What is played.
+
+    :param crashing_contents: clients whose request ends each server that runs it.
+    :param popular_contents: contents that are sent often.
+    :param interval_s: how often a popular one is sent.
+    :param run_s: how long an innocent run takes.
+    :param queue_s: how long a server lets requests wait at most before it runs them.
+    :param streams: whether runs bring events.
+    :param others_ends: servers that end for another reason.
+    :param singles_per_s: innocent contents that are sent once each.
+    :param lost: share of news between entries that is lost; as much is repeated.
+    """
+
+    seed: int
+    entries: int = 2
+    servers: int = 4
+    crashing_contents: int = 1
+    popular_contents: int = 1
+    send_interval_s: float = 0.1
+    run_s: float = 0.3
+    unrelated_crashes: int = 0
+    one_off_requests_per_s: float = 0.0
+    loss_rate: float = 0.1
+    max_queue_s: float = 0.0
+    streaming: bool = True
+    duration_s: float = 10.0
+
+
+@dataclass
+class Run:
+    """A request at a server."""
+
+    content: RequestContent
+    entry: int
+    began_s: float
+    retries: int
+    on_trial: bool
+    first_event_s: float
+    finished: bool = False
+
+
+@dataclass
+class Server:
+    """A server, as one incarnation after the other."""
+
+    number: int
+    restart_count: int = 0
+    is_up: bool = True
+    runs: list[Run] = field(default_factory=list)
+
+    @property
+    def server_id(self) -> str:
+        return f"i-{self.number}@{self.restart_count}"
+
+
+@dataclass
+class Client:
+    """What became of one content's requests.
+
+    :param refused_s: when a request was told that its content ends servers, or to wait.
+    :param held_s: of those, when it was held back.
+    :param ends_s: when it ended servers.
+    """
+
+    content: RequestContent
+    crashes_servers: bool
+    served: int = 0
+    sent: int = 0
+    refused_at_s: list[float] = field(default_factory=list)
+    held_back_at_s: list[float] = field(default_factory=list)
+    crashes_at_s: list[float] = field(default_factory=list)
+
+    def late_crashes(self, after_s: float) -> int:
+        """Return how many servers it ended later than that after the third one."""
+        return sum(
+            1 for at_s in self.crashes_at_s[3:] if at_s > self.crashes_at_s[2] + after_s
+        )
+
+
+def longest_streak_s(times_s: list[float], send_interval_s: float) -> float:
+    """Return the longest time through which something happened at every interval."""
+    longest_s = since_s = last_s = 0.0
+    for at_s in times_s:
+        if at_s - last_s > 1.5 * send_interval_s:
+            since_s = at_s
+        last_s = at_s
+        longest_s = max(longest_s, last_s - since_s)
+    return longest_s
+
+
+class Simulation:
+    """One draw, played to its end."""
+
+    def __init__(self, scenario: Scenario) -> None:
+        self.scenario = scenario
+        self.now_s = 0.0
+        self.crashes_at_s: list[float] = []
+        self.rng = random.Random(scenario.seed)
+        self._sequence = itertools.count()
+        self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
+        self._quarantines = [Quarantine() for _ in range(scenario.entries)]
+        self._servers = [Server(number) for number in range(scenario.servers)]
+        self.crashing_clients = [
+            self._new_client(f"d{n}", crashes_servers=True)
+            for n in range(scenario.crashing_contents)
+        ]
+        self.popular_clients = [
+            self._new_client(f"p{n}") for n in range(scenario.popular_contents)
+        ]
+        self.one_off_clients: list[Client] = []
+        self.clients_by_digest = {
+            c.content.digest: c for c in (*self.crashing_clients, *self.popular_clients)
+        }
+
+    def _new_client(self, name: str, *, crashes_servers: bool = False) -> Client:
+        return Client(
+            RequestContent(name * 16, "llm", "draft", "quality"), crashes_servers
+        )
+
+    def _schedule(self, delay_s: float, action: Callable[[], None]) -> None:
+        due_s = self.now_s + delay_s
+        heapq.heappush(self._scheduled, (due_s, next(self._sequence), action))
+
+    def run(self) -> Simulation:
+        """Play it."""
+        scenario = self.scenario
+        for client in self.crashing_clients:
+            self._schedule(self.rng.uniform(0.0, 1.0), lambda c=client: self._send(c))  # type: ignore[misc]
+        for client in self.popular_clients:
+            self._schedule(0.0, lambda c=client: self._send_periodically(c))  # type: ignore[misc]
+        if scenario.one_off_requests_per_s:
+            self._schedule(0.0, self._send_one_off)
+        for _ in range(scenario.unrelated_crashes):
+            self._schedule(
+                self.rng.uniform(0.0, scenario.duration_s), self._crash_random_server
+            )
+        while self._scheduled and self._scheduled[0][0] < scenario.duration_s:
+            self.now_s, _, action = heapq.heappop(self._scheduled)
+            action()
+        return self
+
+    # Clients
+
+    def _send_periodically(self, client: Client) -> None:
+        self._send(client)
+        self._schedule(
+            self.scenario.send_interval_s, lambda: self._send_periodically(client)
+        )
+
+    def _send_one_off(self) -> None:
+        client = self._new_client(f"s{next(self._sequence)}")
+        self.clients_by_digest[client.content.digest] = client
+        self.one_off_clients.append(client)
+        self._send(client)
+        self._schedule(
+            self.rng.expovariate(self.scenario.one_off_requests_per_s),
+            self._send_one_off,
+        )
+
+    def _on_answer(self, client: Client) -> None:
+        if client.crashes_servers:
+            self._schedule(0.15, lambda: self._send(client))
+
+    def _send(self, client: Client) -> None:
+        client.sent += 1
+        self._attempt(client, self.rng.randrange(self.scenario.entries), retries=0)
+
+    def _attempt(self, client: Client, entry: int, retries: int) -> None:
+        quarantine = self._quarantines[entry]
+        digest = client.content.digest
+        self._record_holds(
+            entry, client.content, quarantine.review_probation(self.now_s, digest)
+        )
+        decision = quarantine.decision(digest, self.now_s)
+        running = [server for server in self._servers if server.is_up]
+        if decision in (QuarantineDecision.REFUSE, QuarantineDecision.WAIT):
+            client.refused_at_s.append(self.now_s)
+            if decision is QuarantineDecision.REFUSE:
+                client.held_back_at_s.append(self.now_s)
+            self._on_answer(client)
+            return
+        if not running:
+            self._on_answer(client)
+            return
+        on_trial = decision is QuarantineDecision.ALLOW_TRIAL
+        if on_trial:
+            quarantine.start_trial(digest, self.now_s)
+            self._broadcast(entry, lambda q: q.start_trial(digest, self.now_s))
+        first_event_s = self.now_s + FIRST_EVENT_S
+        first_event_s += self.rng.uniform(0.0, self.scenario.max_queue_s)
+        if client.crashes_servers:
+            first_event_s = float("inf")
+        run = Run(client.content, entry, self.now_s, retries, on_trial, first_event_s)
+        server = self.rng.choice(running)
+        server.runs.append(run)
+        if client.crashes_servers:
+            restart_count = server.restart_count
+            crash_s = self.rng.uniform(0.03, 0.13)
+            crash_s += self.rng.uniform(0.0, self.scenario.max_queue_s)
+            self._schedule(
+                crash_s, lambda: self._crash_server(server, restart_count, client)
+            )
+        else:
+            self._schedule(
+                self.scenario.run_s, lambda: self._complete_run(client, run, server)
+            )
+
+    def _complete_run(self, client: Client, run: Run, server: Server) -> None:
+        if run.finished:
+            return
+        run.finished = True
+        server.runs.remove(run)
+        client.served += 1
+        digest = client.content.digest
+        if self._quarantines[run.entry].record_success(digest, self.now_s):
+            at_s = self.now_s
+            self._broadcast(run.entry, lambda q: q.record_success(digest, at_s))
+
+    # Servers
+
+    def _crash_random_server(self) -> None:
+        server = self.rng.choice(self._servers)
+        self._crash_server(server, server.restart_count)
+
+    def _crash_server(
+        self, server: Server, restart_count: int, cause: Client | None = None
+    ) -> None:
+        if not server.is_up or server.restart_count != restart_count:
+            return
+        if cause is not None:
+            cause.crashes_at_s.append(self.now_s)
+        server.is_up = False
+        self.crashes_at_s.append(self.now_s)
+        runs, server.runs = server.runs, []
+        for run in runs:
+            run.finished = True
+        for entry in range(self.scenario.entries):
+            own_runs = [run for run in runs if run.entry == entry]
+            if own_runs:
+                self._schedule(
+                    CRASH_DETECTION_S,
+                    lambda e=entry, o=own_runs, i=server.server_id, t=self.now_s: (  # type: ignore[misc]
+                        self._report_crash(e, o, i, t)
+                    ),
+                )
+        self._schedule(RESTART_S, lambda: self._restart(server))
+
+    def _restart(self, server: Server) -> None:
+        server.restart_count += 1
+        server.is_up = True
+
+    def _report_crash(
+        self, entry: int, runs: list[Run], server_id: str, ended_s: float
+    ) -> None:
+        crashes_by_content: dict[RequestContent, list[Crash]] = {}
+        for run in runs:
+            silent = self.scenario.streaming and ended_s < run.first_event_s
+            crash = Crash(server_id, run.began_s, ended_s, "v1", silent=silent)
+            crashes_by_content.setdefault(run.content, []).append(crash)
+        quarantine = self._quarantines[entry]
+        quarantine.record_crashes(crashes_by_content, self.now_s)
+        for content in crashes_by_content:
+            crashes = quarantine.crashes_of(content.digest)
+            if crashes:
+                self._broadcast(
+                    entry,
+                    lambda q, c=content, k=crashes: self._receive_crashes(q, c, k),  # type: ignore[misc]
+                )
+        for run in runs:
+            self._retry_or_answer(entry, run)
+
+    def _retry_or_answer(self, entry: int, run: Run) -> None:
+        client = self.clients_by_digest[run.content.digest]
+        near_restriction = self._quarantines[entry].is_near_restriction(
+            run.content.digest
+        )
+        if run.on_trial or near_restriction or run.retries >= ENTRY_RETRIES:
+            self._on_answer(client)
+        else:
+            self._attempt(client, entry, run.retries + 1)
+
+    # What entries tell each other
+
+    def _receive_crashes(
+        self,
+        quarantine: Quarantine,
+        content: RequestContent,
+        crashes: tuple[Crash, ...],
+    ) -> None:
+        quarantine.record_crashes({content: crashes}, self.now_s)
+        last_success_s = quarantine.last_success_s(content.digest)
+        if self.now_s - last_success_s < RECENT_SUCCESS_S:
+            entry = self._quarantines.index(quarantine)
+            self._schedule(
+                0.1 * self.rng.random(),
+                lambda: self._broadcast(
+                    entry, lambda q: q.record_success(content.digest, last_success_s)
+                ),
+            )
+
+    def _record_holds(
+        self, entry: int, content: RequestContent, changes: list[QuarantineChange]
+    ) -> None:
+        """What is held back is recorded in the store, which all entries read."""
+        for change in changes:
+            if change.state is not QuarantineState.HELD_BACK:
+                continue
+            for other in self._quarantines:
+                self._schedule(0.3, lambda q=other, c=change: _restore_hold(q, c))  # type: ignore[misc]
+
+    def _broadcast(self, entry: int, action: Callable[[Quarantine], object]) -> None:
+        for number, quarantine in enumerate(self._quarantines):
+            if number == entry:
+                continue
+            random_value = self.rng.random()
+            if random_value < self.scenario.loss_rate:
+                continue
+            for _ in range(2 if random_value > 1.0 - self.scenario.loss_rate else 1):
+                delay_s = self.rng.uniform(0.001, 0.02)
+                self._schedule(delay_s, lambda q=quarantine: action(q))  # type: ignore[misc]
+
+
+def _restore_hold(quarantine: Quarantine, change: QuarantineChange) -> None:
+    quarantine.restore_hold(
+        change.content, change.crashes, change.held_since_s, change.hold_count
+    )
--- a/tests/lib/crashes.py
+++ b/tests/lib/crashing_fleet.py
@@ -15,18 +15,18 @@
 POISON_BODY = b"ends whoever runs it"
 
 # A crashed server's registration lapses, and it is back with a new id, after these.
-LAPSE_S = 1.0
-BACK_S = 1.5
+REGISTRATION_LAPSE_S = 1.0
+RESTART_S = 1.5
 
 # How often the client sends its request anew, and how long it reads its answer.
-RESEND_S = 0.15
-READ_S = 2.0
+RESEND_INTERVAL_S = 0.15
+READ_TIMEOUT_S = 2.0
 
 # How often clients send whose requests come often, whatever becomes of them.
-OFTEN_S = 0.1
+SEND_INTERVAL_S = 0.1
 
 # Events of the streams of other clients: 0.2 s of them.
-OTHERS_EVENTS = 20
+OTHER_STREAM_EVENTS = 20
 
 
 @dataclass(repr=False)
@@ -40,50 +40,54 @@
 
     deployment: Deployment
     same_id: bool = False
-    crashes_s: list[float] = field(default_factory=list)
-    gone: list[Engine] = field(default_factory=list)
+    crash_times_s: list[float] = field(default_factory=list)
+    replaced_servers: list[Engine] = field(default_factory=list)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
-    def arm(self) -> None:
+    def enable_crashes(self) -> None:
         """Let all servers crash on the body from now on."""
         for server in (*self.deployment.engines, *self.deployment.plain):
-            self._arm(server)
+            self._enable_crashes_of(server)
 
-    def _arm(self, server: Engine) -> None:
+    def _enable_crashes_of(self, server: Engine) -> None:
         if self.same_id and server.born is None:
             server.born = _unix_time_ms()
             server.register()
         server.crash_body = POISON_BODY
-        server.on_crash = self._crashed
+        server.on_crash = self._on_crash
 
-    def _crashed(self, server: Engine) -> None:
-        self.crashes_s.append(asyncio.get_running_loop().time())
+    def _on_crash(self, server: Engine) -> None:
+        self.crash_times_s.append(asyncio.get_running_loop().time())
         task = asyncio.get_running_loop().create_task(self._replace(server))
         self._tasks.add(task)
 
     async def _replace(self, server: Engine) -> None:
         if self.same_id:
-            await asyncio.sleep(BACK_S)
+            await asyncio.sleep(RESTART_S)
             server.start_again(_unix_time_ms())
             return
-        await asyncio.sleep(LAPSE_S)
+        await asyncio.sleep(REGISTRATION_LAPSE_S)
         server.deregister()
-        await asyncio.sleep(BACK_S - LAPSE_S)
+        await asyncio.sleep(RESTART_S - REGISTRATION_LAPSE_S)
         deployment = self.deployment
         group = deployment.engines if server.model else deployment.plain
         group.remove(server)
-        self.gone.append(server)
+        self.replaced_servers.append(server)
         name = f"{server.server_id}-again"
         if server.model:
             successor = deployment.add_engine(name, server.zone, None)
         else:
             successor = deployment.add_plain(name, server.zone)
-        self._arm(successor)
+        self._enable_crashes_of(successor)
 
     @property
     def servers(self) -> list[Engine]:
         """All servers there ever were."""
-        return [*self.deployment.engines, *self.deployment.plain, *self.gone]
+        return [
+            *self.deployment.engines,
+            *self.deployment.plain,
+            *self.replaced_servers,
+        ]
 
     def arrivals_s(self, prefix: str) -> list[float]:
         """Return when requests whose ids begin so reached servers, in order."""
@@ -103,71 +107,73 @@
 
 
 @dataclass(repr=False)
-class Sender:
+class RequestSender:
     """Sends requests to entries drawn by chance, and keeps what came of them."""
 
     deployment: Deployment
     path: str
     rng: random.Random
-    events: int = OTHERS_EVENTS
+    event_count: int = OTHER_STREAM_EVENTS
     replies: list[Reply | None] = field(default_factory=list)
     refused_at_s: list[float] = field(default_factory=list)
     served_at_s: list[float] = field(default_factory=list)
     failed_at_s: list[float] = field(default_factory=list)
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
-    async def resend(self, body: bytes, for_s: float) -> None:
+    async def send_repeatedly(self, body: bytes, duration_s: float) -> None:
         """Send the same request again and again, each under an id of its own."""
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + for_s
+        end_s = loop.time() + duration_s
         number = 0
         while loop.time() < end_s:
             number += 1
             task = loop.create_task(self.send(f"poison-{number}", body, 50))
             self._tasks.add(task)
-            await asyncio.sleep(RESEND_S)
+            await asyncio.sleep(RESEND_INTERVAL_S)
         await asyncio.gather(*self._tasks)
 
-    async def send_often(self, name: str, body: bytes | None, for_s: float) -> None:
+    async def send_periodically(
+        self, name: str, body: bytes | None, duration_s: float
+    ) -> None:
         """Send requests ten times a second, of one body or each of another one."""
         loop = asyncio.get_running_loop()
-        for number in range(int(for_s / OFTEN_S)):
+        for number in range(int(duration_s / SEND_INTERVAL_S)):
             request_id = f"{name}-{number}"
-            sent = self.send(request_id, body or request_id.encode(), self.events)
+            sent = self.send(request_id, body or request_id.encode(), self.event_count)
             self._tasks.add(loop.create_task(sent))
-            await asyncio.sleep(OFTEN_S)
+            await asyncio.sleep(SEND_INTERVAL_S)
         await asyncio.gather(*self._tasks)
 
-    async def send_after_each_answer(self, body: bytes, for_s: float) -> None:
+    async def resend_after_each_answer(self, body: bytes, duration_s: float) -> None:
         """Send the same request again a moment after each answer."""
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + for_s
+        end_s = loop.time() + duration_s
         number = 0
         while loop.time() < end_s:
             number += 1
             await self.send(f"poison-{number}", body, 50)
-            await asyncio.sleep(RESEND_S)
+            await asyncio.sleep(RESEND_INTERVAL_S)
 
     @property
-    def longest_refused_s(self) -> float:
+    def longest_refusal_s(self) -> float:
         """For how long requests were refused as ones that end servers."""
         longest_s = since_s = last_s = 0.0
         for at_s in sorted(self.refused_at_s):
-            if at_s - last_s > 3 * OFTEN_S:
+            if at_s - last_s > 3 * SEND_INTERVAL_S:
                 since_s = at_s
             last_s = at_s
             longest_s = max(longest_s, last_s - since_s)
         return longest_s
 
-    async def keep_sending(self, name: str, for_s: float) -> None:
+    async def send_distinct(self, name: str, duration_s: float) -> None:
         """Send requests of which no two are the same, one after the other."""
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + for_s
+        end_s = loop.time() + duration_s
         number = 0
         while loop.time() < end_s:
             number += 1
             request_id = f"{name}-{number}"
-            await self.send(request_id, request_id.encode(), self.events)
+            await self.send(request_id, request_id.encode(), self.event_count)
             await asyncio.sleep(0.05)
 
     async def send(self, request_id: str, body: bytes, events: int) -> None:
@@ -177,7 +183,7 @@
         reply: Reply | None = None
         try:
             await connection.send(self.path, request_id, body=body, events=events)
-            reply = await _within(connection.read(), READ_S)
+            reply = await _within(connection.read(), READ_TIMEOUT_S)
         except (OSError, asyncio.IncompleteReadError, TimeoutError):
             reply = None
         finally:
@@ -206,84 +212,95 @@
 
 
 @dataclass(repr=False)
-class Outcome:
+class CrashOutcome:
     """What became of a poison request and of others beside it."""
 
     fleet: CrashingFleet
-    poison: Sender
-    others: list[Sender]
-    ended_s: float
+    poison_sender: RequestSender
+    other_senders: list[RequestSender]
+    finished_at_s: float
 
-    def late_sends(self, contact_s: float) -> int:
+    def late_sends(self, after_s: float) -> int:
         """Return how often it was sent later than that after the third crash."""
-        crashes_s = sorted(self.fleet.crashes_s)
-        if len(crashes_s) < 3:
+        crash_times_s = sorted(self.fleet.crash_times_s)
+        if len(crash_times_s) < 3:
             return 0
-        since_s = crashes_s[2] + contact_s
+        since_s = crash_times_s[2] + after_s
         return sum(1 for at_s in self.fleet.arrivals_s("poison") if at_s > since_s)
 
-    def others_served(self, last_s: float) -> float:
+    def other_served_share(self, window_s: float) -> float:
         """Return which share of the others' requests was served at the end."""
-        shares = [s.served_share_since(self.ended_s - last_s) for s in self.others]
+        shares = [
+            s.served_share_since(self.finished_at_s - window_s)
+            for s in self.other_senders
+        ]
         return sum(shares) / len(shares)
 
     def late_crashes(self, after_s: float) -> int:
         """Return how many servers ended later than that after the third one."""
-        crashes_s = sorted(self.fleet.crashes_s)
-        return sum(1 for at_s in crashes_s[3:] if at_s > crashes_s[2] + after_s)
+        crash_times_s = sorted(self.fleet.crash_times_s)
+        return sum(1 for at_s in crash_times_s[3:] if at_s > crash_times_s[2] + after_s)
 
 
-async def play(
-    deployment: Deployment, path: str, for_s: float, *, others: int = 4
-) -> Outcome:
+async def run_poison_requests(
+    deployment: Deployment, path: str, duration_s: float, *, others: int = 4
+) -> CrashOutcome:
     """Resend a poison request for some time, beside other clients."""
     await until(lambda: all(entry.recognizes_requests for entry in deployment.entries))
     fleet = CrashingFleet(deployment)
-    fleet.arm()
+    fleet.enable_crashes()
     rng = random.Random(1)
-    poison = Sender(deployment, path, rng)
-    beside = [Sender(deployment, path, rng) for _ in range(others)]
+    poison = RequestSender(deployment, path, rng)
+    other_senders = [RequestSender(deployment, path, rng) for _ in range(others)]
     try:
         await asyncio.gather(
-            poison.resend(POISON_BODY, for_s),
-            *(s.keep_sending(f"c{n}", for_s) for n, s in enumerate(beside)),
+            poison.send_repeatedly(POISON_BODY, duration_s),
+            *(
+                s.send_distinct(f"c{n}", duration_s)
+                for n, s in enumerate(other_senders)
+            ),
         )
     finally:
         await fleet.stop()
-    ended_s = asyncio.get_running_loop().time()
-    return Outcome(fleet, poison, beside, ended_s)
-
-
-async def play_beside_popular(
-    deployment: Deployment, path: str, for_s: float, *, same_id: bool, after_s: float
-) -> Outcome:
+    finished_at_s = asyncio.get_running_loop().time()
+    return CrashOutcome(fleet, poison, other_senders, finished_at_s)
+
+
+async def run_poison_beside_popular(
+    deployment: Deployment,
+    path: str,
+    duration_s: float,
+    *,
+    same_id: bool,
+    poison_delay_s: float,
+) -> CrashOutcome:
     """Resend a poison request beside a popular innocent one and single ones.
 
-    :param after_s: how much later than the others it comes.
+    :param poison_delay_s: how much later than the others it comes.
     :return: what became of them; of the others the first is the popular one.
     """
     fleet = CrashingFleet(deployment, same_id=same_id)
-    fleet.arm()
+    fleet.enable_crashes()
     for server in fleet.servers:
         server.crash_after_s = 0.05
         server.event_s = 0.01 if server.model else 0.1
     await until(lambda: all(map(deployment.all_known, deployment.entries)))
     rng = random.Random(1)
-    poison, popular, single = (
-        Sender(deployment, path, rng, events=30) for _ in range(3)
+    poison, popular, one_off = (
+        RequestSender(deployment, path, rng, event_count=30) for _ in range(3)
     )
 
-    async def resend() -> None:
-        await asyncio.sleep(after_s)
-        await poison.send_after_each_answer(POISON_BODY, for_s - after_s)
+    async def resend_poison() -> None:
+        await asyncio.sleep(poison_delay_s)
+        await poison.resend_after_each_answer(POISON_BODY, duration_s - poison_delay_s)
 
     try:
         await asyncio.gather(
-            resend(),
-            popular.send_often("popular", b"the same for all", for_s),
-            single.send_often("single", None, for_s),
+            resend_poison(),
+            popular.send_periodically("popular", b"the same for all", duration_s),
+            one_off.send_periodically("single", None, duration_s),
         )
     finally:
         await fleet.stop()
-    ended_s = asyncio.get_running_loop().time()
-    return Outcome(fleet, poison, [popular, single], ended_s)
+    finished_at_s = asyncio.get_running_loop().time()
+    return CrashOutcome(fleet, poison, [popular, one_off], finished_at_s)
--- a/tests/unit/test_crash_watch.py
+++ b/tests/unit/test_crash_watch.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from railfold._internal.decisions.quarantine import Content
+from railfold._internal.decisions.quarantine import RequestContent
 from railfold._internal.decisions.routing_table import CredentialOwner
 from railfold._internal.forwarding.messages import ClientRequest, RequestSize
 from railfold._internal.forwarding.quarantine.content_digest import ContentDigests
@@ -39,7 +39,7 @@
 
 
 def run(name: str, *servers: str, **changes: float) -> EndedRun:
-    content = Content(name, "llm", "draft", "quality")
+    content = RequestContent(name, "llm", "draft", "quality")
     figures = RunFigures(
         "llm", servers, began_s=1.0, moved_s=changes.get("moved_s", 0.0), after_event=0
     )
