--- a/tests/unit/test_likelihood.py
+++ b/tests/unit/test_likelihood.py
@@ -46,8 +46,8 @@
 
 
 def test_incidents_of_a_proven_content_count_for_no_other() -> None:
-    is_proven = suspect("a", 1, 2, 3, is_proven=True)
-    likelihoods = fault_likelihoods([is_proven, suspect("b", 1, 2, 3)])
+    proven = suspect("a", 1, 2, 3, is_proven=True)
+    likelihoods = fault_likelihoods([proven, suspect("b", 1, 2, 3)])
     assert likelihoods == {}
 
 
@@ -64,10 +64,13 @@
 
 
 def test_contents_at_single_incidents_do_not_hide_the_cause() -> None:
-    crowd = [suspect(f"s{n}", 1 + n % 3) for n in range(90)]
-    assert fault_likelihoods([suspect("a", 1, 2, 3, run=SILENT), *crowd])["a"] > 0.9
+    single_suspects = [suspect(f"s{n}", 1 + n % 3) for n in range(90)]
+    assert (
+        fault_likelihoods([suspect("a", 1, 2, 3, run=SILENT), *single_suspects])["a"]
+        > 0.9
+    )
 
 
 def test_number_of_weighed_suspects_is_bounded() -> None:
-    many = [suspect(f"c{n}", *range(n, n + 16)) for n in range(200)]
-    assert len(fault_likelihoods(many)) == 8
+    suspects = [suspect(f"c{n}", *range(n, n + 16)) for n in range(200)]
+    assert len(fault_likelihoods(suspects)) == 8
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -309,10 +309,10 @@
     assert quarantine.wait_s(OTHER.digest, 3.0) <= 0.8
 
 
-def test_content_whose_crashes_a_held_back_one_explains_is_recognized(
+def test_content_explained_by_a_held_back_one_is_recognized(
     quarantine: Quarantine,
 ) -> None:
-    """It was refused until another server was there, though another is refused back."""
+    """It was refused until another server was there, though another is held back."""
     quarantine.record_success(OTHER.digest, 0.5)
     crash_three_servers_under_both(quarantine)
     assert decision(quarantine, POISON, 2.0) is QuarantineDecision.REFUSE
@@ -456,20 +456,20 @@
     crashes: list[Crash], rng: random.Random
 ) -> None:
     verdicts = set()
-    known = set()
+    known_crashes = set()
     for _ in range(4):
         reports = [c for c in crashes for _ in range(rng.randint(1, 2))]
         rng.shuffle(reports)
         entry = Quarantine()
-        for found in reports:
-            entry.record_crashes({POISON: [found]}, 3.0)
-        near = entry.is_near_restriction(POISON.digest)
-        known.add(entry.crashes_of(POISON.digest))
-        verdicts.add((decision(entry, POISON, 3.2), near))
-    assert len(known) == 1
-    held = [v for v in verdicts if v[0] is QuarantineDecision.REFUSE]
+        for reported_crash in reports:
+            entry.record_crashes({POISON: [reported_crash]}, 3.0)
+        near_restriction = entry.is_near_restriction(POISON.digest)
+        known_crashes.add(entry.crashes_of(POISON.digest))
+        verdicts.add((decision(entry, POISON, 3.2), near_restriction))
+    assert len(known_crashes) == 1
+    refusals = [v for v in verdicts if v[0] is QuarantineDecision.REFUSE]
     # Once held back it stays so, also where a part that came later counts as none.
-    assert len(verdicts) == 1 or held
+    assert len(verdicts) == 1 or refusals
 
 
 _STEPS = st.lists(
@@ -499,8 +499,8 @@
         digest = contents[number].digest
         match step:
             case "crash":
-                seen = crash(server, now_s, ran_s=0.1 + 0.3 * (number == 0))
-                quarantine.record_crashes({contents[number]: [seen]}, now_s)
+                new_crash = crash(server, now_s, ran_s=0.1 + 0.3 * (number == 0))
+                quarantine.record_crashes({contents[number]: [new_crash]}, now_s)
             case "trial":
                 quarantine.start_trial(digest, now_s)
             case "not run":
@@ -512,6 +512,6 @@
             case "settle":
                 quarantine.review_probation(now_s)
         records = list(evidence.records.values())
-        known = [evidence.likelihood(record) for record in records]
+        cached_likelihoods = [evidence.likelihood(record) for record in records]
         evidence.invalidate_likelihoods()
-        assert known == [evidence.likelihood(record) for record in records]
+        assert cached_likelihoods == [evidence.likelihood(record) for record in records]
