--- a/src/railfold/_internal/decisions/quarantine/__init__.py
+++ b/src/railfold/_internal/decisions/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Which requests are held back because each backend server that runs them ends."""
+"""Decides which requests to hold back because they crash the servers that run them."""
 
 from railfold._internal.decisions.quarantine.models import (
     UNKNOWN_VERSION,
--- a/src/railfold/_internal/decisions/quarantine/content_record.py
+++ b/src/railfold/_internal/decisions/quarantine/content_record.py
@@ -1,4 +1,4 @@
-"""What is known of one content."""
+"""The crashes of one request content, and its quarantine state."""
 
 from __future__ import annotations
 
@@ -15,25 +15,26 @@
 
 __all__ = ["CLOCK_SKEW_S", "SIMULTANEOUS_S", "ContentRecord"]
 
-# How long a content is held back at first, and at most. A trial costs a server's work
-# for the seconds of its restart: one in ten minutes is 1 in 200 of its time.
+# The duration of the first hold, and the upper limit of later ones, which double each
+# time. A trial that crashes its server costs the few seconds of a restart: one every
+# ten minutes takes 1/200 of the server's time.
 _FIRST_HOLD_S = 600.0
 _MAX_HOLD_S = 24 * 3600.0
 
-# Entries tell each other how long ago a run began, and agree on it to this: the time
-# that a message takes between two hosts of neighbouring regions.
+# How far apart entries' times of the same event may lie. Entries report events by age,
+# so the error is the time that a message takes between hosts of neighbouring regions.
 CLOCK_SKEW_S = 0.02
 
-# Servers that end closer together than this end of one cause: of a rack's or a domain's
-# servers all connections are reset within some milliseconds. What ends one server some
-# time after it has begun to run there, and was sent again, takes longer.
+# Crashes closer together than this have one cause: when a rack or a failure domain
+# fails, the connections to all its servers are reset within a few milliseconds. A
+# request that crashes one server and is sent to the next one takes longer than this.
 SIMULTANEOUS_S = 0.03
 
-# A content that ran well within this time is one that clients send often, or that
-# engines ran before their software changed.
+# A content that succeeded within this time before a crash is either sent often by many
+# clients, or worked until the engines' software changed.
 _RECENT_SUCCESS_S = 60.0
 
-# Bound of memory: crashes of each content.
+# Limits memory: the number of crashes kept for each content.
 _MAX_CRASHES = 16
 
 _NEVER_S = float("-inf")
@@ -41,18 +42,23 @@
 
 @dataclass(slots=True)
 class ContentRecord:
-    """What is known of one content.
-
-    :param holds: how often it was held back in a row.
-    :param held_s: when it was held back last; nothing if it isn't.
-    :param probation_s: since when its requests run one at a time; nothing if they
-        don't.
-    :param trials: how many requests were let through on trial since then.
-    :param first_trial_s: when the first of them was.
-    :param trial_began_s: when the last one was.
-    :param trial_until_s: until when others wait for what comes of that one.
-    :param proofs: servers that ended under its trials before it was held back.
-    :param several_at_once: whether a server ended under several runs of it.
+    """The crashes of one request content, and its quarantine state.
+
+    :param crashes: the crashes by server ID.
+    :param hold_count: how often the content was held back in a row.
+    :param held_since_s: when the current hold began; ``None`` if it isn't held back.
+    :param probation_since_s: when the current probation began; ``None`` if the content
+        isn't on probation.
+    :param trial_count: the number of trials since the probation began.
+    :param first_trial_s: when the first trial of the probation started.
+    :param trial_started_s: when the latest trial started.
+    :param trial_deadline_s: until when other requests wait for the result of the latest
+        trial.
+    :param proof_server_ids: servers that crashed during trials of the content, which
+        proves that it crashes servers.
+    :param had_concurrent_runs: whether a server crashed during several runs of the
+        content.
+    :param last_updated_s: when a crash or a hold was last added.
     """
 
     content: RequestContent
@@ -70,7 +76,7 @@
 
     @property
     def held_until_s(self) -> float:
-        """When it may be tried again."""
+        """When the content may be tried again; long ago if it isn't held back."""
         if self.held_since_s is None:
             return _NEVER_S
         return self.held_since_s + min(
@@ -86,13 +92,14 @@
 
     @property
     def crashed_versions(self) -> frozenset[str]:
-        """The software and models that ended under it."""
+        """The versions that crashed while running the content."""
         return frozenset(crash.version for crash in self.crashes.values())
 
     def add_crash(self, crash: Crash) -> None:
-        """Join a crash: of several runs at one server, the one that was cut off first.
+        """Add a crash, or merge it with a known crash of the same server.
 
-        The others were sent there when it had ended.
+        Of several runs at one server the one that was interrupted first is kept, since
+        the others were sent there after the crash.
         """
         known_crash = self.crashes.get(crash.server_id)
         if (
@@ -100,36 +107,38 @@
             and abs(crash.began_s - known_crash.began_s) > CLOCK_SKEW_S
         ):
             self.had_concurrent_runs = True
-        # The rest only makes the choice the same everywhere.
+        # The other parts of the sort key make all entries choose the same run.
         earliest = (
             crash
             if known_crash is None or crash.sort_key < known_crash.sort_key
             else known_crash
         )
-        # One that had brought events tells of the content what the others don't.
+        # A run that had sent events is evidence in favour of the content, so it
+        # overrides runs that hadn't.
         silent = crash.silent and (known_crash is None or known_crash.silent)
         self.crashes[crash.server_id] = replace(earliest, silent=silent)
 
     def drop_oldest_crashes(self) -> None:
-        """Keep the newest crashes only."""
+        """Drop the oldest crashes above the limit of crashes per content."""
         for crash in self.sorted_crashes[:-_MAX_CRASHES]:
             del self.crashes[crash.server_id]
 
     @property
     def is_restricted(self) -> bool:
-        """Whether it is on probation or held back."""
+        """Whether the content is on probation or held back."""
         return self.held_since_s is not None or self.probation_since_s is not None
 
     @property
     def is_proven(self) -> bool:
-        """Whether it is held back since servers ended under its trials."""
+        """Whether the content is held back because its trial crashed a server."""
         return self.held_since_s is not None and bool(self.proof_server_ids)
 
     @property
     def ran_concurrently(self) -> bool:
-        """Whether runs of it went on at the same time, as many clients' do.
+        """Whether several runs of the content were in flight at the same time.
 
-        One client that sends again what failed has one at a time.
+        That is the case if several clients send it. A single client that retries a
+        failed request has one run in flight at a time.
         """
         crashes = self.sorted_crashes
         return self.had_concurrent_runs or any(
@@ -139,7 +148,7 @@
 
     @property
     def trial_crash_server_ids(self) -> frozenset[str]:
-        """The servers that ended under its trials since it is on probation."""
+        """The servers that crashed during trials of the current probation."""
         if self.probation_since_s is None or self.trial_count == 0:
             return frozenset()
         since_s = self.first_trial_s - CLOCK_SKEW_S
@@ -150,12 +159,15 @@
         )
 
     def start_probation(self, now_s: float) -> None:
-        """Let its requests run one at a time from now on."""
+        """Put the content on probation: its requests run one at a time from now on."""
         self.probation_since_s = now_s
         self.trial_count = 0
 
     def start_trial(self, now_s: float, wait_s: float) -> None:
-        """Let one request through, and others wait for so long."""
+        """Start a trial.
+
+        :param wait_s: how long other requests of the content wait for its result.
+        """
         if self.trial_count == 0:
             self.first_trial_s = now_s
         self.trial_count += 1
@@ -163,7 +175,7 @@
         self.trial_deadline_s = now_s + wait_s
 
     def withdraw_trial(self, now_s: float) -> None:
-        """Count the last trial as none: its request wasn't run."""
+        """Undo the latest trial, whose request wasn't run."""
         self.trial_count = max(0, self.trial_count - 1)
         self.trial_started_s = _NEVER_S
         self.trial_deadline_s = min(self.trial_deadline_s, now_s)
@@ -171,10 +183,12 @@
     def counted_crashes(
         self, explained_server_ids: Set[str], last_success_s: float
     ) -> list[Crash]:
-        """Return the crashes that count; the package's documentation says which.
+        """Return the crashes that count as evidence against the content.
+
+        The documentation of the module ``quarantine`` lists the rules.
 
-        :param explained: servers that another content ended.
-        :param last_success_s: when it ran well last.
+        :param explained_server_ids: servers that another content crashed.
+        :param last_success_s: when a run of the content last succeeded.
         """
         counted: list[Crash] = []
         last_ended_s = _NEVER_S
@@ -191,7 +205,7 @@
         return counted
 
     def change_to(self, state: QuarantineState, reason: str) -> QuarantineChange:
-        """Return a change to this state."""
+        """Return a change of the content to a state, with its crashes and its hold."""
         if self.held_since_s is None:
             return QuarantineChange(self.content, state, self.sorted_crashes, reason)
         return QuarantineChange(
--- a/src/railfold/_internal/decisions/quarantine/evidence.py
+++ b/src/railfold/_internal/decisions/quarantine/evidence.py
@@ -1,4 +1,4 @@
-"""What is known of all contents, and what speaks against one of them."""
+"""Crashes and successes of all contents, and which crashes count against each."""
 
 from __future__ import annotations
 
@@ -19,23 +19,24 @@
 
 __all__ = ["CRASHES_TO_SUSPECT", "MAX_CONTENTS", "Evidence"]
 
-# So many servers may end under a request before it is on probation. Two are as many as
-# a single attempt of a client may cost with its entry's own retry, and as an innocent
-# request meets that goes from one failing server to the next.
+# A content goes on probation after this many crashes. Two can come from a single client
+# attempt, because its entry retries once, and an innocent request can meet two crashes
+# when it moves from one failing server to the next.
 CRASHES_TO_SUSPECT = 3
 
-# Bounds of memory: contents, some 2 KB each at most, and when others ran well.
+# Limits memory: the number of contents with crashes (at most about 2 KB each), and of
+# contents whose last success is remembered.
 MAX_CONTENTS = 1000
 _MAX_SUCCESSES = 4096
 
 
 @dataclass(slots=True)
 class Evidence:
-    """Contents under which servers ended, and when contents ran well.
+    """The contents that were running when servers crashed, and the last successes.
 
-    :param records: by digest.
-    :param success_at_s: when contents ran well, or were cleared, last: crashes before
-        that count no more, however late they are reported.
+    :param records: the contents' records by digest.
+    :param last_successes_s: when each content last succeeded or was cleared, by digest.
+        Crashes before that don't count, however late they are reported.
     """
 
     records: dict[str, ContentRecord] = field(default_factory=dict)
@@ -43,19 +44,19 @@
     _likelihood_cache: dict[str, dict[str, float]] = field(default_factory=dict)
 
     def other_records(self, record: ContentRecord) -> Iterator[ContentRecord]:
-        """Return all records but this one."""
+        """Return all records except the given one."""
         return (other for other in self.records.values() if other is not record)
 
     def last_success_s(self, digest: str) -> float:
-        """Return when a content ran well last, or was cleared; long ago if never."""
+        """Return when a content last succeeded or was cleared; -inf if never."""
         return self.last_successes_s.get(digest, float("-inf"))
 
     def has_succeeded(self, record: ContentRecord) -> bool:
-        """Return whether a content ran well, as far as is remembered."""
+        """Return whether a success of the content is remembered."""
         return record.content.digest in self.last_successes_s
 
     def record_success(self, digest: str, at_s: float) -> None:
-        """A content ran well, or was cleared."""
+        """Record that a content succeeded or was cleared."""
         self.invalidate_likelihoods()
         self.last_successes_s[digest] = at_s
         self.last_successes_s.move_to_end(digest)
@@ -63,7 +64,10 @@
             self.last_successes_s.popitem(last=False)
 
     def evict_excess(self) -> None:
-        """Forget those that few servers ended under, the longest ago, if too many."""
+        """Delete the records above the limit.
+
+        Contents that aren't held back, with few crashes and old updates, go first.
+        """
         excess = len(self.records) - MAX_CONTENTS
         if excess <= 0:
             return
@@ -78,15 +82,15 @@
         for record in least_important_first[:excess]:
             del self.records[record.content.digest]
 
-    # The verdict
+    # Weighing the evidence
 
     def counted_crashes(
         self, record: ContentRecord, *, only_proven: bool = True
     ) -> list[Crash]:
-        """Return the crashes that count.
+        """Return the crashes that count as evidence against a content.
 
-        :param only_proven: whether only those explain them that are proved to end
-            servers, or all that are held back.
+        :param only_proven: whether only contents that are proven to crash servers may
+            explain crashes of this one, or all contents that are held back.
         """
         explained_server_ids = {
             server_id
@@ -99,11 +103,11 @@
         )
 
     def is_suspect(self, record: ContentRecord) -> bool:
-        """Return whether so many servers ended that a content is suspect."""
+        """Return whether enough crashes count against a content to restrict it."""
         return len(self.counted_crashes(record)) >= CRASHES_TO_SUSPECT
 
     def likelihood(self, record: ContentRecord) -> float:
-        """Return how likely a content ends servers; 0 if one has ended under it."""
+        """Return how likely a content crashes servers; 0 below two incidents."""
         service = record.content.service
         if service not in self._likelihood_cache:
             self._likelihood_cache[service] = fault_likelihoods(
@@ -112,7 +116,7 @@
         return self._likelihood_cache[service].get(record.content.digest, 0.0)
 
     def invalidate_likelihoods(self) -> None:
-        """Weigh anew: something of a record has changed."""
+        """Clear the cached likelihoods after a change of the evidence."""
         self._likelihood_cache.clear()
 
     def _build_suspects(self, service: str) -> list[Suspect]:
@@ -134,7 +138,7 @@
     ) -> Suspect:
         runs: dict[int, RunAtIncident] = {}
         on_trial = record.trial_crash_server_ids
-        # Without those of a popular content that end together for one cause.
+        # Without repeated crashes from one cause, as a popular content meets them.
         independent_crashes = record.counted_crashes(
             frozenset(), self.last_success_s(record.content.digest)
         )
@@ -144,7 +148,7 @@
             silent = crash.silent if has_streams else None
             known_run = runs.get(incident)
             if known_run is not None and known_run.silent is False:
-                silent = False  # Of servers that ended together, one with events tells.
+                silent = False  # One run with events overrides those without.
             runs[incident] = RunAtIncident(silent, one_at_a_time)
         return Suspect(
             record.content.digest,
@@ -156,7 +160,10 @@
 
 
 def _number_incidents(crashes: Iterable[Crash]) -> dict[str, int]:
-    """Return a number for each server's end; those of one moment have the same."""
+    """Return the number of each crashed server's incident, by server ID.
+
+    An incident is one crash, or several at the same moment.
+    """
     numbers: dict[str, int] = {}
     number, last_ended_s = 0, float("-inf")
     for crash in sorted(crashes, key=lambda c: (c.ended_s, c.server_id)):
--- a/src/railfold/_internal/decisions/quarantine/likelihood.py
+++ b/src/railfold/_internal/decisions/quarantine/likelihood.py
@@ -1,11 +1,15 @@
-"""How likely each content under suspicion is what ends servers (Bayes' rule).
-
-Any set of contents may be at fault. Such a set is as likely as its contents are at
-first, times how likely it makes what was seen: an end with one of them there is sure,
-an end without any is an unrelated one. The likelihood of a content is the share of the
-sets with it. So two contents that were always together share the blame, one that was
-somewhere without the other gets it, and one that was under all ends of two others gains
-little, since those two explain them as well.
+"""Estimates how likely each suspected content crashes servers, by Bayes' rule.
+
+An incident is the crash of one server, or of several at the same moment. Any set of
+contents may be at fault. The weight of a set is the prior odds of its contents times
+the likelihood of the observed incidents: an incident at which a content of the set was
+running is certain, any other incident has an unrelated cause. The likelihood of a
+content is the share of the total weight that belongs to sets with that content.
+
+Two contents that always ran at the same incidents therefore are equally likely at
+fault. A content that was running at one more incident is more likely at fault than the
+other. A content that was running at all incidents of two others stays unlikely, since
+those two explain the incidents as well.
 """
 
 from __future__ import annotations
@@ -17,37 +21,40 @@
 
 __all__ = ["RunAtIncident", "Suspect", "fault_likelihoods"]
 
-# How often servers end for another reason, in parts of ends that are looked into.
+# The share of the examined incidents that have an unrelated cause.
 _UNRELATED_SHARE = 0.1
 
-# How likely a content is at fault that was under several ends, before more is known:
-# one that a client sends again when it fails; one that several clients send at the same
-# time; one that ran well before; and one that was under a single end.
+# Prior probabilities that a content is at fault: one that was running at several
+# incidents, as when a client retries it after each failure; one that several clients
+# send at the same time; one that succeeded before; and one with a single incident.
 _PRIOR_REPEATED = 0.1
 _PRIOR_CONCURRENT = 0.01
 _PRIOR_SUCCEEDED = 0.001
 _PRIOR_SINGLE = 0.003
 
-# A stream that is at fault ends its server before its first event, and others have
-# mostly brought one: how much more likely a run without, or with, events makes a fault.
+# Likelihood ratios of a stream without events, and of a stream with events. A stream
+# that is at fault crashes its server before its first event; most other streams have
+# sent an event by then.
 _SILENT_LIKELIHOOD_RATIO = 2.0
 _EVENTS_LIKELIHOOD_RATIO = 0.05
 
-# A content that runs one at a time is seldom at a server that ends for another reason:
-# how much more likely its presence makes a fault.
+# Likelihood ratio of a content that runs one at a time. Such a content is rarely on a
+# server that crashes for an unrelated reason.
 _ONE_AT_A_TIME_LIKELIHOOD_RATIO = 2.0
 
-# Bounds of the work: contents that are weighed, and how many may be at fault at once.
+# Limits the computation: the number of weighed contents, and of contents that may be at
+# fault at once.
 _MAX_SUSPECTS = 8
 _MAX_AT_FAULT = 4
 
 
 @dataclass(frozen=True, slots=True)
 class RunAtIncident:
-    """A content's run at a server that ended.
+    """The run of a content at an incident.
 
-    :param silent: whether it had brought no event; ``None`` if it brings none.
-    :param one_at_a_time: whether no other run of the content was under way.
+    :param silent: whether the stream had sent no event; ``None`` if it isn't known to
+        be a stream.
+    :param one_at_a_time: whether no other run of the content was in flight.
     """
 
     silent: bool | None
@@ -55,7 +62,7 @@
 
     @property
     def likelihood_ratio(self) -> float:
-        """How much more likely such a run is if its content is at fault."""
+        """How much more likely such a run is if its content is at fault than if not."""
         likelihood_ratio = (
             _ONE_AT_A_TIME_LIKELIHOOD_RATIO if self.one_at_a_time else 1.0
         )
@@ -70,12 +77,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspect:
-    """A content under which servers ended.
+    """A content that was running when servers crashed.
 
-    :param runs: its runs by the number of the end that they were under.
-    :param has_succeeded: whether a run of it ever came to a good end.
-    :param ran_side_by_side: whether several clients send it at the same time.
-    :param proved: whether it is known to be at fault.
+    :param runs: the content's runs by the number of the incident.
+    :param has_succeeded: whether a run of the content ever succeeded.
+    :param ran_concurrently: whether several runs were in flight at the same time.
+    :param is_proven: whether the content is known to be at fault.
     """
 
     digest: str
@@ -86,7 +93,7 @@
 
     @property
     def prior_odds(self) -> float:
-        """How likely it is at fault before its crashes are looked at, as odds."""
+        """The odds that the content is at fault, regardless of its incidents."""
         prior = _PRIOR_REPEATED
         if self.ran_concurrently:
             prior = min(prior, _PRIOR_CONCURRENT)
@@ -96,9 +103,10 @@
 
 
 def fault_likelihoods(suspects: Iterable[Suspect]) -> dict[str, float]:
-    """Return how likely contents are at fault that were under several ends.
+    """Return how likely the contents with several incidents are at fault, by digest.
 
-    Ends under contents that are proved count for no other.
+    Incidents of a content that is proven to be at fault don't count against others.
+    Proven contents, and contents above the limit of weighed ones, are left out.
     """
     all_suspects = list(suspects)
     explained_incidents = {
@@ -135,7 +143,7 @@
 
 
 class _WeightedSuspect:
-    """A suspect, and what its runs at ends that nothing explains say of it."""
+    """A suspect's prior odds, and its likelihood ratios at unexplained incidents."""
 
     def __init__(self, suspect: Suspect, explained_incidents: set[int]) -> None:
         self.digest = suspect.digest
@@ -157,7 +165,7 @@
 def _weight(
     at_fault: tuple[_WeightedSuspect, ...], unrelated_likelihoods: Mapping[int, float]
 ) -> float:
-    """Return how likely it is that just these are at fault, up to a common factor."""
+    """Return how likely exactly these suspects are at fault, up to a common factor."""
     weight = prod(suspect.prior_odds for suspect in at_fault)
     for incident, unrelated_likelihood in unrelated_likelihoods.items():
         likelihood_ratios = [
--- a/src/railfold/_internal/decisions/quarantine/models.py
+++ b/src/railfold/_internal/decisions/quarantine/models.py
@@ -1,4 +1,4 @@
-"""Contents of requests, the crashes under them, and what is believed of them."""
+"""Data types of the quarantine: request contents, crashes, states and decisions."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
     "RequestContent",
 ]
 
-# Of a server that ended before its registration was read, or doesn't tell it.
+# The version of a server that crashed before its registration was read, or whose
+# registration gives no version.
 UNKNOWN_VERSION = ""
 
 
 class QuarantineState(Enum):
-    """What is believed of a content."""
+    """The state of a content after a change."""
 
-    SUSPECTED = "suspected"  # Servers ended under it; it still runs.
+    SUSPECTED = "suspected"  # A server crashed while running it; it is still allowed.
     ON_PROBATION = "on probation"  # Its requests run one at a time.
-    HELD_BACK = "held back"  # It is refused.
-    ON_TRIAL = (
-        "on trial"  # One run is let through, to see whether it still ends servers.
-    )
-    CLEARED = (
-        "cleared"  # It ran to a good end, or another content explains its crashes.
-    )
-    LIFTED = "lifted"  # The operator, or new software, let it run again.
+    HELD_BACK = "held back"  # Its requests are refused.
+    ON_TRIAL = "on trial"  # One request is let through, to see if its server crashes.
+    CLEARED = "cleared"  # A run succeeded, or another content explains its crashes.
+    LIFTED = "lifted"  # The operator ended the hold, or all servers run new software.
 
 
 class QuarantineDecision(Enum):
-    """What may be done with a request now."""
+    """What to do with a request now."""
 
     ALLOW = "free"
     REFUSE = "held"
-    WAIT = "waits"  # For what comes of another request's trial, under a second.
-    ALLOW_TRIAL = "may be tried"
+    WAIT = "waits"  # Until reports about it are complete and other trials have ended.
+    ALLOW_TRIAL = "may be tried"  # Run it alone, as a trial.
 
 
 @dataclass(frozen=True, slots=True)
 class RequestContent:
-    """What requests with the same path, caller and body are known by.
+    """Identifies all requests with the same path, caller and body.
 
-    :param digest: a keyed hash of them.
+    :param digest: a keyed hash of path, caller and body.
+    :param service: the service that the requests were sent to.
+    :param route: the name of their route.
+    :param workspace: the workspace of the caller; empty if it has none.
     """
 
     digest: str
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Crash:
-    """A backend server that ended while a request had just begun there.
+    """The crash of a backend server shortly after a request was sent to it.
 
-    :param server_id: the incarnation that ended.
-    :param began_s: when the request was sent there.
-    :param ended_s: when it was cut off there.
-    :param version: of the software and the model that ran there.
+    :param server_id: the incarnation of the server that crashed.
+    :param began_s: when the request was sent to the server.
+    :param ended_s: when the crash interrupted the request.
+    :param version: the version of the software and the model on the server.
     :param after_event: the event after which the run resumed a stream; 0 if it didn't.
-    :param silent: whether it was a stream that had brought no event.
+    :param silent: whether the run was a stream that had sent no event yet.
     """
 
     server_id: str
@@ -76,18 +76,19 @@
 
     @property
     def sort_key(self) -> tuple[float, float, int]:
-        """By when it ended, the first one first."""
+        """The key that sorts crashes by the time at which they interrupted the run."""
         return (self.ended_s, self.began_s, self.after_event)
 
 
 @dataclass(frozen=True, slots=True)
 class QuarantineChange:
-    """A change of what is believed of a content, with what it follows from.
+    """A change of a content's quarantine state, with its evidence.
 
-    :param was_held: whether it is or was held back.
-    :param held_s: when it was held back last.
-    :param holds: how often it was in a row.
-    :param until_s: when it may be tried again.
+    :param crashes: the known crashes of the content, oldest first.
+    :param was_held_back: whether the content is held back now or was until this change.
+    :param held_since_s: when the hold began.
+    :param hold_count: how often the content was held back in a row.
+    :param held_until_s: when the content may be tried again.
     """
 
     content: RequestContent
--- a/src/railfold/_internal/decisions/quarantine/quarantine.py
+++ b/src/railfold/_internal/decisions/quarantine/quarantine.py
@@ -1,34 +1,37 @@
-"""Telling which of the contents under suspicion ends its servers.
-
-A request is recognized by its content (a digest): each attempt of a client has an id
-of its own and may come to any entry. What entries saw is a set of crashes for each
-content, which they exchange and join: the same set leads to the same verdict
-everywhere, in whatever order its parts arrive, and a lost part comes with the next one.
-
-Most that runs where a backend server ends is innocent. So a crash counts
-
-- only for requests that had just begun there (the caller sees to that);
-- once, if several servers end at the same moment, as with a rack;
-- for a content that ran well shortly before, as one that many clients send does, only
-  if the run began after the crash counted before: whatever ends many servers within a
-  second ends runs of such a content at each of them;
-- only if no other content that is proved to end servers was under the same server.
-
-After three of them a content is on probation: its requests run one at a time, and the
-others wait for under a second. Probation ends
-
-- with a hold, as soon as it is likely enough, by all that is known, that the content
-  ends servers (``likelihood``). If its trial ended one, that clears all that were
-  on probation or held back for the same servers;
-- when it runs well;
-- when another one is proved that explains its crashes.
-
-A content that only shared its servers with the one that ends them runs well as soon as
-the two run apart, and so isn't held back. By counting alone whichever of the two was
-judged first would be: a popular harmless request would be refused until its hold ends,
-while the other one went on.
-
-One that is held back is tried again after a time that doubles, by one entry at a time.
+"""Decides which request contents to hold back because they crash backend servers.
+
+Requests are recognized by the digest of their content, since each attempt of a client
+has its own ID and may reach any entry. Entries record a set of crashes for each content
+and exchange these sets. The same set leads to the same decision on every entry, in
+whatever order its parts arrive; a lost part is repeated with the next report.
+
+Most requests that are running when a backend server crashes didn't cause the crash. A
+crash therefore counts against a content
+
+- only if the request had just started on that server (the caller checks this);
+- once, if several servers crash at the same moment, as when a rack fails;
+- if the content succeeded shortly before, as popular contents do, only if the run began
+  after the previously counted crash: when many servers crash within a second for one
+  reason, such a content is running on each of them;
+- only if no other content that is proven to crash servers was running on that server.
+
+After three counted crashes the content goes on probation: its requests run one at a
+time, as trials, and other requests with this content wait, usually for under a second.
+Probation ends
+
+- with a hold, once the content is likely enough to crash servers by all evidence
+  (see ``likelihood``). If a server crashed during its trial, the content is proven to
+  crash servers, and other contents whose crashes it explains are cleared;
+- when a run of the content succeeds;
+- when another content is proven that explains its crashes.
+
+A content that only shared servers with the one that crashes them succeeds as soon as
+the two run on different servers, so it isn't held back. Counting crashes alone would
+hold back whichever of the two is judged first: a popular harmless request would be
+refused for the whole hold while the harmful one continued.
+
+A content that is held back is tried again when its hold ends, by one request at a time.
+If that trial crashes a server too, the next hold lasts twice as long.
 """
 
 from __future__ import annotations
@@ -54,38 +57,39 @@
 
 __all__ = ["Quarantine"]
 
-# So likely a content has to be at fault to be held back.
+# The lowest likelihood of being at fault at which a content is held back.
 _HOLD_LIKELIHOOD = 0.96
 
-# One that is less likely at fault is cleared when another explains its crashes.
+# A content below this likelihood is cleared when another one explains its crashes.
 _CLEAR_LIKELIHOOD = 0.2
 
-# What else ran where a server ended is known to all entries by then: each sees its own
-# connections end at the same time, finds the server gone one round trip later, and
-# tells the others within milliseconds.
+# How long to wait for other entries' reports before a content is judged. All entries'
+# connections to a crashed server break at the same time; each entry confirms the crash
+# one round trip later and reports it to the others within milliseconds.
 _REVIEW_DELAY_S = 0.1
 
-# One that ends its server does so within a third of a second after it was sent there.
-# For so long other contents' trials wait, and requests of the same content somewhat
-# longer, yet no longer than a client takes for a pause. Where engines queue requests a
-# trial may begin a second after it was sent: of several whose end isn't known each
-# takes twice as long, up to 1.4 s for other contents and 3.2 s for its own.
+# How long a trial delays the trials of other contents, and other requests of its own
+# content. A request that crashes its server does so within a third of a second after
+# it was sent. The wait for its own content is somewhat longer, but short enough for
+# clients to take it for a pause. Where engines queue requests, a trial may begin a
+# second after it was sent: both times double with each trial without a result, up to
+# 1.4 s and 3.2 s.
 _EXCLUSIVE_TRIAL_S = 0.35
 _PROBATION_TRIAL_S = 0.8
 _MAX_DOUBLINGS = 2
 
-# The trial of one that was held back: it has ended well or badly after this time; a
-# client may also have left.
+# How long other requests are refused during the trial of a content that was held back.
+# By then the trial has succeeded or failed, or its client has disconnected.
 _HELD_BACK_TRIAL_S = 30.0
 
-# Crashes further back than this say nothing of a request that comes now.
+# Older crashes are no evidence against a request that arrives now.
 _CRASH_EXPIRY_S = 600.0
 
 
 class Quarantine:
-    """Contents under suspicion and those that are held back.
+    """Tracks the contents that may crash servers, and decides about their requests.
 
-    Times are on the monotonic clock of this process.
+    All times are on the monotonic clock of this process.
     """
 
     def __init__(self) -> None:
@@ -97,7 +101,7 @@
 
     @property
     def held_back(self) -> list[QuarantineChange]:
-        """What is held back now, or awaits its trial."""
+        """The contents that are held back, or await a trial after their hold."""
         return [
             record.change_to(QuarantineState.HELD_BACK, "")
             for record in self._records.values()
@@ -105,12 +109,12 @@
         ]
 
     def crashes_of(self, digest: str) -> tuple[Crash, ...]:
-        """Return the crashes that are known of a content, oldest first."""
+        """Return the known crashes of a content, oldest first."""
         record = self._records.get(digest)
         return record.sorted_crashes if record is not None else ()
 
     def is_near_restriction(self, digest: str) -> bool:
-        """Return whether a content is restricted, or would be with one crash more."""
+        """Return whether a content is restricted, or would be after one more crash."""
         record = self._records.get(digest)
         if record is None:
             return False
@@ -119,15 +123,16 @@
             or len(self._evidence.counted_crashes(record)) + 1 >= CRASHES_TO_SUSPECT
         )
 
-    # What was seen
+    # Crash reports
 
     def record_crashes(
         self, crashes_by_content: Mapping[RequestContent, Iterable[Crash]], now_s: float
     ) -> list[QuarantineChange]:
-        """Join crashes to what is known; return what changed.
+        """Record crashes; return the changes of state that follow.
 
-        :param seen: crashes by content; those of one server belong together, so that
-            each is judged by what all of them were under.
+        :param crashes_by_content: the crashes of each content. All contents that were
+            running on a crashed server belong in one call, so that each is judged by
+            the complete evidence.
         """
         self._evidence.invalidate_likelihoods()
         changes: list[QuarantineChange] = []
@@ -149,6 +154,10 @@
         now_s: float,
         changes: list[QuarantineChange],
     ) -> ContentRecord | None:
+        """Add crashes to a content's record; return the record if it has changed.
+
+        :param changes: the list to which a change of state is appended.
+        """
         since_s = max(self.last_success_s(content.digest), now_s - _CRASH_EXPIRY_S)
         recent_crashes = [crash for crash in crashes if crash.ended_s > since_s]
         if not recent_crashes:
@@ -169,9 +178,10 @@
             changes.append(record.change_to(QuarantineState.SUSPECTED, ""))
         return record
 
-    # The verdict
+    # Judging contents
 
     def _judge(self, record: ContentRecord, now_s: float) -> list[QuarantineChange]:
+        """Restrict a content after new crashes, if they suffice."""
         if record.held_since_s is not None:
             return self._judge_held_back(record, now_s)
         if not self._evidence.is_suspect(record):
@@ -182,14 +192,14 @@
             return []
         changes = self._reconsider_held_back(record, now_s)
         record.start_probation(now_s)
-        reason = "servers ended under it, one after the other"
+        reason = "servers crashed one after another while running it"
         changes.append(record.change_to(QuarantineState.ON_PROBATION, reason))
         return changes
 
     def _judge_held_back(
         self, record: ContentRecord, now_s: float
     ) -> list[QuarantineChange]:
-        """Hold a content back again if its trial ended a server."""
+        """Hold a content back again if a server crashed during its trial."""
         since_s = record.held_until_s - CLOCK_SKEW_S
         trial_crashes = [c for c in record.crashes.values() if c.began_s >= since_s]
         if not trial_crashes:
@@ -200,10 +210,10 @@
     def _reconsider_held_back(
         self, record: ContentRecord, now_s: float
     ) -> list[QuarantineChange]:
-        """Put on probation what is held back for servers that this one explains too.
+        """Put held-back contents on probation if this content explains their crashes.
 
-        Its news came late, or by another entry. Which of the two it is shows when they
-        run apart.
+        This happens if the reports about this content arrive late or come from another
+        entry. Separate trials then show which of the contents is at fault.
         """
         if self._evidence.has_succeeded(record):
             return []
@@ -212,7 +222,7 @@
             if other.held_since_s is None or other.proof_server_ids:
                 continue
             if other.crashes.keys() <= record.crashes.keys():
-                reason = f"content {record.content.digest} was there each time too"
+                reason = f"content {record.content.digest} ran at each of its crashes"
                 changes.append(other.change_to(QuarantineState.CLEARED, reason))
                 self._evidence.invalidate_likelihoods()
                 other.held_since_s = None
@@ -223,10 +233,10 @@
     def review_probation(
         self, now_s: float, digest: str | None = None
     ) -> list[QuarantineChange]:
-        """Judge contents on probation of which all has been heard.
+        """Judge the contents on probation whose crash reports are complete.
 
-        :param digest: only this one; by default all.
-        :return: what changed.
+        :param digest: the only content to judge; all contents by default.
+        :return: the changes of state that follow.
         """
         if digest is None:
             records = list(self._records.values())
@@ -241,10 +251,11 @@
         return changes
 
     def _review_due_s(self, record: ContentRecord) -> float:
-        """Return when all has been heard of what is known of a content now."""
+        """Return when all reports about the latest crash of a content have arrived."""
         return record.last_updated_s + _REVIEW_DELAY_S
 
     def _review(self, record: ContentRecord, now_s: float) -> list[QuarantineChange]:
+        """Hold a content on probation back, if the evidence suffices."""
         if not self._evidence.is_suspect(record):
             return []
         if self._evidence.likelihood(record) < _HOLD_LIKELIHOOD:
@@ -256,15 +267,15 @@
             len(self._evidence.counted_crashes(record, only_proven=False))
             < CRASHES_TO_SUSPECT
         ):
-            return []  # Another one that is held back may explain the rest.
-        reason = "nothing else explains the servers that ended"
+            return []  # A held-back content may explain the other crashes.
+        reason = "no other content explains its crashes"
         return self._hold_back(record, now_s, reason)
 
     def _hold_back_proven(
         self, record: ContentRecord, now_s: float
     ) -> list[QuarantineChange]:
-        """Hold a content back, and clear those whose crashes it explains."""
-        changes = self._hold_back(record, now_s, "a server ended under its trial")
+        """Hold a proven content back, and clear contents whose crashes it explains."""
+        changes = self._hold_back(record, now_s, "a server crashed during its trial")
         for other in list(self._evidence.other_records(record)):
             if other.is_proven or not other.is_restricted:
                 continue
@@ -277,7 +288,10 @@
     def _clear_or_put_on_probation(
         self, record: ContentRecord, now_s: float, reason: str
     ) -> list[QuarantineChange]:
-        """Let a content go, or let its requests run one at a time if it is suspect."""
+        """Clear an explained content, or end its hold with a probation.
+
+        A content that is likely enough to be at fault stays restricted as it is.
+        """
         likelihood = self._evidence.likelihood(record)
         if likelihood < _CLEAR_LIKELIHOOD:
             change = record.change_to(QuarantineState.CLEARED, reason)
@@ -302,21 +316,22 @@
         record.trial_deadline_s = float("-inf")
         return [record.change_to(QuarantineState.HELD_BACK, reason)]
 
-    # What speaks for a content
+    # Successes and lifted holds
 
     def last_success_s(self, digest: str) -> float:
-        """Return when a content ran well last, or was cleared; long ago if never."""
+        """Return when a content last succeeded or was cleared; -inf if never."""
         return self._evidence.last_success_s(digest)
 
     def record_success(
         self, digest: str, at_s: float, last_event: int | None = None
     ) -> list[QuarantineChange]:
-        """A run came to a good end, or brought events for longer than a crash takes.
+        """Record that a run completed, or sent events for longer than a crash takes.
 
-        :param at_s: when; another entry may have reported it later.
-        :param last_event: the last event that it has brought, if it isn't at its end:
-            a stream that is resumed right before the step that ends its server is well
-            only once it is beyond that step.
+        :param at_s: when the run succeeded, which may be before the report of it.
+        :param last_event: the number of the last event of a stream that is still
+            running; ``None`` if the run completed. A stream that resumed right before
+            the step that crashes its server succeeds only beyond that step.
+        :return: the changes of state that follow.
         """
         record = self._records.get(digest)
         if record is not None and last_event is not None:
@@ -327,10 +342,12 @@
             self._evidence.record_success(digest, at_s)
         if record is None:
             return []
-        return self._clear(record, at_s, QuarantineState.CLEARED, "it ran well")
+        return self._clear(
+            record, at_s, QuarantineState.CLEARED, "a run of it succeeded"
+        )
 
     def lift(self, digest: str, now_s: float, reason: str) -> list[QuarantineChange]:
-        """Let a content run again."""
+        """End the hold of a content, for a given reason."""
         record = self._records.get(digest)
         if record is None or record.held_since_s is None:
             return []
@@ -340,9 +357,10 @@
     def lift_for_versions(
         self, service: str, versions: frozenset[str], now_s: float
     ) -> list[QuarantineChange]:
-        """Let contents run again of which none of the present versions ended under.
+        """End the holds of contents that crashed none of the versions that run now.
 
-        :param versions: of the service's backend servers that may get work now.
+        :param versions: the versions of the service's backend servers that may receive
+            requests now.
         """
         outdated = [
             record
@@ -353,7 +371,7 @@
             and versions.isdisjoint(record.crashed_versions)
             and UNKNOWN_VERSION not in record.crashed_versions
         ]
-        reason = "all backend servers run another version"
+        reason = "all backend servers run other versions"
         return [
             change
             for record in outdated
@@ -363,7 +381,7 @@
     def _clear(
         self, record: ContentRecord, at_s: float, state: QuarantineState, reason: str
     ) -> list[QuarantineChange]:
-        """Forget crashes before a time, and what followed from them only."""
+        """Forget the crashes up to a time, and the restrictions based only on them."""
         self._evidence.invalidate_likelihoods()
         change = record.change_to(state, reason)
         later_crashes = {k: c for k, c in record.crashes.items() if c.ended_s > at_s}
@@ -377,14 +395,14 @@
         return [change]
 
     def _remove_restrictions(self, record: ContentRecord) -> None:
-        """Let a content run, and keep only the crashes that are known of it."""
+        """Remove all restrictions of a content; keep its crashes."""
         self._evidence.invalidate_likelihoods()
         digest = record.content.digest
         self._records[digest] = ContentRecord(
             record.content, record.crashes, last_updated_s=record.last_updated_s
         )
 
-    # Holding back
+    # Holds, decisions and trials
 
     def restore_hold(
         self,
@@ -393,9 +411,10 @@
         held_since_s: float,
         hold_count: int,
     ) -> list[QuarantineChange]:
-        """Take a hold that another entry has recorded.
+        """Apply a hold that another entry has recorded in the store.
 
-        :param held_s: when it was held back, on this process's clock.
+        :param held_since_s: when the hold began, on the clock of this process.
+        :param hold_count: how often the content was held back in a row.
         """
         if self.last_success_s(content.digest) >= held_since_s:
             return []
@@ -410,12 +429,14 @@
         record.held_since_s = held_since_s
         record.probation_since_s = None
         record.last_updated_s = max(record.last_updated_s, held_since_s)
-        change = record.change_to(QuarantineState.HELD_BACK, "another entry's record")
+        change = record.change_to(
+            QuarantineState.HELD_BACK, "another entry recorded the hold"
+        )
         self._evidence.evict_excess()
         return [change]
 
     def decision(self, digest: str, now_s: float) -> QuarantineDecision:
-        """Return what may be done with a request of this content now."""
+        """Return what to do with a request of this content now."""
         record = self._records.get(digest)
         if record is None:
             return QuarantineDecision.ALLOW
@@ -435,7 +456,7 @@
         return QuarantineDecision.ALLOW_TRIAL
 
     def wait_s(self, digest: str, now_s: float) -> float:
-        """Return after which time a request that waits may be tried, under a second."""
+        """Return how long a request of a content waits; 0 if it isn't on probation."""
         record = self._records.get(digest)
         if record is None or record.probation_since_s is None:
             return 0.0
@@ -444,8 +465,8 @@
     def _wait_until_s(self, record: ContentRecord) -> float:
         """Return until when requests of a content on probation wait.
 
-        Trials of a service's contents come one after the other, so that two of them
-        don't meet at one server; but none waits for another one for long.
+        The contents of a service have their trials one after another, so that two
+        trials don't meet on one server. The wait for each other trial is short.
         """
         until_s = max(self._review_due_s(record), record.trial_deadline_s)
         for other in self._evidence.other_records(record):
@@ -461,12 +482,12 @@
         return until_s
 
     def start_trial(self, digest: str, now_s: float) -> list[QuarantineChange]:
-        """Let one request of a content through; others wait for what comes of it."""
+        """Let one request of a restricted content through; others wait for its end."""
         record = self._records.get(digest)
         if record is None or not record.is_restricted:
             return []
         if record.held_since_s is not None:
-            wait_s, reason = _HELD_BACK_TRIAL_S, "its time has passed"
+            wait_s, reason = _HELD_BACK_TRIAL_S, "its hold has ended"
         else:
             wait_s = _PROBATION_TRIAL_S * 2.0 ** min(_MAX_DOUBLINGS, record.trial_count)
             reason = "it is on probation"
@@ -474,9 +495,9 @@
         return [record.change_to(QuarantineState.ON_TRIAL, reason)]
 
     def withdraw_trial(self, digest: str, now_s: float) -> bool:
-        """Take that a trial's request wasn't run; return whether one was under way.
+        """Undo a trial whose request wasn't run, so that others needn't wait for it.
 
-        Others needn't wait for what comes of it.
+        :return: whether a trial was in progress.
         """
         record = self._records.get(digest)
         if record is None or now_s >= record.trial_deadline_s:
@@ -485,14 +506,17 @@
         return True
 
     def is_explained(self, digest: str) -> bool:
-        """Return whether contents that are held back explain all its crashes."""
+        """Return whether held-back contents explain all crashes of this content.
+
+        It is false for a content that is held back itself.
+        """
         record = self._records.get(digest)
         if record is None or record.held_since_s is not None:
             return False
         return not self._evidence.counted_crashes(record, only_proven=False)
 
     def retract_crash(self, server_id: str) -> list[QuarantineChange]:
-        """A backend server hasn't ended: what was reported of its crash was wrong."""
+        """Remove the reported crash of a backend server that is still running."""
         changes: list[QuarantineChange] = []
         for record in list(self._records.values()):
             if record.crashes.pop(server_id, None) is None:
@@ -502,12 +526,12 @@
             is_unfounded = not self._evidence.is_suspect(record)
             if not record.crashes or (record.is_restricted and is_unfounded):
                 del self._records[record.content.digest]
-                reason = f"server {server_id} hasn't ended"
+                reason = f"server {server_id} is still running"
                 changes.append(record.change_to(QuarantineState.CLEARED, reason))
         return changes
 
     def expire(self, now_s: float) -> None:
-        """Forget suspicions that no crash has renewed."""
+        """Forget contents that aren't held back and have no recent crashes."""
         expired = [
             digest
             for digest, record in self._records.items()
--- a/tests/lib/crash_simulation.py
+++ b/tests/lib/crash_simulation.py
@@ -1,7 +1,8 @@
-"""Plays of requests that end their servers, without a network.
+"""Simulates requests that crash their servers, without a network.
 
-Entries hold a quarantine each, tell each other what they saw, and lose or repeat some
-of it. Servers come back as new incarnations. All is drawn from a seed.
+Each entry has its own quarantine. Entries report crashes, successes and trials to each
+other; some of these reports are lost or repeated. Crashed servers restart as new
+incarnations. All random choices follow from a seed.
 """
 
 from __future__ import annotations
@@ -21,28 +22,36 @@
     RequestContent,
 )
 
+# How long a crashed server takes to restart, and an entry to confirm a crash.
 RESTART_S = 1.5
 CRASH_DETECTION_S = 0.005
+
+# An entry tells others that a content which they suspect succeeded within this time.
 RECENT_SUCCESS_S = 60.0
+
+# How often an entry repeats an attempt by itself.
 ENTRY_RETRIES = 1
 
-# A stream's first event, as long as nothing waits.
+# The time until a stream's first event if the server doesn't queue the request.
 FIRST_EVENT_S = 0.06
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """What is played.
+    """The parameters of one simulation.
 
-    :param crashing_contents: clients whose request ends each server that runs it.
-    :param popular_contents: contents that are sent often.
-    :param interval_s: how often a popular one is sent.
+    :param crashing_contents: the number of contents that crash each server that runs
+        them; each has one client.
+    :param popular_contents: the number of innocent contents that are sent periodically.
+    :param send_interval_s: the interval at which a popular content is sent.
     :param run_s: how long an innocent run takes.
-    :param queue_s: how long a server lets requests wait at most before it runs them.
-    :param streams: whether runs bring events.
-    :param others_ends: servers that end for another reason.
-    :param singles_per_s: innocent contents that are sent once each.
-    :param lost: share of news between entries that is lost; as much is repeated.
+    :param unrelated_crashes: the number of crashes with another cause.
+    :param one_off_requests_per_s: the rate of innocent contents that are sent once.
+    :param loss_rate: the share of reports between entries that is lost; the same share
+        is repeated.
+    :param max_queue_s: how long a server queues a request at most before it runs it.
+    :param streaming: whether runs send events.
+    :param duration_s: how much time is simulated.
     """
 
     seed: int
@@ -62,7 +71,7 @@
 
 @dataclass
 class Run:
-    """A request at a server."""
+    """A run of a request on a server."""
 
     content: RequestContent
     entry: int
@@ -75,7 +84,7 @@
 
 @dataclass
 class Server:
-    """A server, as one incarnation after the other."""
+    """A server, through all its incarnations."""
 
     number: int
     restart_count: int = 0
@@ -89,11 +98,12 @@
 
 @dataclass
 class Client:
-    """What became of one content's requests.
+    """The client of one content, with the results of its requests.
 
-    :param refused_s: when a request was told that its content ends servers, or to wait.
-    :param held_s: of those, when it was held back.
-    :param ends_s: when it ended servers.
+    :param crashes_servers: whether the content crashes each server that runs it.
+    :param refused_at_s: when requests were refused, because of a hold or to wait.
+    :param held_back_at_s: when requests were refused because of a hold.
+    :param crashes_at_s: when the content crashed servers.
     """
 
     content: RequestContent
@@ -105,14 +115,17 @@
     crashes_at_s: list[float] = field(default_factory=list)
 
     def late_crashes(self, after_s: float) -> int:
-        """Return how many servers it ended later than that after the third one."""
+        """Return how many servers the content crashed late.
+
+        :param after_s: how long after the third crash another one counts as late.
+        """
         return sum(
             1 for at_s in self.crashes_at_s[3:] if at_s > self.crashes_at_s[2] + after_s
         )
 
 
 def longest_streak_s(times_s: list[float], send_interval_s: float) -> float:
-    """Return the longest time through which something happened at every interval."""
+    """Return the longest time during which every interval had an event."""
     longest_s = since_s = last_s = 0.0
     for at_s in times_s:
         if at_s - last_s > 1.5 * send_interval_s:
@@ -123,7 +136,7 @@
 
 
 class Simulation:
-    """One draw, played to its end."""
+    """The simulation of one scenario."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -156,7 +169,7 @@
         heapq.heappush(self._scheduled, (due_s, next(self._sequence), action))
 
     def run(self) -> Simulation:
-        """Play it."""
+        """Run the scenario to its end; return the simulation."""
         scenario = self.scenario
         for client in self.crashing_clients:
             self._schedule(self.rng.uniform(0.0, 1.0), lambda c=client: self._send(c))  # type: ignore[misc]
@@ -192,6 +205,7 @@
         )
 
     def _on_answer(self, client: Client) -> None:
+        """Send the next request of a harmful client; the others don't wait."""
         if client.crashes_servers:
             self._schedule(0.15, lambda: self._send(client))
 
@@ -313,7 +327,7 @@
         else:
             self._attempt(client, entry, run.retries + 1)
 
-    # What entries tell each other
+    # Messages between entries
 
     def _receive_crashes(
         self,
@@ -335,7 +349,7 @@
     def _record_holds(
         self, entry: int, content: RequestContent, changes: list[QuarantineChange]
     ) -> None:
-        """What is held back is recorded in the store, which all entries read."""
+        """Pass new holds to all entries, as through the store."""
         for change in changes:
             if change.state is not QuarantineState.HELD_BACK:
                 continue
--- a/tests/lib/crashing_fleet.py
+++ b/tests/lib/crashing_fleet.py
@@ -1,4 +1,4 @@
-"""A client whose request ends each server that runs it, and others beside it."""
+"""Runs clients whose request crashes its servers beside clients of innocent ones."""
 
 from __future__ import annotations
 
@@ -11,31 +11,33 @@
 from standins.chaining_engine import Engine
 from tests.lib.forwarding import Deployment, Reply, until
 
-# Ends each backend server that runs it.
+# The request body that crashes each backend server that runs it.
 POISON_BODY = b"ends whoever runs it"
 
-# A crashed server's registration lapses, and it is back with a new id, after these.
+# How long after a crash the server's registration lapses, and the server has restarted.
 REGISTRATION_LAPSE_S = 1.0
 RESTART_S = 1.5
 
-# How often the client sends its request anew, and how long it reads its answer.
+# The interval between sends of the poison request, and how long clients wait for an
+# answer.
 RESEND_INTERVAL_S = 0.15
 READ_TIMEOUT_S = 2.0
 
-# How often clients send whose requests come often, whatever becomes of them.
+# The interval of clients that send periodically, without waiting for answers.
 SEND_INTERVAL_S = 0.1
 
-# Events of the streams of other clients: 0.2 s of them.
+# The number of events in the streams of other clients: 0.2 s of events.
 OTHER_STREAM_EVENTS = 20
 
 
 @dataclass(repr=False)
 class CrashingFleet:
-    """Lets a deployment's servers crash on one body, and come back empty.
+    """Makes a deployment's servers crash on the poison body and restart afterwards.
 
-    :param crashes_s: when each server ended.
-    :param same_id: whether a server comes back at its address under its id with a later
-        start, instead of under a new id.
+    :param same_id: whether a server restarts at its address under the same ID with a
+        later start time, instead of under a new ID.
+    :param crash_times_s: when each server crashed.
+    :param replaced_servers: crashed servers that a server with a new ID replaced.
     """
 
     deployment: Deployment
@@ -45,7 +47,7 @@
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     def enable_crashes(self) -> None:
-        """Let all servers crash on the body from now on."""
+        """Make all servers crash on the poison body from now on."""
         for server in (*self.deployment.engines, *self.deployment.plain):
             self._enable_crashes_of(server)
 
@@ -82,7 +84,7 @@
 
     @property
     def servers(self) -> list[Engine]:
-        """All servers there ever were."""
+        """All servers that have existed, including replaced ones."""
         return [
             *self.deployment.engines,
             *self.deployment.plain,
@@ -90,7 +92,7 @@
         ]
 
     def arrivals_s(self, prefix: str) -> list[float]:
-        """Return when requests whose ids begin so reached servers, in order."""
+        """Return when requests whose IDs have a prefix arrived at servers, in order."""
         found = [
             arrival.at_s
             for server in self.servers
@@ -100,7 +102,7 @@
         return sorted(found)
 
     async def stop(self) -> None:
-        """End what is under way."""
+        """Cancel the pending restarts."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -108,7 +110,13 @@
 
 @dataclass(repr=False)
 class RequestSender:
-    """Sends requests to entries drawn by chance, and keeps what came of them."""
+    """Sends requests to randomly chosen entries, and records the results.
+
+    :param event_count: the number of events to request for a stream.
+    :param refused_at_s: when requests were refused because of repeated crashes.
+    :param served_at_s: when complete successful answers were received.
+    :param failed_at_s: when other requests ended.
+    """
 
     deployment: Deployment
     path: str
@@ -121,7 +129,7 @@
     _tasks: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def send_repeatedly(self, body: bytes, duration_s: float) -> None:
-        """Send the same request again and again, each under an id of its own."""
+        """Send the same body at an interval, under a new request ID each time."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + duration_s
         number = 0
@@ -135,7 +143,10 @@
     async def send_periodically(
         self, name: str, body: bytes | None, duration_s: float
     ) -> None:
-        """Send requests ten times a second, of one body or each of another one."""
+        """Send requests ten times a second.
+
+        :param body: the body of all requests; ``None`` for a different body each time.
+        """
         loop = asyncio.get_running_loop()
         for number in range(int(duration_s / SEND_INTERVAL_S)):
             request_id = f"{name}-{number}"
@@ -145,7 +156,7 @@
         await asyncio.gather(*self._tasks)
 
     async def resend_after_each_answer(self, body: bytes, duration_s: float) -> None:
-        """Send the same request again a moment after each answer."""
+        """Send the same body again shortly after each answer."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + duration_s
         number = 0
@@ -156,7 +167,7 @@
 
     @property
     def longest_refusal_s(self) -> float:
-        """For how long requests were refused as ones that end servers."""
+        """The longest time during which requests were refused for repeated crashes."""
         longest_s = since_s = last_s = 0.0
         for at_s in sorted(self.refused_at_s):
             if at_s - last_s > 3 * SEND_INTERVAL_S:
@@ -166,7 +177,7 @@
         return longest_s
 
     async def send_distinct(self, name: str, duration_s: float) -> None:
-        """Send requests of which no two are the same, one after the other."""
+        """Send requests with different bodies, one after another."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + duration_s
         number = 0
@@ -177,7 +188,7 @@
             await asyncio.sleep(0.05)
 
     async def send(self, request_id: str, body: bytes, events: int) -> None:
-        """Send one request, and note what came of it."""
+        """Send one request and record the result."""
         number = self.rng.randrange(self.deployment.entry_count)
         connection = await self.deployment.connect(number)
         reply: Reply | None = None
@@ -196,7 +207,7 @@
             self.refused_at_s.append(now_s)
 
     def served_share_since(self, since_s: float) -> float:
-        """Return which share of the requests that ended since then was served."""
+        """Return the share of requests served, out of those that ended since then."""
         served = sum(1 for at_s in self.served_at_s if at_s >= since_s)
         failed = sum(1 for at_s in self.failed_at_s if at_s >= since_s)
         return served / max(1, served + failed)
@@ -213,7 +224,10 @@
 
 @dataclass(repr=False)
 class CrashOutcome:
-    """What became of a poison request and of others beside it."""
+    """The result of a run with a poison request and other clients.
+
+    :param finished_at_s: when the run ended.
+    """
 
     fleet: CrashingFleet
     poison_sender: RequestSender
@@ -221,7 +235,10 @@
     finished_at_s: float
 
     def late_sends(self, after_s: float) -> int:
-        """Return how often it was sent later than that after the third crash."""
+        """Return how many poison requests arrived late.
+
+        :param after_s: how long after the third crash a request counts as late.
+        """
         crash_times_s = sorted(self.fleet.crash_times_s)
         if len(crash_times_s) < 3:
             return 0
@@ -229,7 +246,7 @@
         return sum(1 for at_s in self.fleet.arrivals_s("poison") if at_s > since_s)
 
     def other_served_share(self, window_s: float) -> float:
-        """Return which share of the others' requests was served at the end."""
+        """Return the average served share of other senders in the last ``window_s``."""
         shares = [
             s.served_share_since(self.finished_at_s - window_s)
             for s in self.other_senders
@@ -237,7 +254,10 @@
         return sum(shares) / len(shares)
 
     def late_crashes(self, after_s: float) -> int:
-        """Return how many servers ended later than that after the third one."""
+        """Return how many servers crashed late.
+
+        :param after_s: how long after the third crash another one counts as late.
+        """
         crash_times_s = sorted(self.fleet.crash_times_s)
         return sum(1 for at_s in crash_times_s[3:] if at_s > crash_times_s[2] + after_s)
 
@@ -245,7 +265,10 @@
 async def run_poison_requests(
     deployment: Deployment, path: str, duration_s: float, *, others: int = 4
 ) -> CrashOutcome:
-    """Resend a poison request for some time, beside other clients."""
+    """Send a poison request repeatedly, beside clients of innocent ones.
+
+    :param others: the number of clients that send innocent requests.
+    """
     await until(lambda: all(entry.recognizes_requests for entry in deployment.entries))
     fleet = CrashingFleet(deployment)
     fleet.enable_crashes()
@@ -274,10 +297,11 @@
     same_id: bool,
     poison_delay_s: float,
 ) -> CrashOutcome:
-    """Resend a poison request beside a popular innocent one and single ones.
+    """Send a poison request repeatedly beside a popular innocent one and one-off ones.
 
-    :param poison_delay_s: how much later than the others it comes.
-    :return: what became of them; of the others the first is the popular one.
+    :param same_id: whether crashed servers restart under the same ID.
+    :param poison_delay_s: how much later than the others the poison client starts.
+    :return: the outcome, whose first other sender is the popular one.
     """
     fleet = CrashingFleet(deployment, same_id=same_id)
     fleet.enable_crashes()
--- a/tests/unit/test_likelihood.py
+++ b/tests/unit/test_likelihood.py
@@ -1,4 +1,8 @@
-"""How likely contents under suspicion are what ends servers."""
+"""Tests the estimate of how likely each suspected content crashes servers.
+
+It guards against blaming an innocent content that shared servers with the cause, and
+against missing the cause in a crowd of others.
+"""
 
 from __future__ import annotations
 
--- a/tests/unit/test_quarantine.py
+++ b/tests/unit/test_quarantine.py
@@ -1,7 +1,7 @@
-"""Which requests are held back, and which never are.
+"""Tests which request contents the quarantine holds back.
 
-Clients of innocent requests were never to be turned away for good; a request that ends
-its servers was to be stopped after few of them.
+They guard against two failures: a request that keeps crashing one server after another,
+and an innocent request that is refused for long because it ran on the same servers.
 """
 
 from __future__ import annotations
@@ -55,13 +55,13 @@
 def decision(
     quarantine: Quarantine, content: RequestContent, now_s: float
 ) -> QuarantineDecision:
-    """Return a content's standing, as whoever asks does: after what has settled."""
+    """Return the decision on a content after a review, as an entry asks for it."""
     quarantine.review_probation(now_s, content.digest)
     return quarantine.decision(content.digest, now_s)
 
 
 def crash_three_servers_under_both(quarantine: Quarantine) -> None:
-    """Let three servers end under two contents."""
+    """Crash three servers that run both contents."""
     for number in range(3):
         at_s = 1.0 + 0.2 * number
         crashes_by_content = {
@@ -73,7 +73,7 @@
 def run_crashing_trial(
     quarantine: Quarantine, content: RequestContent, number: int, at_s: float
 ) -> None:
-    """Let one request through, under which a server ends."""
+    """Start a trial and crash its server."""
     assert decision(quarantine, content, at_s) is QuarantineDecision.ALLOW_TRIAL
     quarantine.start_trial(content.digest, at_s)
     assert decision(quarantine, content, at_s + 0.05) is QuarantineDecision.WAIT
@@ -96,7 +96,7 @@
         assert decision(quarantine, POISON, 2.0) is QuarantineDecision.ALLOW
     changes = report_crashes(quarantine, POISON, crash(2, 3.0))
     assert states(changes) == [QuarantineState.SUSPECTED, QuarantineState.ON_PROBATION]
-    # Nothing of it runs while others may still tell what else was there.
+    # No trial starts while other entries may still report contents on that server.
     assert decision(quarantine, POISON, 3.0) is QuarantineDecision.WAIT
     assert quarantine.wait_s(POISON.digest, 3.0) == pytest.approx(_REVIEW_DELAY_S)
     assert states(quarantine.review_probation(3.0 + _REVIEW_DELAY_S)) == [
@@ -109,7 +109,10 @@
 def test_content_with_concurrent_runs_is_held_back_after_one_crashing_trial(
     quarantine: Quarantine,
 ) -> None:
-    """So are popular ones that only share their servers with another one."""
+    """Runs in flight at the same time may share their servers with the actual cause.
+
+    Three such crashes alone therefore must not suffice for a hold; a trial decides.
+    """
     for number in range(3):
         report_crashes(
             quarantine, POISON, crash(number, 1.0 + 0.05 * number, ran_s=0.3)
@@ -126,14 +129,14 @@
 def test_popular_content_is_held_back_only_after_successive_crashes(
     quarantine: Quarantine,
 ) -> None:
-    """It runs everywhere at any time, also where servers end for other reasons."""
+    """A popular content is running on most servers that crash for other reasons."""
     quarantine.record_success(OTHER.digest, 0.5)
     report_crashes(
         quarantine, OTHER, *(crash(n, 1.0 + 0.05 * n, ran_s=0.4) for n in range(6))
     )
     assert decision(quarantine, OTHER, 2.0) is QuarantineDecision.ALLOW
     report_crashes(quarantine, OTHER, crash(10, 3.0), crash(11, 4.0))
-    # It ran well, so that one trial may have met something else's end.
+    # After a success, one trial may have met a crash with another cause.
     run_crashing_trial(quarantine, OTHER, 12, 4.2)
     run_crashing_trial(quarantine, OTHER, 13, 4.5)
     assert decision(quarantine, OTHER, 4.8) is QuarantineDecision.REFUSE
@@ -154,7 +157,7 @@
         QuarantineState.CLEARED
     ]
     assert decision(quarantine, POISON, 2.0) is QuarantineDecision.ALLOW
-    # What ended before that, and is told later still, changes nothing.
+    # Crashes before the success don't count, even if they are reported after it.
     report_crashes(quarantine, POISON, crash(7, 1.1), crash(8, 1.2))
     assert decision(quarantine, POISON, 2.0) is QuarantineDecision.ALLOW
 
@@ -162,7 +165,7 @@
 def test_resumed_stream_is_cleared_only_beyond_its_crashing_step(
     quarantine: Quarantine,
 ) -> None:
-    """It moves well up to event 80, and ends whoever runs the next one."""
+    """The stream runs well up to event 80 and crashes each server at the next step."""
     for number in range(3):
         report_crashes(quarantine, POISON, crash(number, 1.0 + number, after_event=80))
         assert (
@@ -175,7 +178,7 @@
 def test_content_beside_a_held_back_one_is_not_held_back_for_unrelated_crashes(
     quarantine: Quarantine,
 ) -> None:
-    """An innocent request goes from server to server together with another one."""
+    """An innocent request moves from server to server together with a harmful one."""
     for number in range(2):
         crashes_by_content = {POISON: [crash(number, 1.0 + number)]}
         crashes_by_content[OTHER] = [crash(number, 1.0 + number)]
@@ -183,7 +186,7 @@
     report_crashes(quarantine, POISON, crash(5, 3.0))
     assert decision(quarantine, POISON, 3.1) is QuarantineDecision.REFUSE
     report_crashes(quarantine, OTHER, crash(6, 4.0), crash(7, 5.0))
-    # Not by the other one's record alone, which may be the wrong one of the two.
+    # The other content isn't proven, so its hold doesn't explain the shared crashes.
     assert decision(quarantine, OTHER, 5.1) is QuarantineDecision.ALLOW_TRIAL
     quarantine.record_success(OTHER.digest, 5.3)
     assert decision(quarantine, OTHER, 5.3) is QuarantineDecision.ALLOW
@@ -203,15 +206,15 @@
 def test_two_contents_at_the_same_crashes_are_not_held_back_before_separate_trials(
     quarantine: Quarantine,
 ) -> None:
-    """By counting, whichever was judged first was held back, for ten minutes."""
+    """Counting crashes alone holds back whichever is judged first, for ten minutes."""
     crash_three_servers_under_both(quarantine)
     assert decision(quarantine, OTHER, 1.6) is QuarantineDecision.ALLOW_TRIAL
     quarantine.start_trial(OTHER.digest, 1.6)
-    # Not both at a time: they might meet again.
+    # The trials must not overlap, or both might run on the same server again.
     assert decision(quarantine, POISON, 1.7) is QuarantineDecision.WAIT
     quarantine.record_success(OTHER.digest, 1.9)
     assert decision(quarantine, OTHER, 1.9) is QuarantineDecision.ALLOW
-    # Nothing else is left that explains what ended.
+    # No other content explains the crashes any more.
     assert decision(quarantine, POISON, 2.0) is QuarantineDecision.REFUSE
 
 
@@ -229,7 +232,7 @@
 def test_hold_is_reconsidered_when_another_content_explains_its_crashes(
     quarantine: Quarantine,
 ) -> None:
-    """Its news came late, from an entry that saw more."""
+    """Another entry reports late that a second content ran on the same servers."""
     hold_back(quarantine, OTHER)
     for number in range(3):
         report_crashes(quarantine, POISON, crash(number, 1.0 + 0.2 * number))
@@ -242,7 +245,7 @@
 def test_trials_without_a_result_become_less_frequent(
     quarantine: Quarantine,
 ) -> None:
-    """Where engines queue requests a run that ends its server begins seconds later."""
+    """Where engines queue requests, a trial crashes its server seconds later."""
     for number in range(3):
         report_crashes(quarantine, OTHER, crash(number, 1.0 + 0.05 * number, ran_s=0.3))
     trial_starts_s = [
@@ -258,7 +261,7 @@
 def start_trial_if_allowed(
     quarantine: Quarantine, content: RequestContent, at_s: float
 ) -> bool:
-    """Let a request be tried, if it may; return whether it was."""
+    """Start a trial if one is allowed; return whether it was started."""
     if decision(quarantine, content, at_s) is not QuarantineDecision.ALLOW_TRIAL:
         return False
     quarantine.start_trial(content.digest, at_s)
@@ -268,7 +271,11 @@
 def test_stream_without_events_is_held_back_without_a_trial(
     quarantine: Quarantine,
 ) -> None:
-    """Several clients may send what ends its servers, before the first event."""
+    """Streams that had sent events are innocent, which decides the case.
+
+    Several clients send the harmful content, so that its runs are in flight at the same
+    time and the crashes alone would require a trial.
+    """
     for number in range(3):
         at_s = 1.0 + 0.05 * number
         without_events = crash(number, at_s, ran_s=0.3, silent=True)
@@ -312,7 +319,10 @@
 def test_content_explained_by_a_held_back_one_is_recognized(
     quarantine: Quarantine,
 ) -> None:
-    """It was refused until another server was there, though another is held back."""
+    """Guards against refusing an innocent content at the last running server.
+
+    Its crashes must count as explained if a held-back content ran on the same servers.
+    """
     quarantine.record_success(OTHER.digest, 0.5)
     crash_three_servers_under_both(quarantine)
     assert decision(quarantine, POISON, 2.0) is QuarantineDecision.REFUSE
@@ -381,13 +391,13 @@
 def test_hold_with_unknown_versions_is_not_lifted_for_new_software(
     quarantine: Quarantine,
 ) -> None:
-    """Its servers ended before their registrations were read."""
+    """The version is unknown if a server crashes before its registration is read."""
     hold_back(quarantine)
     assert quarantine.lift_for_versions("llm", frozenset({"v1"}), 5.0) == []
 
 
 def test_retracted_crash_ends_the_hold(quarantine: Quarantine) -> None:
-    """Another entry was wrong, or lied."""
+    """Another entry may report a crash by mistake, or a false one on purpose."""
     hold_back(quarantine)
     assert states(quarantine.retract_crash("i-1")) == [QuarantineState.CLEARED]
     assert decision(quarantine, POISON, 2.0) is QuarantineDecision.ALLOW
@@ -431,7 +441,7 @@
 def test_earliest_ended_run_at_a_server_counts(
     quarantine: Quarantine,
 ) -> None:
-    """The others came when it had ended, maybe as the next one did."""
+    """Runs interrupted later were sent after the crash, so they aren't evidence."""
     report_crashes(quarantine, POISON, crash(0, 1.100, ran_s=0.006), crash(1, 1.090))
     assert not quarantine.is_near_restriction(POISON.digest)
     report_crashes(quarantine, POISON, crash(0, 1.000))
@@ -468,7 +478,7 @@
         verdicts.add((decision(entry, POISON, 3.2), near_restriction))
     assert len(known_crashes) == 1
     refusals = [v for v in verdicts if v[0] is QuarantineDecision.REFUSE]
-    # Once held back it stays so, also where a part that came later counts as none.
+    # A hold remains even if a later report means that a counted crash doesn't count.
     assert len(verdicts) == 1 or refusals
 
 
--- a/tests/unit/test_quarantine_simulation.py
+++ b/tests/unit/test_quarantine_simulation.py
@@ -1,8 +1,9 @@
-"""Which contents are held back, played over drawn interleavings.
+"""Simulates random interleavings of crashes, and checks which contents are held back.
 
-Asked for: a content that ends its servers ends three at most later than 3 s after its
-third; an innocent one is never held back for longer than a second, however popular it
-is, whatever else ends servers, and whichever news between entries is lost or repeated.
+Requirements: a content that crashes its servers crashes at most three more of them
+later than 3 s after the third crash. An innocent content is never held back for longer
+than a second, however popular it is, whatever else crashes servers, and whichever
+reports between entries are lost or repeated.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 def random_scenario(seed: int) -> Scenario:
-    """Return what is played for a seed."""
+    """Return the scenario of a seed."""
     rng = random.Random(seed)
     return Scenario(
         seed,
@@ -36,7 +37,7 @@
 
 
 def longest_innocent_hold_s(seed: int) -> float:
-    """Play a seed; return for how long an innocent content was held back."""
+    """Return for how long an innocent content was held back in the seed's scenario."""
     scenario = random_scenario(seed)
     simulation = Simulation(scenario).run()
     return max(
@@ -46,33 +47,33 @@
 
 
 def most_late_crashes(seed: int) -> int:
-    """Play a seed; return how many servers a content ended late."""
+    """Return the most late crashes of one content in the seed's scenario."""
     simulation = Simulation(random_scenario(seed)).run()
     return max(
         (c.late_crashes(REACTION_S) for c in simulation.crashing_clients), default=0
     )
 
 
-# Two or four servers, most of them down all the time, and two or three contents that
-# end them: an innocent run hardly comes to its end before the verdict.
+# Seeds with two or four servers, most of them down all the time, and two or three
+# contents that crash them: few innocent runs complete before the decision.
 FEW_COMPLETED_RUNS = [37, 52, 194, 379, 402, 428]
 
 
-# Seeds outside of those with the same fault, or in which a content ended too many
-# servers late.
+# Seeds beyond the regular ones with the same difficulty, or in which a content can
+# crash too many servers late.
 SEVERAL_CAUSES = [
     *(10060, 10090, 10152, 10244, 10325, 10569, 10621, 10625),
     *(10660, 10767, 10989, 11214, 11325, 11681, 11964, 11989),
 ]
 
 
-# Of 20,000 plays: half of the news is lost, servers end for other reasons under several
-# trials, or two contents that end servers are always together.
+# Seeds, out of 20,000, in which half of the reports are lost, servers crash for other
+# reasons during several trials, or two harmful contents always run on the same servers.
 LOST_REPORTS = [303594, 303982, 305078, 306091, 310034, 317206]
 
 
 def excess_late_crashes(seeds: Iterable[int]) -> dict[int, int]:
-    """Return the plays in which a content ended more servers late than asked for."""
+    """Return the number of late crashes for each seed with too many of them."""
     by_seed = {seed: most_late_crashes(seed) for seed in seeds}
     return {
         seed: crash_count
@@ -82,7 +83,7 @@
 
 
 def excess_holds(seeds: Iterable[int]) -> dict[int, float]:
-    """Return the plays in which an innocent content was held back for too long."""
+    """Return the longest innocent hold for each seed in which it is too long."""
     by_seed = {seed: longest_innocent_hold_s(seed) for seed in seeds}
     return {
         seed: held_s for seed, held_s in by_seed.items() if held_s > MAX_INNOCENT_HOLD_S
@@ -141,7 +142,7 @@
 
 
 def test_popular_content_is_not_held_back_beside_a_crashing_one() -> None:
-    """Both are under all servers that end, from the first moment on."""
+    """Both contents are running on every server that crashes, from the start."""
     for seed in range(50):
         scenario = Scenario(seed, entries=1 + seed % 2, run_s=0.3)
         simulation = Simulation(scenario).run()
