--- a/src/railfold/_internal/decisions/quarantine/evidence.py
+++ b/src/railfold/_internal/decisions/quarantine/evidence.py
@@ -137,14 +137,16 @@
         self, record: ContentRecord, incidents: dict[str, int], *, has_streams: bool
     ) -> Suspect:
         runs: dict[int, RunAtIncident] = {}
-        on_trial = record.trial_crash_server_ids
+        trial_crash_server_ids = record.trial_crash_server_ids
         # Without repeated crashes from one cause, as a popular content meets them.
         independent_crashes = record.counted_crashes(
             frozenset(), self.last_success_s(record.content.digest)
         )
         for crash in independent_crashes:
             incident = incidents[crash.server_id]
-            one_at_a_time = not record.ran_concurrently or crash.server_id in on_trial
+            one_at_a_time = (
+                not record.ran_concurrently or crash.server_id in trial_crash_server_ids
+            )
             silent = crash.silent if has_streams else None
             known_run = runs.get(incident)
             if known_run is not None and known_run.silent is False:
--- a/src/railfold/_internal/decisions/quarantine/quarantine.py
+++ b/src/railfold/_internal/decisions/quarantine/quarantine.py
@@ -335,8 +335,10 @@
         """
         record = self._records.get(digest)
         if record is not None and last_event is not None:
-            latest = max((c.after_event for c in record.crashes.values()), default=0)
-            if last_event <= latest:
+            latest_resume_event = max(
+                (c.after_event for c in record.crashes.values()), default=0
+            )
+            if last_event <= latest_resume_event:
                 return []
         if at_s > self.last_success_s(digest):
             self._evidence.record_success(digest, at_s)
--- a/tests/lib/crashing_fleet.py
+++ b/tests/lib/crashing_fleet.py
@@ -93,13 +93,13 @@
 
     def arrivals_s(self, prefix: str) -> list[float]:
         """Return when requests whose IDs have a prefix arrived at servers, in order."""
-        found = [
+        arrival_times_s = [
             arrival.at_s
             for server in self.servers
             for arrival in server.arrivals
             if arrival.request_id.startswith(prefix)
         ]
-        return sorted(found)
+        return sorted(arrival_times_s)
 
     async def stop(self) -> None:
         """Cancel the pending restarts."""
