--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -17,7 +17,7 @@
 from railfold._internal.core import LayerRange, Stage
 from railfold._internal.decisions.configuration import ChangeRecord, Configuration
 from railfold._internal.decisions.fair_queue import FairQueue
-from railfold._internal.decisions.placement import EngineRoom, plan_layers
+from railfold._internal.decisions.placement import EnginePlacement, plan_layers
 from railfold._internal.decisions.planner import (
     LinkCosts,
     PlannerWeights,
@@ -128,11 +128,13 @@
     """Return one row of the placement table: the time of one look, in milliseconds."""
     model = MODEL
     kinds = [FAST if n % 4 == 0 else MIDDLE for n in range(count)]
-    empty = [EngineRoom(f"e{n:03d}", kind, None) for n, kind in enumerate(kinds)]
+    empty = [EnginePlacement(f"e{n:03d}", kind, None) for n, kind in enumerate(kinds)]
     first_us = time_us(lambda: plan_layers(empty, model), 1)
     plan = plan_layers(empty, model)
-    whole = [replace(e, held=plan.get(e.server_id), busy=True) for e in empty]
-    without_first = [e for e in whole if e.held is None or e.held.first > 0]
+    whole = [replace(e, held_layers=plan.get(e.server_id), busy=True) for e in empty]
+    without_first = [
+        e for e in whole if e.held_layers is None or e.held_layers.first > 0
+    ]
     return [
         count,
         first_us / 1000,
--- a/src/railfold/_internal/agent/orders.py
+++ b/src/railfold/_internal/agent/orders.py
@@ -9,6 +9,7 @@
 
 from railfold._internal.agent.engine_backend import EngineBackend
 from railfold._internal.configuration.replica import ConfigurationReplica
+from railfold._internal.decisions.configured_loads import configured_load
 from railfold._internal.decisions.orders import (
     GiveOrder,
     LevelReached,
@@ -18,7 +19,6 @@
     WaitForSequences,
     WaitForSlot,
 )
-from railfold._internal.decisions.wanted_loads import wanted_load
 from railfold._internal.engines.interface import Engine
 from railfold._internal.errors import EngineError
 from railfold._internal.observability.metrics import Metrics
@@ -84,7 +84,7 @@
     def _wanted_now(self) -> tuple[LoadOrder, int] | None:
         # Working it out goes through all hosts, so only when it may differ.
         if self._replica.version != self._wanted_version:
-            self._wanted = wanted_load(self._replica.configuration, self._host)
+            self._wanted = configured_load(self._replica.configuration, self._host)
             self._wanted_version = self._replica.version
         return self._wanted
 
--- a/src/railfold/_internal/decisions/chain_search.py
+++ b/src/railfold/_internal/decisions/chain_search.py
@@ -22,7 +22,7 @@
 from railfold._internal.core import Chain, LayerRange, Stage
 from railfold._internal.decisions.chain_costs import Candidate
 from railfold._internal.decisions.chain_prediction import StageState
-from railfold._internal.decisions.coverage import uncovered
+from railfold._internal.decisions.coverage import uncovered_layers
 
 __all__ = [
     "CrossingCost",
@@ -170,7 +170,7 @@
         for found in candidates
         if found.replica.failure_domain == domain
     )
-    return not uncovered(ranges, layer_count)
+    return not uncovered_layers(ranges, layer_count)
 
 
 def search_chains(
--- a/src/railfold/_internal/decisions/wanted_loads.py
+++ b/src/railfold/_internal/decisions/configured_loads.py
@@ -7,10 +7,10 @@
 from railfold._internal.decisions.configuration import Configuration, ObjectId
 from railfold._internal.decisions.orders import LoadOrder
 
-__all__ = ["wanted_load"]
+__all__ = ["configured_load"]
 
 
-def wanted_load(
+def configured_load(
     configuration: Configuration, host: str
 ) -> tuple[LoadOrder, int] | None:
     """Return what the configuration wants of a host's engine, and its slot.
@@ -19,17 +19,17 @@
     that hosts share the weight store's rate without talking to each other. If
     several pipelines place the host, the one that changed last counts.
     """
-    found: tuple[LoadOrder, int] | None = None
+    latest: tuple[LoadOrder, int] | None = None
     for name, pipeline in configuration.pipelines.items():
         layers = pipeline.placements.get(host)
         fencing = configuration.objects[ObjectId("pipeline", name)].version
-        if layers is None or (found is not None and found[0].fencing > fencing):
+        if layers is None or (latest is not None and latest[0].fencing > fencing):
             continue
         order = LoadOrder(pipeline.model, pipeline.version, layers, fencing)
-        shuffled = sorted(pipeline.placements, key=lambda h: _rank(h, fencing))
-        found = (order, shuffled.index(host))
-    return found
+        shuffled = sorted(pipeline.placements, key=lambda h: _shuffle_key(h, fencing))
+        latest = (order, shuffled.index(host))
+    return latest
 
 
-def _rank(host: str, fencing: int) -> bytes:
+def _shuffle_key(host: str, fencing: int) -> bytes:
     return hashlib.blake2b(f"{fencing}/{host}".encode(), digest_size=8).digest()
--- a/src/railfold/_internal/decisions/coverage.py
+++ b/src/railfold/_internal/decisions/coverage.py
@@ -13,8 +13,8 @@
     "Uncovered",
     "describe_layers",
     "describe_shortages",
-    "shortage_of",
-    "uncovered",
+    "domain_shortage",
+    "uncovered_layers",
 ]
 
 
@@ -33,7 +33,7 @@
     """
 
     layers: tuple[int, ...]
-    left_s: float | None
+    available_in_s: float | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,10 +41,10 @@
     """What one failure domain lacks."""
 
     failure_domain: str
-    lacks: Uncovered | Unavailable
+    cause: Uncovered | Unavailable
 
 
-def uncovered(ranges: Iterable[LayerRange], layer_count: int) -> tuple[int, ...]:
+def uncovered_layers(ranges: Iterable[LayerRange], layer_count: int) -> tuple[int, ...]:
     """Return the layers that none of the ranges holds."""
     covered = bytearray(layer_count)
     for layers in ranges:
@@ -53,10 +53,10 @@
     return tuple(layer for layer in range(layer_count) if not covered[layer])
 
 
-def shortage_of(
+def domain_shortage(
     failure_domain: str,
-    held: Sequence[tuple[LayerRange, float | None]],
-    usable: Iterable[LayerRange],
+    held_ranges: Sequence[tuple[LayerRange, float | None]],
+    usable_ranges: Iterable[LayerRange],
     layer_count: int,
 ) -> DomainShortage:
     """Return what a failure domain without a chain lacks.
@@ -65,38 +65,48 @@
         takes requests, if it is known.
     :param usable: those that a chain may use now.
     """
-    missing = uncovered((layers for layers, _ in held), layer_count)
-    if missing:
-        return DomainShortage(failure_domain, Uncovered(missing))
-    blocked = uncovered(usable, layer_count)
-    times_s = []
-    for layer in blocked:
-        ends_s = [
-            left_s
-            for layers, left_s in held
-            if left_s is not None and layers.first <= layer <= layers.last
+    missing_layers = uncovered_layers(
+        (layers for layers, _ in held_ranges), layer_count
+    )
+    if missing_layers:
+        return DomainShortage(failure_domain, Uncovered(missing_layers))
+    unavailable_layers = uncovered_layers(usable_ranges, layer_count)
+    waits_s = []
+    for layer in unavailable_layers:
+        engine_waits_s = [
+            available_in_s
+            for layers, available_in_s in held_ranges
+            if available_in_s is not None and layers.first <= layer <= layers.last
         ]
-        times_s.append(min(ends_s, default=None))
-    known_s = [left_s for left_s in times_s if left_s is not None]
-    left_s = max(known_s) if known_s and len(known_s) == len(times_s) else None
-    return DomainShortage(failure_domain, Unavailable(blocked, left_s))
+        waits_s.append(min(engine_waits_s, default=None))
+    known_waits_s = [
+        available_in_s for available_in_s in waits_s if available_in_s is not None
+    ]
+    available_in_s = (
+        max(known_waits_s)
+        if known_waits_s and len(known_waits_s) == len(waits_s)
+        else None
+    )
+    return DomainShortage(
+        failure_domain, Unavailable(unavailable_layers, available_in_s)
+    )
 
 
 def describe_shortages(shortages: Iterable[DomainShortage]) -> str:
     """Return what each failure domain lacks, for errors and logs."""
-    return "; ".join(f"{s.failure_domain}: {_describe(s.lacks)}" for s in shortages)
+    return "; ".join(f"{s.failure_domain}: {_describe(s.cause)}" for s in shortages)
 
 
-def _describe(lacks: Uncovered | Unavailable) -> str:
-    match lacks:
+def _describe(cause: Uncovered | Unavailable) -> str:
+    match cause:
         case Uncovered(layers=layers):
             return f"layers {describe_layers(layers)} not covered"
-        case Unavailable(layers=(), left_s=_):
+        case Unavailable(layers=(), available_in_s=_):
             return "the live ranges don't join up"
-        case Unavailable(layers=layers, left_s=None):
+        case Unavailable(layers=layers, available_in_s=None):
             return f"layers {describe_layers(layers)} full"
-        case Unavailable(layers=layers, left_s=left_s):
-            return f"layers {describe_layers(layers)} full for {left_s:.1f} s"
+        case Unavailable(layers=layers, available_in_s=available_in_s):
+            return f"layers {describe_layers(layers)} full for {available_in_s:.1f} s"
 
 
 def describe_layers(layers: Sequence[int]) -> str:
--- a/src/railfold/_internal/decisions/domains.py
+++ b/src/railfold/_internal/decisions/domains.py
@@ -6,32 +6,32 @@
 from collections.abc import Callable, Iterable, Sequence
 from typing import TypeVar
 
-__all__ = ["group_by_domain", "in_groups"]
+__all__ = ["group_by_domain", "split_into_groups"]
 
 T = TypeVar("T")
 
 # Layers of so many engines are placed together at most, on average: the time of a plan
 # grows faster than their number, and must stay well within the lease under which it is
 # made. A whole chain takes 8 to 14 engines.
-_MOST_TOGETHER = 60
+_MAX_MEAN_GROUP_SIZE = 60
 
 
 def group_by_domain(items: Iterable[T], domain_of: Callable[[T], str]) -> list[list[T]]:
     """Return the items of each failure domain, in the order of their names."""
-    found: dict[str, list[T]] = {}
+    by_domain: dict[str, list[T]] = {}
     for item in items:
-        found.setdefault(domain_of(item), []).append(item)
-    return [found[domain] for domain in sorted(found)]
+        by_domain.setdefault(domain_of(item), []).append(item)
+    return [by_domain[domain] for domain in sorted(by_domain)]
 
 
-def in_groups(items: Sequence[T], id_of: Callable[[T], str]) -> list[list[T]]:
+def split_into_groups(items: Sequence[T], id_of: Callable[[T], str]) -> list[list[T]]:
     """Return items in groups of bounded size, all in one if they are few.
 
     An item's group follows from its id and from the number of groups, which doubles, so
     that items that come and go leave the others where they are.
     """
     count = 1
-    while len(items) > count * _MOST_TOGETHER:
+    while len(items) > count * _MAX_MEAN_GROUP_SIZE:
         count *= 2
     groups: list[list[T]] = [[] for _ in range(count)]
     for item in items:
--- a/src/railfold/_internal/decisions/placement/__init__.py
+++ b/src/railfold/_internal/decisions/placement/__init__.py
@@ -2,37 +2,40 @@
 
 from __future__ import annotations
 
-from railfold._internal.decisions.placement.busyness import are_surely_busy
-from railfold._internal.decisions.placement.needs import group_needs, planning_order
-from railfold._internal.decisions.placement.plan import plan_layers
-from railfold._internal.decisions.placement.rooms import (
-    EngineRoom,
-    new_layers,
-    uncovered_layers,
+from railfold._internal.decisions.placement.demand import (
+    group_demands_rps,
+    planning_order,
+)
+from railfold._internal.decisions.placement.engines import (
+    EnginePlacement,
+    count_layers_to_load,
+    uncovered_ranges,
 )
-from railfold._internal.decisions.placement.supply import (
+from railfold._internal.decisions.placement.in_flight import all_engines_busy
+from railfold._internal.decisions.placement.parallel_chains import (
     ParallelChain,
-    Supply,
-    reckon_supply,
+    ThroughputEstimate,
+    estimate_throughput,
 )
+from railfold._internal.decisions.placement.plan import plan_layers
 from railfold._internal.decisions.placement.throughput import (
-    domain_throughput_rps,
+    best_chain_throughput_rps,
     stage_residence_s,
     stage_token_s,
 )
 
 __all__ = [
-    "EngineRoom",
+    "EnginePlacement",
     "ParallelChain",
-    "Supply",
-    "are_surely_busy",
-    "domain_throughput_rps",
-    "group_needs",
-    "new_layers",
+    "ThroughputEstimate",
+    "all_engines_busy",
+    "best_chain_throughput_rps",
+    "count_layers_to_load",
+    "estimate_throughput",
+    "group_demands_rps",
     "plan_layers",
     "planning_order",
-    "reckon_supply",
     "stage_residence_s",
     "stage_token_s",
-    "uncovered_layers",
+    "uncovered_ranges",
 ]
--- a/src/railfold/_internal/decisions/placement/fills.py
+++ b/src/railfold/_internal/decisions/placement/additional_chains.py
@@ -10,94 +10,102 @@
 from collections.abc import Iterable, Sequence
 
 from railfold._internal.core import LayerRange
-from railfold._internal.decisions.placement.rooms import (
+from railfold._internal.decisions.placement.engines import (
     Changes,
-    EngineRoom,
-    coverage,
+    EnginePlacement,
+    count_holders,
     max_layers,
 )
-from railfold._internal.decisions.placement.supply import (
-    chain_use,
-    unused_layer_rooms,
+from railfold._internal.decisions.placement.parallel_chains import (
+    chain_utilization,
+    spare_layer_capacity,
 )
-from railfold._internal.decisions.placement.throughput import room_levels
+from railfold._internal.decisions.placement.throughput import concurrency_levels
 from railfold._internal.decisions.routing_table import EngineModel
 
-__all__ = ["fills", "spare_engines"]
+__all__ = ["additional_chain_changes", "spare_engines"]
 
 # Rooms of a further chain that are looked at, the largest of them a full batch.
-_ROOMS_TRIED = 4
+_CONCURRENCY_LEVELS_TRIED = 4
 
 # An engine whose chains use more of its room than this doesn't move.
-_LITTLE_USED = 0.25
+_MAX_SPARE_UTILIZATION = 0.25
 
 
 def spare_engines(
-    engines: Sequence[EngineRoom], model: EngineModel
-) -> list[EngineRoom]:
+    engines: Sequence[EnginePlacement], model: EngineModel
+) -> list[EnginePlacement]:
     """Return engines that may move together: empty ones first, then the least used."""
-    use = chain_use(engines, model)
-    idle = [e for e in engines if not e.busy and use[e.server_id] <= _LITTLE_USED]
+    utilization = chain_utilization(engines, model)
+    idle = [
+        e
+        for e in engines
+        if not e.busy and utilization[e.server_id] <= _MAX_SPARE_UTILIZATION
+    ]
     idle.sort(
         key=lambda e: (
-            e.held is not None,
-            use[e.server_id],
+            e.held_layers is not None,
+            utilization[e.server_id],
             e.accelerator.step_factor,
             e.server_id,
         )
     )
-    held_by = coverage(e.held for e in engines)
-    spares: list[EngineRoom] = []
+    holder_counts = count_holders(e.held_layers for e in engines)
+    spares: list[EnginePlacement] = []
     for engine in idle:
-        held = coverage([engine.held])
-        if all(held_by[layer] > 1 for layer in held):
-            held_by.subtract(held)
+        held_layers = count_holders([engine.held_layers])
+        if all(holder_counts[layer] > 1 for layer in held_layers):
+            holder_counts.subtract(held_layers)
             spares.append(engine)
     return spares
 
 
-def fills(
-    engines: Sequence[EngineRoom], spares: Sequence[EngineRoom], model: EngineModel
+def additional_chain_changes(
+    engines: Sequence[EnginePlacement],
+    spares: Sequence[EnginePlacement],
+    model: EngineModel,
 ) -> Iterable[Changes]:
     """Yield what spare engines may hold for a further chain to get through.
 
     :param spares: some of the engines, in the order in which they are used.
     """
-    moving = {e.server_id for e in spares}
-    rooms = unused_layer_rooms([e for e in engines if e.server_id not in moving], model)
+    moving_ids = {e.server_id for e in spares}
+    spare_capacity = spare_layer_capacity(
+        [e for e in engines if e.server_id not in moving_ids], model
+    )
     yielded: list[Changes] = []
-    for requests in room_levels(model)[:_ROOMS_TRIED]:
-        changes = _fill(rooms, spares, model, requests)
+    for requests in concurrency_levels(model)[:_CONCURRENCY_LEVELS_TRIED]:
+        changes = _changes_for_requests(spare_capacity, spares, model, requests)
         if changes and changes not in yielded:
             yielded.append(changes)
             yield changes
 
 
-def _fill(
-    rooms: Sequence[float],
-    spares: Sequence[EngineRoom],
+def _changes_for_requests(
+    spare_capacity: Sequence[float],
+    spares: Sequence[EnginePlacement],
     model: EngineModel,
     requests: float,
 ) -> Changes:
     """Return loads that let so many requests more through all layers, or nothing."""
-    left = list(spares)
+    remaining = list(spares)
     changes: Changes = {}
     layer = 0
     while layer < model.layer_count:
-        if rooms[layer] >= requests:
+        if spare_capacity[layer] >= requests:
             layer += 1
             continue
         last = layer
-        while last + 1 < model.layer_count and rooms[last + 1] < requests:
+        while last + 1 < model.layer_count and spare_capacity[last + 1] < requests:
             last += 1
         while layer <= last:
-            if not left:
+            if not remaining:
                 return {}
-            spare = left.pop(0)
+            spare = remaining.pop(0)
             size = max_layers(spare.accelerator, model, requests)
             if size > 0:
                 target = LayerRange(layer, min(last, layer + size - 1))
                 layer = target.last + 1
-                if target != spare.held:
+                if target != spare.held_layers:
                     changes[spare.server_id] = target
     return changes
--- a/src/railfold/_internal/decisions/placement/chain.py
+++ b/src/railfold/_internal/decisions/placement/chain.py
@@ -11,13 +11,13 @@
 from dataclasses import dataclass
 
 from railfold._internal.core import LayerRange
-from railfold._internal.decisions.placement.rooms import (
-    EngineRoom,
+from railfold._internal.decisions.placement.engines import (
+    EnginePlacement,
     max_layers,
-    request_room,
+    request_capacity,
 )
 from railfold._internal.decisions.placement.throughput import (
-    room_levels,
+    concurrency_levels,
     stage_residence_s,
 )
 from railfold._internal.decisions.routing_table import EngineModel
@@ -26,51 +26,53 @@
     "PlacedChain",
     "PlacedStage",
     "best_chain",
+    "chain_request_capacity",
     "chain_throughput_rps",
-    "least_room",
-    "served_now_rps",
+    "current_throughput_rps",
 ]
 
 # How many ways to each layer are kept; two are enough where engines' ranges overlap
 # by one neighbour's, the third is for copies.
-_WAYS_KEPT = 3
+_PATHS_KEPT = 3
 
 
 @dataclass(frozen=True, slots=True)
 class PlacedStage:
     """An engine, and the layers that it runs in a chain."""
 
-    engine: EngineRoom
+    engine: EnginePlacement
     layers: LayerRange
 
-    def room(self, model: EngineModel) -> float:
+    def request_capacity(self, model: EngineModel) -> float:
         """Return how many usual requests fit if the engine holds only what it runs."""
-        run = len(self.layers)
-        return request_room(self.engine.accelerator, model, run, run)
+        run_count = len(self.layers)
+        return request_capacity(self.engine.accelerator, model, run_count, run_count)
 
-    def room_now(self, model: EngineModel) -> float:
+    def current_request_capacity(self, model: EngineModel) -> float:
         """Return how many usual requests fit beside all that the engine holds."""
-        held = len(self.engine.held or self.layers)
-        return request_room(self.engine.accelerator, model, held, len(self.layers))
+        held_count = len(self.engine.held_count or self.layers)
+        return request_capacity(
+            self.engine.accelerator, model, held_count, len(self.layers)
+        )
 
 
 # The stages that a request passes, in order.
 PlacedChain = list[PlacedStage]
 
 
-def least_room(stages: Iterable[PlacedStage], model: EngineModel) -> float:
+def chain_request_capacity(stages: Iterable[PlacedStage], model: EngineModel) -> float:
     """Return how many requests a chain takes if its engines hold only what they run."""
-    return min(stage.room(model) for stage in stages)
+    return min(stage.request_capacity(model) for stage in stages)
 
 
 def chain_throughput_rps(stages: Sequence[PlacedStage], model: EngineModel) -> float:
     """Return what a chain serves if its engines hold only what they run."""
-    return _throughput_rps(stages, model, least_room(stages, model))
+    return _throughput_rps(stages, model, chain_request_capacity(stages, model))
 
 
-def served_now_rps(stages: Sequence[PlacedStage], model: EngineModel) -> float:
+def current_throughput_rps(stages: Sequence[PlacedStage], model: EngineModel) -> float:
     """Return what a chain serves beside all that its engines hold."""
-    requests = min(stage.room_now(model) for stage in stages)
+    requests = min(stage.current_request_capacity(model) for stage in stages)
     return _throughput_rps(stages, model, requests)
 
 
@@ -84,19 +86,21 @@
     return requests / residence_s
 
 
-def best_chain(engines: Iterable[EngineRoom], model: EngineModel) -> PlacedChain | None:
+def best_chain(
+    engines: Iterable[EnginePlacement], model: EngineModel
+) -> PlacedChain | None:
     """Return the chain that could serve most; nothing if layers are missing."""
-    placed = [e for e in engines if e.held is not None]
-    found = [
+    placed = [e for e in engines if e.held_layers is not None]
+    chains = [
         chain
-        for requests in room_levels(model)
+        for requests in concurrency_levels(model)
         if (chain := _fastest_chain(placed, model, requests)) is not None
     ]
-    return max(found, key=lambda c: chain_throughput_rps(c, model), default=None)
+    return max(chains, key=lambda c: chain_throughput_rps(c, model), default=None)
 
 
 @dataclass(frozen=True, slots=True)
-class _Reached:
+class _Path:
     """The fastest way through the layers before one that ends at an engine."""
 
     residence_s: float
@@ -104,55 +108,59 @@
 
 
 def _fastest_chain(
-    engines: Sequence[EngineRoom], model: EngineModel, requests: float
+    engines: Sequence[EnginePlacement], model: EngineModel, requests: float
 ) -> PlacedChain | None:
     """Return the fastest chain whose engines have room for so many requests.
 
     A stage ends where its engine's range does, or where another one's begins.
     """
-    ends = {e.held.last for e in engines if e.held}
-    ends |= {e.held.first - 1 for e in engines if e.held}
-    most = {e.accelerator: max_layers(e.accelerator, model, requests) for e in engines}
-    reached: dict[int, dict[str, _Reached]] = {0: {"": _Reached(0.0, ())}}
+    stage_ends = {e.held_layers.last for e in engines if e.held_layers}
+    stage_ends |= {e.held_layers.first - 1 for e in engines if e.held_layers}
+    layer_limits = {
+        e.accelerator: max_layers(e.accelerator, model, requests) for e in engines
+    }
+    paths_to: dict[int, dict[str, _Path]] = {0: {"": _Path(0.0, ())}}
     for layer in range(model.layer_count):
-        ways = _fastest(reached.pop(layer, {}))
-        for engine in engines if ways else ():
-            for stage in _stages_from(engine, layer, ends, most[engine.accelerator]):
-                so_far = _first_without(engine.server_id, ways)
-                if so_far is None:
+        paths = _fastest_paths(paths_to.pop(layer, {}))
+        for engine in engines if paths else ():
+            for stage in _possible_stages(
+                engine, layer, stage_ends, layer_limits[engine.accelerator]
+            ):
+                previous = _fastest_path_without(engine.server_id, paths)
+                if previous is None:
                     break
                 added_s = stage_residence_s(
                     engine.accelerator, model, len(stage.layers), requests
                 )
-                way = _Reached(so_far.residence_s + added_s, (*so_far.stages, stage))
-                at_end = reached.setdefault(stage.layers.last + 1, {})
-                known = at_end.get(engine.server_id)
-                if known is None or way.residence_s < known.residence_s:
-                    at_end[engine.server_id] = way
-    whole = _fastest(reached.get(model.layer_count, {}))
-    return list(whole[0].stages) if whole else None
+                path = _Path(previous.residence_s + added_s, (*previous.stages, stage))
+                paths_to_end = paths_to.setdefault(stage.layers.last + 1, {})
+                existing = paths_to_end.get(engine.server_id)
+                if existing is None or path.residence_s < existing.residence_s:
+                    paths_to_end[engine.server_id] = path
+    complete = _fastest_paths(paths_to.get(model.layer_count, {}))
+    return list(complete[0].stages) if complete else None
 
 
-def _fastest(ways: dict[str, _Reached]) -> list[_Reached]:
+def _fastest_paths(paths: dict[str, _Path]) -> list[_Path]:
     """Return the few fastest ways: one has to be left that an engine isn't in."""
-    return sorted(ways.values(), key=lambda way: way.residence_s)[:_WAYS_KEPT]
+    return sorted(paths.values(), key=lambda path: path.residence_s)[:_PATHS_KEPT]
 
 
-def _first_without(server_id: str, ways: Sequence[_Reached]) -> _Reached | None:
+def _fastest_path_without(server_id: str, paths: Sequence[_Path]) -> _Path | None:
     """Return the fastest way that an engine isn't part of: it runs one part."""
-    for way in ways:
-        if all(stage.engine.server_id != server_id for stage in way.stages):
-            return way
+    for path in paths:
+        if all(stage.engine.server_id != server_id for stage in path.stages):
+            return path
     return None
 
 
-def _stages_from(
-    engine: EngineRoom, first: int, ends: set[int], most: int
+def _possible_stages(
+    engine: EnginePlacement, first: int, stage_ends: set[int], layer_limit: int
 ) -> Iterable[PlacedStage]:
     """Yield what an engine may run from a layer on, ``most`` layers at most."""
-    held = engine.held
-    if held is None or not held.first <= first <= held.last:
+    held_layers = engine.held_layers
+    if held_layers is None or not held_layers.first <= first <= held_layers.last:
         return
-    for last in range(first, min(held.last, first + most - 1) + 1):
-        if last in ends:
+    for last in range(first, min(held_layers.last, first + layer_limit - 1) + 1):
+        if last in stage_ends:
             yield PlacedStage(engine, LayerRange(first, last))
--- a/src/railfold/_internal/decisions/placement/needs.py
+++ b/src/railfold/_internal/decisions/placement/demand.py
@@ -9,10 +9,10 @@
 
 from collections.abc import Sequence
 
-__all__ = ["group_needs", "planning_order"]
+__all__ = ["group_demands_rps", "planning_order"]
 
 
-def group_needs(served_rps: Sequence[float], needed_rps: float) -> list[float]:
+def group_demands_rps(served_rps: Sequence[float], needed_rps: float) -> list[float]:
     """Return how many requests a second are wanted of each group.
 
     A group that serves nothing is wanted to serve its equal part, also where the
@@ -22,9 +22,9 @@
     :param needed_rps: what is wanted of all together.
     """
     missing_rps = max(0.0, needed_rps - sum(served_rps))
-    part_rps = needed_rps / max(1, len(served_rps))
+    equal_share_rps = needed_rps / max(1, len(served_rps))
     return [
-        served + missing_rps if served > 0.0 else max(part_rps, missing_rps)
+        served + missing_rps if served > 0.0 else max(equal_share_rps, missing_rps)
         for served in served_rps
     ]
 
--- a/src/railfold/_internal/decisions/placement/rooms.py
+++ b/src/railfold/_internal/decisions/placement/engines.py
@@ -11,25 +11,25 @@
 
 __all__ = [
     "Changes",
-    "EngineRoom",
-    "coverage",
+    "EnginePlacement",
+    "count_holders",
+    "count_layers_to_load",
     "covers",
     "max_layers",
-    "needless_engines",
-    "new_layers",
-    "request_room",
-    "uncovered_layers",
+    "redundant_engines",
+    "request_capacity",
+    "uncovered_ranges",
 ]
 
 # What engines should hold from now on, by engine; others keep what they hold.
 Changes = dict[str, LayerRange]
 
 # Keeps an engine that is exactly full from counting as overfull.
-_ROUNDING = 1e-9
+_ROUNDING_TOLERANCE = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
-class EngineRoom:
+class EnginePlacement:
     """An engine that may be given layers.
 
     :param held: the layers that it holds, or was ordered to hold.
@@ -40,12 +40,12 @@
 
     server_id: str
     accelerator: Accelerator
-    held: LayerRange | None
-    under_order: bool = False
+    held_layers: LayerRange | None
+    order_pending: bool = False
     busy: bool = False
 
 
-def uncovered_layers(
+def uncovered_ranges(
     ranges: Iterable[LayerRange | None], layer_count: int
 ) -> list[LayerRange]:
     """Return the runs of layers that are in none of the ranges.
@@ -73,24 +73,26 @@
 def max_layers(accelerator: Accelerator, model: EngineModel, requests: float) -> int:
     """Return how many layers fit beside the memory for so many usual requests."""
     state_mb = requests * model.mean_tokens * model.request_mb_per_token
-    most = int(accelerator.memory_mb / (model.layer_mb + state_mb))
-    return min(most, model.layer_count)
+    layer_limit = int(accelerator.memory_mb / (model.layer_mb + state_mb))
+    return min(layer_limit, model.layer_count)
 
 
-def request_room(
-    accelerator: Accelerator, model: EngineModel, held: int, run: int
+def request_capacity(
+    accelerator: Accelerator, model: EngineModel, held_count: int, run_count: int
 ) -> float:
     """Return how many usual requests fit beside the layers that an engine holds.
 
     :param held: how many layers it holds.
     :param run: how many of them a request runs there, at least one.
     """
-    free_mb = accelerator.memory_mb - held * model.layer_mb
-    request_mb = run * model.mean_tokens * model.request_mb_per_token
-    return min(float(model.max_sequences), max(0.0, free_mb / request_mb) + _ROUNDING)
+    free_mb = accelerator.memory_mb - held_count * model.layer_mb
+    request_mb = run_count * model.mean_tokens * model.request_mb_per_token
+    return min(
+        float(model.max_sequences), max(0.0, free_mb / request_mb) + _ROUNDING_TOLERANCE
+    )
 
 
-def coverage(ranges: Iterable[LayerRange | None]) -> Counter[int]:
+def count_holders(ranges: Iterable[LayerRange | None]) -> Counter[int]:
     """Return in how many of the ranges each layer is."""
     counts: Counter[int] = Counter()
     for layers in ranges:
@@ -99,18 +101,21 @@
     return counts
 
 
-def needless_engines(engines: Iterable[EngineRoom]) -> list[EngineRoom]:
+def redundant_engines(engines: Iterable[EnginePlacement]) -> list[EnginePlacement]:
     """Return engines of each of which the others hold all that it holds.
 
     One that loses its layers may make another one needed.
     """
     members = list(engines)
-    held_by = coverage(e.held for e in members)
+    holder_counts = count_holders(e.held_layers for e in members)
     return [
         e
         for e in members
-        if e.held is None
-        or all(held_by[n] > 1 for n in range(e.held.first, e.held.last + 1))
+        if e.held_layers is None
+        or all(
+            holder_counts[n] > 1
+            for n in range(e.held_layers.first, e.held_layers.last + 1)
+        )
     ]
 
 
@@ -121,9 +126,9 @@
     return outer.first <= inner.first and inner.last <= outer.last
 
 
-def new_layers(held: LayerRange | None, target: LayerRange) -> int:
+def count_layers_to_load(held_layers: LayerRange | None, target: LayerRange) -> int:
     """Return how many layers an engine has to load."""
-    if held is None:
+    if held_layers is None:
         return len(target)
-    kept = min(held.last, target.last) - max(held.first, target.first) + 1
+    kept = min(held_layers.last, target.last) - max(held_layers.first, target.first) + 1
     return len(target) - max(0, kept)
--- a/src/railfold/_internal/decisions/placement/improve.py
+++ b/src/railfold/_internal/decisions/placement/improve.py
@@ -12,39 +12,45 @@
 from dataclasses import dataclass, replace
 
 from railfold._internal.core import LayerRange
+from railfold._internal.decisions.placement.additional_chains import (
+    additional_chain_changes,
+    spare_engines,
+)
 from railfold._internal.decisions.placement.chain import (
     PlacedChain,
     best_chain,
+    chain_request_capacity,
     chain_throughput_rps,
-    least_room,
-    served_now_rps,
+    current_throughput_rps,
 )
-from railfold._internal.decisions.placement.copies import copies
-from railfold._internal.decisions.placement.fills import fills, spare_engines
-from railfold._internal.decisions.placement.reliefs import Relief, reliefs
-from railfold._internal.decisions.placement.rooms import (
+from railfold._internal.decisions.placement.copies import place_copies
+from railfold._internal.decisions.placement.engines import (
     Changes,
-    EngineRoom,
+    EnginePlacement,
+    count_layers_to_load,
     max_layers,
-    needless_engines,
-    new_layers,
+    redundant_engines,
+)
+from railfold._internal.decisions.placement.parallel_chains import estimate_throughput
+from railfold._internal.decisions.placement.rebalancing import (
+    RebalancedChain,
+    rebalanced_chains,
 )
-from railfold._internal.decisions.placement.supply import reckon_supply
 from railfold._internal.decisions.routing_table import EngineModel
 
 __all__ = ["improve"]
 
 # A change is worth its loads if the domain then serves this much more: above the
 # reckoning's error at like loads (a tenth), so that plans don't change to and fro.
-_LEAST_GAIN = 1.15
+_MIN_GAIN = 1.15
 
 # Where engines with layers move for it: they may run others' requests, and serve
 # nothing until those have ended, which takes as long as a repair is reckoned to stand.
-_LEAST_GAIN_OF_MOVES = 1.3
+_MIN_GAIN_FOR_MOVES = 1.3
 
 
 def improve(
-    engines: Sequence[EngineRoom],
+    engines: Sequence[EnginePlacement],
     model: EngineModel,
     needed_rps: float,
     objective_s: float,
@@ -55,33 +61,33 @@
         chains' layers move while it serves so many.
     :param objective_s: the longest time to a first event that is of use to a client.
     """
-    if any(engine.under_order for engine in engines):
+    if any(engine.order_pending for engine in engines):
         # Who holds layers moves one step after the other, but nobody waits for those
         # who hold none.
-        return copies(engines, model, objective_s)
+        return place_copies(engines, model, objective_s)
     chain = best_chain(engines, model)
     if chain is None:
         return {}
-    served_rps = reckon_supply(engines, model, objective_s).throughput_rps
-    taken = copies(engines, model, objective_s)
+    served_rps = estimate_throughput(engines, model, objective_s).throughput_rps
+    copied = place_copies(engines, model, objective_s)
     if served_rps >= needed_rps:
-        return taken
-    if taken:
+        return copied
+    if copied:
         # Engines in use leave to empty ones what those can take over as well.
-        after = _carried_out(engines, taken)
-        copied_rps = reckon_supply(after, model, objective_s).throughput_rps
+        after = _apply_changes(engines, copied)
+        copied_rps = estimate_throughput(after, model, objective_s).throughput_rps
         served_rps = max(served_rps, copied_rps)
-    want = _Want(served_rps, objective_s)
+    baseline = _Baseline(served_rps, objective_s)
     return (
-        _give_up(engines, chain, model, want)
-        or _fill(engines, model, want)
-        or _relieve(engines, chain, model, want, needed_rps)
-        or taken
+        _drop_unused_layers(engines, chain, model, baseline)
+        or _add_chain(engines, model, baseline)
+        or _rebalance(engines, chain, model, baseline, needed_rps)
+        or copied
     )
 
 
 @dataclass(frozen=True, slots=True)
-class _Want:
+class _Baseline:
     """What a change is measured by.
 
     :param served_rps: what the domain serves once its empty engines hold copies.
@@ -90,98 +96,116 @@
     served_rps: float
     objective_s: float
 
-    def gains(self, served_rps: float, least_gain: float) -> bool:
+    def is_exceeded_by(self, served_rps: float, min_gain: float) -> bool:
         """Return whether to serve so much is worth loads."""
-        return served_rps >= least_gain * self.served_rps
+        return served_rps >= min_gain * self.served_rps
 
 
-def _fill(engines: Sequence[EngineRoom], model: EngineModel, want: _Want) -> Changes:
+def _add_chain(
+    engines: Sequence[EnginePlacement], model: EngineModel, baseline: _Baseline
+) -> Changes:
     """Return what spare engines should hold beside the chains that there are."""
     spares = spare_engines(engines, model)
 
-    def worth(changes: Changes) -> tuple[float, int]:
-        after = _carried_out(engines, changes)
-        served_rps = reckon_supply(after, model, want.objective_s).throughput_rps
-        held = {e.server_id: e.held for e in engines}
-        loads = sum(new_layers(held[s], layers) for s, layers in changes.items())
+    def rank(changes: Changes) -> tuple[float, int]:
+        after = _apply_changes(engines, changes)
+        served_rps = estimate_throughput(
+            after, model, baseline.objective_s
+        ).throughput_rps
+        held_by_id = {e.server_id: e.held_by_id for e in engines}
+        loads = sum(
+            count_layers_to_load(held_by_id[s], layers) for s, layers in changes.items()
+        )
         return (served_rps, -loads)
 
-    best = max(fills(engines, spares, model), key=worth, default=None)
+    best = max(additional_chain_changes(engines, spares, model), key=rank, default=None)
     if best is None:
         return {}
-    moves = any(e.held is not None for e in engines if e.server_id in best)
-    least_gain = _LEAST_GAIN_OF_MOVES if moves else _LEAST_GAIN
-    return best if want.gains(worth(best)[0], least_gain) else {}
+    moves = any(e.held_by_id is not None for e in engines if e.server_id in best)
+    min_gain = _MIN_GAIN_FOR_MOVES if moves else _MIN_GAIN
+    return best if baseline.is_exceeded_by(rank(best)[0], min_gain) else {}
 
 
-def _carried_out(
-    engines: Sequence[EngineRoom], changes: Changes
-) -> Sequence[EngineRoom]:
-    return [replace(e, held=changes.get(e.server_id, e.held)) for e in engines]
+def _apply_changes(
+    engines: Sequence[EnginePlacement], changes: Changes
+) -> Sequence[EnginePlacement]:
+    return [
+        replace(e, held_layers=changes.get(e.server_id, e.held_layers)) for e in engines
+    ]
 
 
-def _give_up(
-    engines: Sequence[EngineRoom],
+def _drop_unused_layers(
+    engines: Sequence[EnginePlacement],
     chain: PlacedChain,
     model: EngineModel,
-    want: _Want,
+    baseline: _Baseline,
 ) -> Changes:
     """Let the chain's engines give up what keeps it from serving what it could.
 
     What they hold beside it may be part of other chains.
     """
-    could_rps = chain_throughput_rps(chain, model)
-    if served_now_rps(chain, model) * _LEAST_GAIN > could_rps:
+    possible_rps = chain_throughput_rps(chain, model)
+    if current_throughput_rps(chain, model) * _MIN_GAIN > possible_rps:
         return {}
-    requests = least_room(chain, model)
+    requests = chain_request_capacity(chain, model)
     changes: Changes = {}
     for stage in chain:
         engine = stage.engine
-        assert engine.held is not None
-        if stage.room_now(model) < requests:
-            most = max_layers(engine.accelerator, model, requests)
-            size = max(len(stage.layers), most)
-            changes[engine.server_id] = _trimmed(engine.held, stage.layers, size)
-    supply = reckon_supply(_carried_out(engines, changes), model, want.objective_s)
-    return changes if want.gains(supply.throughput_rps, _LEAST_GAIN) else {}
+        assert engine.held_layers is not None
+        if stage.current_request_capacity(model) < requests:
+            layer_limit = max_layers(engine.accelerator, model, requests)
+            size = max(len(stage.layers), layer_limit)
+            changes[engine.server_id] = _trimmed(engine.held_layers, stage.layers, size)
+    estimate = estimate_throughput(
+        _apply_changes(engines, changes), model, baseline.objective_s
+    )
+    return (
+        changes if baseline.is_exceeded_by(estimate.throughput_rps, _MIN_GAIN) else {}
+    )
 
 
-def _trimmed(held: LayerRange, needed: LayerRange, size: int) -> LayerRange:
+def _trimmed(held_layers: LayerRange, needed: LayerRange, size: int) -> LayerRange:
     """Return a range without layers at its ends that aren't needed, if over size."""
-    last = max(needed.last, min(held.last, held.first + size - 1))
-    first = min(needed.first, max(held.first, last - size + 1))
+    last = max(needed.last, min(held_layers.last, held_layers.first + size - 1))
+    first = min(needed.first, max(held_layers.first, last - size + 1))
     return LayerRange(first, last)
 
 
-def _relieve(
-    engines: Sequence[EngineRoom],
+def _rebalance(
+    engines: Sequence[EnginePlacement],
     chain: PlacedChain,
     model: EngineModel,
-    want: _Want,
+    baseline: _Baseline,
     needed_rps: float,
 ) -> Changes:
     """Return the loads that let the domain serve the most more, if it is worth it."""
 
-    def worth(relief: Relief) -> tuple[float, int]:
-        served_rps = min(needed_rps, chain_throughput_rps(relief.chain, model))
-        loaded = sum(len(layers) for layers in relief.loads.values())
-        return (served_rps, -loaded)
+    def rank(candidate: RebalancedChain) -> tuple[float, int]:
+        served_rps = min(needed_rps, chain_throughput_rps(candidate.chain, model))
+        load_count = sum(len(layers) for layers in candidate.loads.values())
+        return (served_rps, -load_count)
 
-    spares = _spares(engines, chain)
+    spares = _movable_engines(engines, chain)
     chain_rps = chain_throughput_rps(chain, model)
-    wanted_rps = min(needed_rps, _LEAST_GAIN * chain_rps)
-    best = max(reliefs(chain, spares, model), key=worth, default=None)
-    if best is None or worth(best)[0] < wanted_rps:
+    required_rps = min(needed_rps, _MIN_GAIN * chain_rps)
+    best = max(rebalanced_chains(chain, spares, model), key=rank, default=None)
+    if best is None or rank(best)[0] < required_rps:
         return {}
     trimmed = {stage.engine.server_id: stage.layers for stage in best.chain}
-    after = _carried_out(engines, trimmed)
-    supply = reckon_supply(after, model, want.objective_s)
-    return best.loads if want.gains(supply.throughput_rps, _LEAST_GAIN) else {}
+    after = _apply_changes(engines, trimmed)
+    estimate = estimate_throughput(after, model, baseline.objective_s)
+    return (
+        best.loads
+        if baseline.is_exceeded_by(estimate.throughput_rps, _MIN_GAIN)
+        else {}
+    )
 
 
-def _spares(engines: Sequence[EngineRoom], chain: PlacedChain) -> list[EngineRoom]:
+def _movable_engines(
+    engines: Sequence[EnginePlacement], chain: PlacedChain
+) -> list[EnginePlacement]:
     """Return engines that may move, fast ones first."""
-    used = {stage.engine.server_id for stage in chain}
-    needless = needless_engines(engines)
-    free = [e for e in needless if e.server_id not in used and not e.busy]
-    return sorted(free, key=lambda e: e.accelerator.step_factor)
+    used_ids = {stage.engine.server_id for stage in chain}
+    redundant = redundant_engines(engines)
+    movable = [e for e in redundant if e.server_id not in used_ids and not e.busy]
+    return sorted(movable, key=lambda e: e.accelerator.step_factor)
--- a/src/railfold/_internal/decisions/placement/supply.py
+++ b/src/railfold/_internal/decisions/placement/parallel_chains.py
@@ -19,7 +19,7 @@
 from math import inf
 
 from railfold._internal.core import LayerRange
-from railfold._internal.decisions.placement.rooms import EngineRoom
+from railfold._internal.decisions.placement.engines import EnginePlacement
 from railfold._internal.decisions.placement.throughput import (
     STAGE_DELAY_S,
     stage_residence_s,
@@ -29,10 +29,10 @@
 
 __all__ = [
     "ParallelChain",
-    "Supply",
-    "chain_use",
-    "reckon_supply",
-    "unused_layer_rooms",
+    "ThroughputEstimate",
+    "chain_utilization",
+    "estimate_throughput",
+    "spare_layer_capacity",
 ]
 
 # Chains that are reckoned at most; each fills an engine, and the last ones are slow.
@@ -40,10 +40,10 @@
 
 # A chain takes this part of a batch at most at a time, so that first engines before the
 # same fast ones are used alike.
-_LAID_AT_ONCE = 0.5
+_MAX_BATCH_SHARE = 0.5
 
 # An engine without memory for one usual request more isn't part of another chain.
-_LEAST_REQUESTS = 1.0 - 1e-6
+_MIN_REQUESTS = 1.0 - 1e-6
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Supply:
+class ThroughputEstimate:
     """The chains that engines serve at a time, those that were found first first."""
 
     chains: tuple[ParallelChain, ...]
@@ -96,126 +96,140 @@
     :param busy: the part of its time that its batches need.
     """
 
-    engine: EngineRoom
-    held: LayerRange
+    engine: EnginePlacement
+    held_layers: LayerRange
     layer_s: float
-    free_layers: float
+    free_layer_states: float
     free_sequences: float
-    entered: float = 0.0
-    passing: float = 0.0
-    busy: float = 0.0
+    entering_requests: float = 0.0
+    assigned_requests: float = 0.0
+    utilization: float = 0.0
 
-    def room(self, layers: LayerRange) -> float:
+    def request_capacity(self, layers: LayerRange) -> float:
         """Return how many requests more it can run so many layers of."""
-        room = self.free_layers / len(layers)
-        return min(room, self.free_sequences) if layers.first == 0 else room
+        request_capacity = self.free_layer_states / len(layers)
+        return (
+            min(request_capacity, self.free_sequences)
+            if layers.first == 0
+            else request_capacity
+        )
 
-    def take(self, requests: float, layers: LayerRange) -> None:
+    def reserve(self, requests: float, layers: LayerRange) -> None:
         """Take requests up to run so many layers of them."""
-        self.passing += requests
-        self.free_layers -= requests * len(layers)
+        self.assigned_requests += requests
+        self.free_layer_states -= requests * len(layers)
         if layers.first == 0:
-            self.entered += requests
+            self.entering_requests += requests
             self.free_sequences -= requests
 
     @property
     def is_full(self) -> bool:
         """Whether it can be part of no further chain."""
-        return self.room(LayerRange(1, 1)) < _LEAST_REQUESTS
+        return self.request_capacity(LayerRange(1, 1)) < _MIN_REQUESTS
 
 
 _Stage = tuple[_EngineState, LayerRange]
 
 
-def reckon_supply(
-    engines: Sequence[EngineRoom], model: EngineModel, objective_s: float = inf
-) -> Supply:
+def estimate_throughput(
+    engines: Sequence[EnginePlacement], model: EngineModel, objective_s: float = inf
+) -> ThroughputEstimate:
     """Return what engines serve over parallel chains, as they hold layers now.
 
     :param objective_s: the longest time to a first event that is of use to a client.
     """
-    laid = _lay_chains(_by_layer(engines, model), model)
-    alone = [_batch(stages, model) for stages, _ in laid]
-    for (stages, requests), batch in zip(laid, alone, strict=True):
-        batch.load(stages, requests, model)
-    chains = (
-        _chain(stages, requests, batch, objective_s)
-        for (stages, requests), batch in zip(laid, alone, strict=True)
+    built = _build_chains(_engines_by_layer(engines, model), model)
+    batches = [_batch(stages, model) for stages, _ in built]
+    for (stages, requests), batch in zip(built, batches, strict=True):
+        batch.add_utilization(stages, requests, model)
+    parallel = (
+        _parallel_chain(stages, requests, batch, objective_s)
+        for (stages, requests), batch in zip(built, batches, strict=True)
     )
-    return Supply(tuple(chain for chain in chains if chain is not None))
+    return ThroughputEstimate(tuple(chain for chain in parallel if chain is not None))
 
 
-def chain_use(engines: Sequence[EngineRoom], model: EngineModel) -> dict[str, float]:
+def chain_utilization(
+    engines: Sequence[EnginePlacement], model: EngineModel
+) -> dict[str, float]:
     """Return the part of each engine's room that parallel chains use, from 0 to 1."""
-    use = {engine.server_id: 0.0 for engine in engines}
-    for stages, _ in _lay_chains(_by_layer(engines, model), model):
+    utilization = {engine.server_id: 0.0 for engine in engines}
+    for stages, _ in _build_chains(_engines_by_layer(engines, model), model):
         for state, _ in stages:
-            left = max(0.0, state.room(state.held))
-            use[state.engine.server_id] = state.passing / (state.passing + left)
-    return use
+            remaining = max(0.0, state.request_capacity(state.held_layers))
+            utilization[state.engine.server_id] = state.assigned_requests / (
+                state.assigned_requests + remaining
+            )
+    return utilization
 
 
-def unused_layer_rooms(
-    engines: Sequence[EngineRoom], model: EngineModel
+def spare_layer_capacity(
+    engines: Sequence[EnginePlacement], model: EngineModel
 ) -> list[float]:
     """Return how many requests more each layer's engines have room for.
 
     That is beside the chains that they serve, in each of which an engine takes part.
     """
-    by_layer = _by_layer(engines, model)
-    _lay_chains(by_layer, model)
+    by_layer = _engines_by_layer(engines, model)
+    _build_chains(by_layer, model)
     return [
-        sum(max(0.0, state.room(state.held)) for state in states) for states in by_layer
+        sum(max(0.0, state.request_capacity(state.held_layers)) for state in states)
+        for states in by_layer
     ]
 
 
-def _lay_chains(
+def _build_chains(
     by_layer: Sequence[list[_EngineState]], model: EngineModel
 ) -> list[tuple[list[_Stage], float]]:
     """Return chains, one after the other, and how many requests each of them takes.
 
     Engines that are full are taken out of ``by_layer``.
     """
-    laid: list[tuple[list[_Stage], float]] = []
-    while len(laid) < _MAX_CHAINS:
+    chains: list[tuple[list[_Stage], float]] = []
+    while len(chains) < _MAX_CHAINS:
         stages = _fastest_stages(by_layer, model)
         if stages is None:
             break
-        requests = min(state.room(layers) for state, layers in stages)
-        requests = min(requests, _LAID_AT_ONCE * model.max_sequences)
+        requests = min(state.request_capacity(layers) for state, layers in stages)
+        requests = min(requests, _MAX_BATCH_SHARE * model.max_sequences)
         for state, layers in stages:
-            state.take(requests, layers)
+            state.reserve(requests, layers)
         for state, _ in stages:
             if state.is_full:
-                for layer in range(state.held.first, state.held.last + 1):
+                for layer in range(state.held_layers.first, state.held_layers.last + 1):
                     by_layer[layer].remove(state)
-        laid.append((stages, requests))
-    return laid
+        chains.append((stages, requests))
+    return chains
 
 
-def _by_layer(
-    engines: Sequence[EngineRoom], model: EngineModel
+def _engines_by_layer(
+    engines: Sequence[EnginePlacement], model: EngineModel
 ) -> list[list[_EngineState]]:
     """Return the engines that hold each layer, fast ones first."""
     state_mb = model.mean_tokens * model.request_mb_per_token
     states: list[_EngineState] = []
     for engine in engines:
-        if engine.held is None:
+        if engine.held_layers is None:
             continue
-        held = LayerRange(
-            max(0, engine.held.first), min(engine.held.last, model.layer_count - 1)
+        held_layers = LayerRange(
+            max(0, engine.held_layers.first),
+            min(engine.held_layers.last, model.layer_count - 1),
+        )
+        free_mb = (
+            engine.accelerator.memory_mb - len(engine.held_layers) * model.layer_mb
         )
-        free_mb = engine.accelerator.memory_mb - len(engine.held) * model.layer_mb
-        whole_s = stage_residence_s(engine.accelerator, model, model.layer_count, 1.0)
-        layer_s = whole_s / model.layer_count
+        all_layers_s = stage_residence_s(
+            engine.accelerator, model, model.layer_count, 1.0
+        )
+        layer_s = all_layers_s / model.layer_count
         sequences = float(model.max_sequences)
         states.append(
-            _EngineState(engine, held, layer_s, free_mb / state_mb, sequences)
+            _EngineState(engine, held_layers, layer_s, free_mb / state_mb, sequences)
         )
     states.sort(key=lambda state: (state.layer_s, state.engine.server_id))
     by_layer: list[list[_EngineState]] = [[] for _ in range(model.layer_count)]
     for state in states:
-        for layer in range(state.held.first, state.held.last + 1):
+        for layer in range(state.held_layers.first, state.held_layers.last + 1):
             by_layer[layer].append(state)
     return by_layer
 
@@ -229,7 +243,9 @@
     """
     delay_s = model.answer_tokens * STAGE_DELAY_S
     # What entered before at a first engine holds up what enters now.
-    hold_up_s = [model.prompt_s * state.entered for state in by_layer[0]]
+    prefill_delay_s = [
+        model.prompt_s * state.entering_requests for state in by_layer[0]
+    ]
     stages: list[_Stage] = []
     layer = 0
     while layer < model.layer_count:
@@ -238,17 +254,19 @@
         for index, state in enumerate(by_layer[layer]):
             if state.layer_s >= best_s:
                 break
-            run = state.held.last - layer + 1
-            layer_s = state.layer_s + delay_s / run
+            run_count = state.held_layers.last - layer + 1
+            layer_s = state.layer_s + delay_s / run_count
             if layer == 0:
-                layer_s += state.engine.accelerator.prefill_factor * hold_up_s[index]
-            layers = LayerRange(layer, state.held.last)
-            if layer_s < best_s and state.room(layers) >= _LEAST_REQUESTS:
+                layer_s += (
+                    state.engine.accelerator.prefill_factor * prefill_delay_s[index]
+                )
+            layers = LayerRange(layer, state.held_layers.last)
+            if layer_s < best_s and state.request_capacity(layers) >= _MIN_REQUESTS:
                 best, best_s = state, layer_s
         if best is None:
             return None
-        stages.append((best, LayerRange(layer, best.held.last)))
-        layer = best.held.last + 1
+        stages.append((best, LayerRange(layer, best.held_layers.last)))
+        layer = best.held_layers.last + 1
     return stages
 
 
@@ -263,50 +281,53 @@
     """
 
     step_s: float
-    read_s: float
+    prefill_s: float
     first_event_s: float
     residence_s: float
 
-    def load(
+    def add_utilization(
         self, stages: Sequence[_Stage], requests: float, model: EngineModel
     ) -> None:
         """Count the time that this chain needs of its engines."""
         first, _ = stages[0]
         arriving_rps = requests / self.residence_s
-        share = requests / first.entered
-        reading = first.entered / self.residence_s * self.read_s
-        steps_per_s = share * max(0.0, 1.0 - reading) / self.step_s
+        share = requests / first.entering_requests
+        prefill_share = first.entering_requests / self.residence_s * self.prefill_s
+        steps_per_s = share * max(0.0, 1.0 - prefill_share) / self.step_s
         for state, layers in stages:
-            kind, run = state.engine.accelerator, len(layers)
-            token_s = stage_token_s(kind, model, run, first.entered) - STAGE_DELAY_S
-            read_s = stage_residence_s(kind, model, run, 0.0) - (
-                model.answer_tokens * stage_token_s(kind, model, run, 0.0)
+            accelerator, run_count = state.engine.accelerator, len(layers)
+            token_s = (
+                stage_token_s(accelerator, model, run_count, first.entering_requests)
+                - STAGE_DELAY_S
+            )
+            prefill_s = stage_residence_s(accelerator, model, run_count, 0.0) - (
+                model.answer_tokens * stage_token_s(accelerator, model, run_count, 0.0)
             )
-            state.busy += steps_per_s * token_s + arriving_rps * read_s
+            state.utilization += steps_per_s * token_s + arriving_rps * prefill_s
 
 
 def _batch(stages: Sequence[_Stage], model: EngineModel) -> _Batch:
-    sequences = stages[0][0].entered
+    sequences = stages[0][0].entering_requests
     step_s = total_s = 0.0
     for state, layers in stages:
-        kind, run = state.engine.accelerator, len(layers)
-        step_s += stage_token_s(kind, model, run, sequences)
-        total_s += stage_residence_s(kind, model, run, sequences)
-    read_s = total_s - model.answer_tokens * step_s
+        accelerator, run_count = state.engine.accelerator, len(layers)
+        step_s += stage_token_s(accelerator, model, run_count, sequences)
+        total_s += stage_residence_s(accelerator, model, run_count, sequences)
+    prefill_s = total_s - model.answer_tokens * step_s
     return _Batch(
         step_s,
-        read_s,
-        first_event_s=read_s + model.tokens_per_event * step_s,
-        residence_s=total_s + sequences * read_s,
+        prefill_s,
+        first_event_s=prefill_s + model.tokens_per_event * step_s,
+        residence_s=total_s + sequences * prefill_s,
     )
 
 
-def _chain(
+def _parallel_chain(
     stages: Sequence[_Stage], requests: float, batch: _Batch, objective_s: float
 ) -> ParallelChain | None:
     """Return a chain beside all the others; nothing if it is too slow."""
-    stretch = max(1.0, *(state.busy for state, _ in stages))
-    if stretch * batch.first_event_s > objective_s:
+    slowdown = max(1.0, *(state.utilization for state, _ in stages))
+    if slowdown * batch.first_event_s > objective_s:
         return None
-    named = tuple((state.engine.server_id, layers) for state, layers in stages)
-    return ParallelChain(named, requests, stretch * batch.residence_s)
+    stage_ids = tuple((state.engine.server_id, layers) for state, layers in stages)
+    return ParallelChain(stage_ids, requests, slowdown * batch.residence_s)
--- a/src/railfold/_internal/decisions/placement/plan.py
+++ b/src/railfold/_internal/decisions/placement/plan.py
@@ -13,15 +13,15 @@
 from math import inf
 
 from railfold._internal.core import LayerRange
-from railfold._internal.decisions.placement.copies import safest_copies
-from railfold._internal.decisions.placement.improve import improve
-from railfold._internal.decisions.placement.repair import repair
-from railfold._internal.decisions.placement.rooms import (
+from railfold._internal.decisions.placement.copies import place_safest_copies
+from railfold._internal.decisions.placement.engines import (
     Changes,
-    EngineRoom,
+    EnginePlacement,
     max_layers,
-    uncovered_layers,
+    uncovered_ranges,
 )
+from railfold._internal.decisions.placement.improve import improve
+from railfold._internal.decisions.placement.repair import repair
 from railfold._internal.decisions.placement.spread import best_spread
 from railfold._internal.decisions.routing_table import EngineModel
 
@@ -29,7 +29,7 @@
 
 
 def plan_layers(
-    engines: Iterable[EngineRoom],
+    engines: Iterable[EnginePlacement],
     model: EngineModel,
     needed_rps: float = inf,
     objective_s: float = inf,
@@ -44,14 +44,14 @@
     :param objective_s: the longest time to a first event that is of use to a client.
     """
     ordered = sorted(engines, key=lambda engine: engine.server_id)
-    if not any(engine.held for engine in ordered):
-        return _first_plan(ordered, model)
-    if uncovered_layers((e.held for e in ordered), model.layer_count):
+    if not any(engine.held_layers for engine in ordered):
+        return _initial_plan(ordered, model)
+    if uncovered_ranges((e.held_layers for e in ordered), model.layer_count):
         return repair(ordered, model, needed_rps) or {}
     return improve(ordered, model, needed_rps, objective_s)
 
 
-def _first_plan(engines: Sequence[EngineRoom], model: EngineModel) -> Changes:
+def _initial_plan(engines: Sequence[EnginePlacement], model: EngineModel) -> Changes:
     spread = best_spread(engines, model)
     if spread is None:
         return {}
@@ -64,13 +64,13 @@
         for engine in engines
         if engine.server_id in spread.layers
     }
-    placed = [replace(e, held=plan.get(e.server_id)) for e in engines]
-    return plan | safest_copies(placed, model)
+    placed = [replace(e, held_layers=plan.get(e.server_id)) for e in engines]
+    return plan | place_safest_copies(placed, model)
 
 
-def _widened(layers: LayerRange, limit: int, layer_count: int) -> LayerRange:
+def _widened(layers: LayerRange, max_size: int, layer_count: int) -> LayerRange:
     """Widen a range on both sides to ``limit`` layers."""
-    extra = limit - len(layers)
+    extra = max_size - len(layers)
     before = min(layers.first, extra // 2)
     after = min(layer_count - 1 - layers.last, extra - before)
     before = min(layers.first, extra - after)
--- a/src/railfold/_internal/decisions/placement/spread.py
+++ b/src/railfold/_internal/decisions/placement/spread.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 
 from railfold._internal.core import LayerRange
-from railfold._internal.decisions.placement.rooms import EngineRoom, max_layers
+from railfold._internal.decisions.placement.engines import EnginePlacement, max_layers
 from railfold._internal.decisions.placement.throughput import (
-    room_levels,
+    concurrency_levels,
     stage_residence_s,
 )
 from railfold._internal.decisions.routing_table import EngineModel
@@ -22,7 +22,7 @@
 
 # Of spreads whose throughput is within this part of the best one's the fastest is
 # taken: the reckoning is no finer, and requests that stay less long are lost less.
-_ABOUT_BEST = 0.95
+_NEAR_BEST_SHARE = 0.95
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,30 +44,34 @@
         return self.requests / self.residence_s
 
 
-def best_spread(engines: Sequence[EngineRoom], model: EngineModel) -> Spread | None:
+def best_spread(
+    engines: Sequence[EnginePlacement], model: EngineModel
+) -> Spread | None:
     """Return the spread that serves the most; nothing if the layers don't fit.
 
     :param engines: in the order in which they take layers.
     """
-    found = list(spreads(engines, model))
-    if not found:
+    candidates = list(spreads(engines, model))
+    if not candidates:
         return None
-    most_rps = max(spread.throughput_rps for spread in found)
-    about_best = [s for s in found if s.throughput_rps >= _ABOUT_BEST * most_rps]
-    return min(about_best, key=lambda spread: spread.residence_s)
+    best_rps = max(spread.throughput_rps for spread in candidates)
+    near_best = [
+        s for s in candidates if s.throughput_rps >= _NEAR_BEST_SHARE * best_rps
+    ]
+    return min(near_best, key=lambda spread: spread.residence_s)
 
 
-def spreads(engines: Sequence[EngineRoom], model: EngineModel) -> Iterable[Spread]:
+def spreads(engines: Sequence[EnginePlacement], model: EngineModel) -> Iterable[Spread]:
     """Yield a spread for each number of requests in flight that is worth a look."""
-    for requests in room_levels(model):
-        most = [max_layers(e.accelerator, model, requests) for e in engines]
-        if sum(most) >= model.layer_count:
-            yield _spread(engines, most, model, requests)
+    for requests in concurrency_levels(model):
+        layer_limits = [max_layers(e.accelerator, model, requests) for e in engines]
+        if sum(layer_limits) >= model.layer_count:
+            yield _spread(engines, layer_limits, model, requests)
 
 
 def _spread(
-    engines: Sequence[EngineRoom],
-    most: Sequence[int],
+    engines: Sequence[EnginePlacement],
+    layer_limits: Sequence[int],
     model: EngineModel,
     requests: float,
 ) -> Spread:
@@ -75,7 +79,7 @@
     residence_s = 0.0
     first = 0
     for engine, size in zip(
-        engines, _sizes(engines, most, model.layer_count), strict=True
+        engines, _sizes(engines, layer_limits, model.layer_count), strict=True
     ):
         if size == 0:
             continue
@@ -86,7 +90,7 @@
 
 
 def _sizes(
-    engines: Sequence[EngineRoom], most: Sequence[int], layer_count: int
+    engines: Sequence[EnginePlacement], layer_limits: Sequence[int], layer_count: int
 ) -> list[int]:
     """Return how many layers each engine runs; the fastest run their most.
 
@@ -94,12 +98,15 @@
     ones those come first that hold layers already.
     """
     sizes = [0] * len(engines)
-    left = layer_count
+    remaining = layer_count
     by_speed = sorted(
         range(len(engines)),
-        key=lambda i: (engines[i].accelerator.step_factor, engines[i].held is None),
+        key=lambda i: (
+            engines[i].accelerator.step_factor,
+            engines[i].held_layers is None,
+        ),
     )
     for i in by_speed:
-        sizes[i] = min(most[i], left)
-        left -= sizes[i]
+        sizes[i] = min(layer_limits[i], remaining)
+        remaining -= sizes[i]
     return sizes
--- a/src/railfold/_internal/decisions/placement/throughput.py
+++ b/src/railfold/_internal/decisions/placement/throughput.py
@@ -13,13 +13,16 @@
 
 from collections.abc import Iterable, Sequence
 
-from railfold._internal.decisions.placement.rooms import EngineRoom, request_room
+from railfold._internal.decisions.placement.engines import (
+    EnginePlacement,
+    request_capacity,
+)
 from railfold._internal.decisions.routing_table import Accelerator, EngineModel
 
 __all__ = [
     "STAGE_DELAY_S",
-    "domain_throughput_rps",
-    "room_levels",
+    "best_chain_throughput_rps",
+    "concurrency_levels",
     "stage_residence_s",
     "stage_token_s",
 ]
@@ -30,14 +33,14 @@
 
 # Numbers of requests in flight that are looked at, each this part of the one before:
 # half of a level changes how many layers fit by one or two.
-_LEVEL_STEP = 0.6
+_LEVEL_RATIO = 0.6
 
 
-def room_levels(model: EngineModel) -> list[float]:
+def concurrency_levels(model: EngineModel) -> list[float]:
     """Return numbers of requests in flight that are worth a look, most first."""
     levels = [float(model.max_sequences)]
     while levels[-1] > 1.0:
-        levels.append(max(1.0, levels[-1] * _LEVEL_STEP))
+        levels.append(max(1.0, levels[-1] * _LEVEL_RATIO))
     return levels
 
 
@@ -49,8 +52,8 @@
     :param layers: how many layers the stage runs.
     :param requests: how many requests are in flight on its chain.
     """
-    share = layers / model.layer_count
-    prompt_s = share * accelerator.prefill_factor * model.prompt_s
+    layer_share = layers / model.layer_count
+    prompt_s = layer_share * accelerator.prefill_factor * model.prompt_s
     token_s = stage_token_s(accelerator, model, layers, requests)
     return prompt_s + model.answer_tokens * token_s
 
@@ -59,20 +62,22 @@
     accelerator: Accelerator, model: EngineModel, layers: int, requests: float
 ) -> float:
     """Return how long each token spends at a stage; parameters as above."""
-    share = layers / model.layer_count
+    layer_share = layers / model.layer_count
     step_s = model.step_s + requests * model.sequence_step_s
-    return share * accelerator.step_factor * step_s + STAGE_DELAY_S
+    return layer_share * accelerator.step_factor * step_s + STAGE_DELAY_S
 
 
-def domain_throughput_rps(engines: Iterable[EngineRoom], model: EngineModel) -> float:
+def best_chain_throughput_rps(
+    engines: Iterable[EnginePlacement], model: EngineModel
+) -> float:
     """Return how many usual requests a second a domain's best chain serves.
 
     0 if its engines hold no whole chain. Chains beside the best one aren't counted:
     that tells how good a repair is, and not what a whole domain serves.
     """
-    placed = [e for e in engines if e.held is not None]
+    placed = [e for e in engines if e.held_layers is not None]
     best = 0.0
-    for requests in room_levels(model):
+    for requests in concurrency_levels(model):
         residence_s = _shortest_residence_s(placed, model, requests)
         if residence_s is not None:
             best = max(best, requests / residence_s)
@@ -80,28 +85,34 @@
 
 
 def _shortest_residence_s(
-    engines: Sequence[EngineRoom], model: EngineModel, requests: float
+    engines: Sequence[EnginePlacement], model: EngineModel, requests: float
 ) -> float | None:
     """Return how long a request stays on the fastest chain with room for so many.
 
     Like the planner's chains, these may enter a range behind its first layer, and
     run it to its end.
     """
-    reached_s: dict[int, float] = {0: 0.0}
+    shortest_s: dict[int, float] = {0: 0.0}
     for layer in range(model.layer_count):
-        so_far_s = reached_s.get(layer)
+        so_far_s = shortest_s.get(layer)
         if so_far_s is None:
             continue
         for engine in engines:
-            held = engine.held
-            if held is None or not held.first <= layer <= held.last:
+            held_layers = engine.held_layers
+            if (
+                held_layers is None
+                or not held_layers.first <= layer <= held_layers.last
+            ):
                 continue
-            run = held.last - layer + 1
-            if request_room(engine.accelerator, model, len(held), run) < requests:
+            run_count = held_layers.last - layer + 1
+            if (
+                request_capacity(engine.accelerator, model, len(held_layers), run_count)
+                < requests
+            ):
                 continue
             total_s = so_far_s + stage_residence_s(
-                engine.accelerator, model, run, requests
+                engine.accelerator, model, run_count, requests
             )
-            if total_s < reached_s.get(held.last + 1, float("inf")):
-                reached_s[held.last + 1] = total_s
-    return reached_s.get(model.layer_count)
+            if total_s < shortest_s.get(held_layers.last + 1, float("inf")):
+                shortest_s[held_layers.last + 1] = total_s
+    return shortest_s.get(model.layer_count)
--- a/src/railfold/_internal/decisions/planner.py
+++ b/src/railfold/_internal/decisions/planner.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field, replace
 
 from railfold._internal.core import Chain, LayerRange, Stage
-from railfold._internal.decisions.coverage import describe_layers, uncovered
+from railfold._internal.decisions.coverage import describe_layers, uncovered_layers
 from railfold._internal.errors import NoCapacityError
 
 __all__ = [
@@ -239,7 +239,9 @@
 
 
 def _gap(usable: list[Replica], layer_count: int) -> str:
-    missing = uncovered((replica.stage.layers for replica in usable), layer_count)
+    missing = uncovered_layers(
+        (replica.stage.layers for replica in usable), layer_count
+    )
     if not missing:
         return "the live ranges don't join up"
     return f"layers not covered: {describe_layers(missing)}"
--- a/src/railfold/_internal/forwarding/requests/chain_balancer.py
+++ b/src/railfold/_internal/forwarding/requests/chain_balancer.py
@@ -137,7 +137,7 @@
         now_s = asyncio.get_running_loop().time()
 
         def crossing_cost(one: str, other: str) -> float:
-            return self._router.pipes.cost(one, other, model, needs, now_s)
+            return self._router.pipes.crossing_cost(one, other, model, needs, now_s)
 
         return search_all_chains(candidates, model.layer_count, home, crossing_cost)
 
@@ -151,7 +151,9 @@
             self._router.metrics.count("chains.borrowed")
             self._router.metrics.count("chains.crossings", len(pairs))
         for pair in pairs:
-            self._router.pipes.crossed(*pair, model, needs, self._router.entries, now_s)
+            self._router.pipes.record_crossing(
+                *pair, model, needs, self._router.entries, now_s
+            )
 
     def _candidates(
         self,
--- a/src/railfold/_internal/forwarding/requests/chain_planner.py
+++ b/src/railfold/_internal/forwarding/requests/chain_planner.py
@@ -15,7 +15,7 @@
     choose_sparing,
 )
 from railfold._internal.decisions.chain_costs import RequestNeeds
-from railfold._internal.decisions.coverage import describe_shortages, shortage_of
+from railfold._internal.decisions.coverage import describe_shortages, domain_shortage
 from railfold._internal.decisions.domains import group_by_domain
 from railfold._internal.decisions.eligibility import EndingBar, Role, Terms
 from railfold._internal.decisions.load_shedding import BackingOff, HalfOpen
@@ -189,7 +189,7 @@
                 for r in usable
                 if r.failure_domain == domain and not r.full
             ]
-            shortages.append(shortage_of(domain, held, free, model.layer_count))
+            shortages.append(domain_shortage(domain, held, free, model.layer_count))
         return NoCapacityError(
             "no live backend servers with room cover all layers",
             why=describe_shortages(shortages),
--- a/src/railfold/_internal/forwarding/router.py
+++ b/src/railfold/_internal/forwarding/router.py
@@ -25,7 +25,7 @@
 from railfold._internal.decisions.placement import (
     stage_residence_s,
     stage_token_s,
-    uncovered_layers,
+    uncovered_ranges,
 )
 from railfold._internal.decisions.planner import LinkCosts, PlannerWeights
 from railfold._internal.decisions.retry_budget import RetryBudgets
@@ -324,7 +324,7 @@
             model = spec.model
             if model is None:
                 continue
-            if any(uncovered_layers(r, model.layer_count) for r in held.values()):
+            if any(uncovered_ranges(r, model.layer_count) for r in held.values()):
                 return True
         return False
 
@@ -423,9 +423,9 @@
         self.metrics.timing(f"prediction.first_event_{side}.{kind}", abs(late_s))
         now_s = asyncio.get_running_loop().time()
         for one, other in crossings([r.failure_domain for r in known]):
-            if self.pipes.observed(one, other, late_s, objective_s, now_s):
+            if self.pipes.record_first_event(one, other, late_s, objective_s, now_s):
                 self.metrics.count("pipes.cut")
-                share = round(self.pipes.share(one, other), 3)
+                share = round(self.pipes.quota_share(one, other), 3)
                 self.log.write(PipeShareCut(one, other, share, round(late_s * 1000)))
 
     def registered_id(self, server_id: str) -> str:
--- a/src/railfold/_internal/forwarding/servers/placement.py
+++ b/src/railfold/_internal/forwarding/servers/placement.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, replace
 
 from railfold._internal.core import LayerRange
-from railfold._internal.decisions.domains import group_by_domain, in_groups
+from railfold._internal.decisions.domains import group_by_domain, split_into_groups
 from railfold._internal.decisions.engine_directory import DirectoryEntry
 from railfold._internal.decisions.leadership import Leadership
 from railfold._internal.decisions.orders import (
@@ -28,14 +28,14 @@
     WaitForSuccessor,
 )
 from railfold._internal.decisions.placement import (
-    EngineRoom,
-    are_surely_busy,
-    group_needs,
-    new_layers,
+    EnginePlacement,
+    all_engines_busy,
+    count_layers_to_load,
+    estimate_throughput,
+    group_demands_rps,
     plan_layers,
     planning_order,
-    reckon_supply,
-    uncovered_layers,
+    uncovered_ranges,
 )
 from railfold._internal.decisions.routing_table import (
     EngineModel,
@@ -82,7 +82,7 @@
 _RATE_STEP = 1.25
 
 # What a plan for a group of engines depends on.
-_Question = tuple[EngineModel, tuple[EngineRoom, ...], "_Wanted"]
+_Question = tuple[EngineModel, tuple[EnginePlacement, ...], "_Wanted"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -101,7 +101,7 @@
 _GroupKey = tuple[str, int]
 
 # What the throughput of a group depends on, and the throughput.
-_KnownSupply = tuple[tuple[EngineModel, tuple[EngineRoom, ...], float], float]
+_KnownSupply = tuple[tuple[EngineModel, tuple[EnginePlacement, ...], float], float]
 
 
 @dataclass(frozen=True, slots=True)
@@ -188,7 +188,7 @@
             _Group(members[0].registration.failure_domain, number, tuple(members))
             for domain_members in _by_domain(free, model)
             for number, members in enumerate(
-                in_groups(domain_members, lambda e: e.server_id)
+                split_into_groups(domain_members, lambda e: e.server_id)
             )
         ]
         arriving_rps = self._router.arriving_rps(spec.name)
@@ -197,7 +197,7 @@
         served_rps = [self._served_rps(g, model, objective_s) for g in groups]
         for index in planning_order(served_rps):
             group = groups[index]
-            group_rps = group_needs(served_rps, needed_rps)[index]
+            group_rps = group_demands_rps(served_rps, needed_rps)[index]
             wanted = _Wanted(group_rps, objective_s)
             plan = self._group_plan(group, model, wanted, part_rps)
             self._targets.update(plan)
@@ -243,7 +243,7 @@
         known = self._supplies.get(group.key)
         if known is not None and known[0] == question:
             return known[1]
-        supply = reckon_supply(rooms, model, objective_s)
+        supply = estimate_throughput(rooms, model, objective_s)
         self._supplies[group.key] = (question, supply.throughput_rps)
         return supply.throughput_rps
 
@@ -251,8 +251,8 @@
         self, group: _Group, model: EngineModel, wanted: _Wanted, arriving_rps: float
     ) -> dict[str, LayerRange]:
         rooms = tuple(self._room(entry, model) for entry in group.members)
-        if are_surely_busy(rooms, model, arriving_rps):
-            rooms = tuple(replace(r, busy=r.held is not None) for r in rooms)
+        if all_engines_busy(rooms, model, arriving_rps):
+            rooms = tuple(replace(r, busy=r.held_layers is not None) for r in rooms)
         # Most looks find what the one before found, and a plan takes some 10 ms.
         question = (model, rooms, wanted)
         if self._left_as_is.get(group.key) == question:
@@ -268,15 +268,17 @@
     def _log_plan(
         self,
         domain: str,
-        rooms: tuple[EngineRoom, ...],
+        rooms: tuple[EnginePlacement, ...],
         model: EngineModel,
         wanted: _Wanted,
         plan: dict[str, LayerRange],
     ) -> None:
         self._router.metrics.count("layers.planned")
-        after = [replace(r, held=plan.get(r.server_id, r.held)) for r in rooms]
-        now = reckon_supply(rooms, model, wanted.objective_s)
-        then = reckon_supply(after, model, wanted.objective_s)
+        after = [
+            replace(r, held_layers=plan.get(r.server_id, r.held_layers)) for r in rooms
+        ]
+        now = estimate_throughput(rooms, model, wanted.objective_s)
+        then = estimate_throughput(after, model, wanted.objective_s)
         event = LayersPlanned(
             domain,
             round(now.throughput_rps, 1),
@@ -288,18 +290,18 @@
         )
         self._router.log.write(event)
 
-    def _room(self, entry: DirectoryEntry, model: EngineModel) -> EngineRoom:
+    def _room(self, entry: DirectoryEntry, model: EngineModel) -> EnginePlacement:
         """Return an engine as plans see it.
 
         What was planned counts as held: a plan is carried out over many looks, and
         only changed where an engine was lost.
         """
         kind = model.accelerators[entry.registration.accelerator]
-        return EngineRoom(
+        return EnginePlacement(
             entry.server_id,
             kind.slowed(entry.slowness),
             self._targets.get(entry.server_id, entry.registration.layers),
-            under_order=entry.server_id in self._targets,
+            order_pending=entry.server_id in self._targets,
             busy=self._router.fleet_load.own_part(entry.server_id).tokens > 0,
         )
 
@@ -333,7 +335,7 @@
         """Return engines to order: those of the most complete domains first."""
         missing: dict[str, int] = {}
         for members in _by_domain(entries, model):
-            gaps = uncovered_layers(
+            gaps = uncovered_ranges(
                 (e.registration.layers for e in members), model.layer_count
             )
             domain = members[0].registration.failure_domain
@@ -389,7 +391,7 @@
         now_s: float,
     ) -> float:
         """Return how long an engine takes to load what it doesn't hold, undisturbed."""
-        load_s = model.load_s * new_layers(held, layers) / model.layer_count
+        load_s = model.load_s * count_layers_to_load(held, layers) / model.layer_count
         early = now_s - self._started_s < _FIRST_START_S + _SETTLED_MOST_S
         if self._first_start and early:
             return load_s * _FIRST_START_LOAD_SHARE
--- a/tests/lib/fleet_draws.py
+++ b/tests/lib/fleet_simulation.py
@@ -55,7 +55,7 @@
     activation_bytes=40_000.0,
     pipe_bytes_per_s=1e9,
 )
-LIFETIME_S = 2.0
+LOAD_LIFETIME_S = 2.0
 
 
 @dataclass(frozen=True)
@@ -72,7 +72,7 @@
         return MODEL.state_tokens(self.accelerator, len(self.layers))
 
 
-def chain_of(
+def make_chain(
     domain: str, name: str, accelerator: Accelerator, stages: int
 ) -> list[Engine]:
     """Return engines that hold all layers between them."""
@@ -88,20 +88,20 @@
     ]
 
 
-def uneven_fleet(domains: int = 3) -> list[Engine]:
+def mixed_speed_fleet(domains: int = 3) -> list[Engine]:
     """Return three parallel chains of unlike speeds in each failure domain."""
     return [
         engine
         for domain in (f"hall-{n}" for n in range(domains))
         for engine in (
-            *chain_of(domain, "fast", FAST, 4),
-            *chain_of(domain, "middle", MIDDLE, 5),
-            *chain_of(domain, "slow", SLOW, 8),
+            *make_chain(domain, "fast", FAST, 4),
+            *make_chain(domain, "middle", MIDDLE, 5),
+            *make_chain(domain, "slow", SLOW, 8),
         )
     ]
 
 
-def throughput_rps(engines: list[Engine]) -> float:
+def chain_throughput_rps(engines: list[Engine]) -> float:
     """Return how many usual requests a second a chain of engines serves when full."""
     room = min(engine.capacity_tokens for engine in engines) / MODEL.mean_tokens
     sequences = min(room, float(MODEL.max_sequences))
@@ -116,7 +116,7 @@
 
 
 @dataclass(frozen=True)
-class Load:
+class Workload:
     """What arrives.
 
     :param rps: mean over all failure domains.
@@ -130,9 +130,9 @@
     entries: int = 12
     domains: int = 3
     duration_s: float = 20.0
-    swing: float = 0.5
+    rate_swing: float = 0.5
     period_s: float = 15.0
-    news_s: float = 0.25
+    announce_interval_s: float = 0.25
     loose_share: float = 0.0
     pipe_share: float = 1.0
     objective_s: float = 0.5
@@ -146,36 +146,38 @@
     arrived: int = 0
     in_time: int = 0
     rejected: int = 0
-    unplaced: int = 0
-    late_start: int = 0
-    late_pause: int = 0
+    without_chain: int = 0
+    late_first_events: int = 0
+    long_pauses: int = 0
     crossings: int = 0
     sent: Counter[str] = field(default_factory=Counter)
     loose_sent: Counter[str] = field(default_factory=Counter)
 
 
 # Chooses the engines of a request's chain, each with its layers, if there are any.
-Choose = Callable[["Fleet", int, RequestNeeds, float], list[tuple[Engine, LayerRange]]]
+ChooseChain = Callable[
+    ["FleetSimulation", int, RequestNeeds, float], list[tuple[Engine, LayerRange]]
+]
 
 
-class Fleet:
+class FleetSimulation:
     """Entries and engines of one play."""
 
-    def __init__(self, engines: list[Engine], load: Load, seed: int) -> None:
+    def __init__(self, engines: list[Engine], workload: Workload, seed: int) -> None:
         self.engines = engines
-        self.load = load
+        self.workload = workload
         self.rng = random.Random(seed)
-        self.known = [FleetLoad(LIFETIME_S) for _ in range(load.entries)]
-        self.held: dict[str, LoadPart] = {e.name: LoadPart() for e in engines}
-        self.firsts: Counter[str] = Counter()
-        self.pipes = [DomainPipes() for _ in range(load.entries)]
-        self.busy_until_s: dict[tuple[str, ...], float] = {}
+        self.load_views = [FleetLoad(LOAD_LIFETIME_S) for _ in range(workload.entries)]
+        self.held_load: dict[str, LoadPart] = {e.name: LoadPart() for e in engines}
+        self.first_stage_requests: Counter[str] = Counter()
+        self.pipes = [DomainPipes() for _ in range(workload.entries)]
+        self.pipe_free_at_s: dict[tuple[str, ...], float] = {}
         self.outcome = Outcome()
-        self._ends: list[tuple[float, int, Callable[[float], None]]] = []
-        self._order = itertools.count()
+        self._scheduled: list[tuple[float, int, Callable[[float], None]]] = []
+        self._sequence = itertools.count()
 
     def domain_of(self, entry: int) -> str:
-        return f"hall-{entry % self.load.domains}"
+        return f"hall-{entry % self.workload.domains}"
 
     def replicas(self, entry: int, now_s: float) -> list[tuple[Engine, Replica]]:
         found = []
@@ -200,7 +202,7 @@
         return found
 
     def load_at(self, entry: int, engine: Engine, now_s: float) -> ServerLoad:
-        return self.known[entry].load(engine.name, self.load.entries, now_s)
+        return self.load_views[entry].load(engine.name, self.workload.entries, now_s)
 
     def candidates(
         self, entry: int, needs: RequestNeeds, now_s: float
@@ -212,49 +214,51 @@
             state = StageState(
                 engine.accelerator, len(engine.layers), engine.capacity_tokens, load
             )
-            spread = news_spread(state, MODEL, self.load.entries, self.load.rps)
+            spread = news_spread(state, MODEL, self.workload.entries, self.workload.rps)
             found.append(candidate(replica, state, MODEL, needs, spread, self.rng))
         return found
 
-    def engines_of(self, found: FoundChain) -> list[tuple[Engine, LayerRange]]:
+    def stages_of(self, found: FoundChain) -> list[tuple[Engine, LayerRange]]:
         """Return the engines of a chain that the product found."""
         by_name = {engine.name: engine for engine in self.engines}
         return [(by_name[c.replica.stage.host], layers) for c, layers in found.used]
 
-    def play(self, choose: Choose) -> Outcome:
+    def run(self, choose: ChooseChain) -> Outcome:
         """Return what came of the load with a way to choose."""
-        load = self.load
-        now_s, news_due_s = 0.0, load.news_s
+        workload = self.workload
+        now_s, next_announce_s = 0.0, workload.announce_interval_s
         while True:
-            now_s += self.rng.expovariate(load.rps * (1.0 + load.swing))
-            if now_s > load.duration_s:
+            now_s += self.rng.expovariate(workload.rps * (1.0 + workload.rate_swing))
+            if now_s > workload.duration_s:
                 return self.outcome
-            while load.news_s and news_due_s <= now_s:
-                self._end_until(news_due_s)
-                self._announce(news_due_s)
-                news_due_s += load.news_s
-            self._end_until(now_s)
-            domain = self.rng.randrange(load.domains)
-            phase = now_s / load.period_s + domain / load.domains
-            rate = 1.0 + load.swing * math.sin(2 * math.pi * phase)
-            if self.rng.random() * (1.0 + load.swing) > rate:
+            while workload.announce_interval_s and next_announce_s <= now_s:
+                self._run_scheduled(next_announce_s)
+                self._announce(next_announce_s)
+                next_announce_s += workload.announce_interval_s
+            self._run_scheduled(now_s)
+            domain = self.rng.randrange(workload.domains)
+            phase = now_s / workload.period_s + domain / workload.domains
+            relative_rate = 1.0 + workload.rate_swing * math.sin(2 * math.pi * phase)
+            if self.rng.random() * (1.0 + workload.rate_swing) > relative_rate:
                 continue
             self._arrive(domain, choose, now_s)
 
-    def _arrive(self, domain: int, choose: Choose, now_s: float) -> None:
-        load = self.load
-        entry = domain + load.domains * self.rng.randrange(load.entries // load.domains)
-        loose = self.rng.random() < load.loose_share
+    def _arrive(self, domain: int, choose: ChooseChain, now_s: float) -> None:
+        workload = self.workload
+        entry = domain + workload.domains * self.rng.randrange(
+            workload.entries // workload.domains
+        )
+        loose = self.rng.random() < workload.loose_share
         prompt = int(self.rng.uniform(0.4, 1.6) * 800)
         answer = int(self.rng.uniform(0.4, 1.6) * MODEL.answer_tokens)
-        objective_s = load.objective_s * (2.0 if loose else 1.0)
+        objective_s = workload.objective_s * (2.0 if loose else 1.0)
         needs = RequestNeeds(
-            prompt, answer, objective_s, load.allowed_pause_s, 0.5 if loose else 0.0
+            prompt, answer, objective_s, workload.allowed_pause_s, 0.5 if loose else 0.0
         )
         self.outcome.arrived += 1
         chain = choose(self, entry, needs, now_s)
         if not chain:
-            self.outcome.unplaced += 1
+            self.outcome.without_chain += 1
             return
         self._send(chain, entry, needs, now_s, loose)
 
@@ -272,10 +276,10 @@
             outcome.sent[engine.name] += 1
             outcome.loose_sent[engine.name] += loose
         is_full = any(
-            self.held[e.name].tokens + needs.total_tokens > e.capacity_tokens
+            self.held_load[e.name].tokens + needs.total_tokens > e.capacity_tokens
             for e, _ in chain
         )
-        if is_full or self.firsts[first] >= MODEL.max_sequences:
+        if is_full or self.first_stage_requests[first] >= MODEL.max_sequences:
             outcome.rejected += 1
             return
         crossed = crossings([engine.domain for engine, _ in chain])
@@ -287,9 +291,9 @@
                 len(layers),
                 e.capacity_tokens,
                 ServerLoad(
-                    self.held[e.name].tokens,
-                    self.held[e.name].sequences + 1,
-                    self.held[e.name].unread_tokens,
+                    self.held_load[e.name].tokens,
+                    self.held_load[e.name].sequences + 1,
+                    self.held_load[e.name].unread_tokens,
                 ),
             )
             for e, layers in chain
@@ -298,78 +302,78 @@
             states, MODEL, needs.prompt_tokens, needs.answer_tokens
         )
         for pair in crossed:
-            self._at(
+            self._schedule(
                 now_s + delay_s,
-                lambda at_s, pair=pair: self.pipes[entry].observed(
+                lambda at_s, pair=pair: self.pipes[entry].record_first_event(
                     *pair, delay_s, needs.objective_s, at_s
                 ),
             )
         first_event_s = predicted.first_event_s + delay_s
-        on_start = first_event_s <= needs.objective_s
-        on_pause = predicted.pause_s <= needs.allowed_pause_s
-        outcome.late_start += not on_start
-        outcome.late_pause += not on_pause
-        outcome.in_time += on_start and on_pause
-        self.firsts[first] += 1
+        first_event_in_time = first_event_s <= needs.objective_s
+        pauses_in_time = predicted.pause_s <= needs.allowed_pause_s
+        outcome.late_first_events += not first_event_in_time
+        outcome.long_pauses += not pauses_in_time
+        outcome.in_time += first_event_in_time and pauses_in_time
+        self.first_stage_requests[first] += 1
         unread = LoadPart(0, 0, needs.prompt_tokens)
         held = LoadPart(needs.total_tokens, 1, 0)
         names = [engine.name for engine, _ in chain]
         self._count(names, entry, held)
         self._count(names, entry, unread)
-        self._at(
+        self._schedule(
             now_s + first_event_s,
-            lambda _: self._count(names, entry, unread, back=True),
+            lambda _: self._count(names, entry, unread, remove=True),
         )
 
-        def end(_: float) -> None:
-            self._count(names, entry, held, back=True)
-            self.firsts[first] -= 1
+        def finish(_: float) -> None:
+            self._count(names, entry, held, remove=True)
+            self.first_stage_requests[first] -= 1
 
-        self._at(now_s + predicted.finish_s + delay_s, end)
+        self._schedule(now_s + predicted.finish_s + delay_s, finish)
 
     def _cross(
         self, pair: tuple[str, str], entry: int, needs: RequestNeeds, now_s: float
     ) -> float:
         """Send a request over a pipe, which takes one after the other."""
-        load = self.load
-        self.pipes[entry].crossed(*pair, MODEL, needs, load.entries, now_s)
-        rate = MODEL.pipe_bytes_per_s * load.pipe_share
+        workload = self.workload
+        self.pipes[entry].record_crossing(*pair, MODEL, needs, workload.entries, now_s)
+        bytes_per_s = MODEL.pipe_bytes_per_s * workload.pipe_share
         key = tuple(sorted(pair))
-        begins_s = max(now_s, self.busy_until_s.get(key, 0.0))
-        prompt_s = needs.prompt_tokens * MODEL.activation_bytes / rate
-        answer_s = needs.answer_tokens * MODEL.activation_bytes / rate
-        self.busy_until_s[key] = begins_s + prompt_s + answer_s
-        return begins_s + prompt_s - now_s
+        start_s = max(now_s, self.pipe_free_at_s.get(key, 0.0))
+        prompt_s = needs.prompt_tokens * MODEL.activation_bytes / bytes_per_s
+        answer_s = needs.answer_tokens * MODEL.activation_bytes / bytes_per_s
+        self.pipe_free_at_s[key] = start_s + prompt_s + answer_s
+        return start_s + prompt_s - now_s
 
     def _count(
-        self, names: list[str], entry: int, part: LoadPart, *, back: bool = False
+        self, names: list[str], entry: int, part: LoadPart, *, remove: bool = False
     ) -> None:
-        sign = -1 if back else 1
+        sign = -1 if remove else 1
         for name in names:
-            known = self.held[name]
-            self.held[name] = LoadPart(
-                known.tokens + sign * part.tokens,
-                known.sequences + sign * part.sequences,
-                known.unread_tokens + sign * part.unread_tokens,
+            current = self.held_load[name]
+            self.held_load[name] = LoadPart(
+                current.tokens + sign * part.tokens,
+                current.sequences + sign * part.sequences,
+                current.unread_tokens + sign * part.unread_tokens,
             )
-            if back:
-                self.known[entry].subtract(name, part)
+            if remove:
+                self.load_views[entry].subtract(name, part)
             else:
-                self.known[entry].add(name, part)
+                self.load_views[entry].add(name, part)
 
-    def _at(self, at_s: float, action: Callable[[float], None]) -> None:
-        heapq.heappush(self._ends, (at_s, next(self._order), action))
+    def _schedule(self, at_s: float, action: Callable[[float], None]) -> None:
+        heapq.heappush(self._scheduled, (at_s, next(self._sequence), action))
 
-    def _end_until(self, now_s: float) -> None:
-        while self._ends and self._ends[0][0] <= now_s:
-            at_s, _, action = heapq.heappop(self._ends)
+    def _run_scheduled(self, now_s: float) -> None:
+        while self._scheduled and self._scheduled[0][0] <= now_s:
+            at_s, _, action = heapq.heappop(self._scheduled)
             action(at_s)
 
     def _announce(self, now_s: float) -> None:
-        for entry, own in enumerate(self.known):
-            for other, known in enumerate(self.known):
+        for entry, sender in enumerate(self.load_views):
+            for other, view in enumerate(self.load_views):
                 if other != entry:
-                    known.announced(str(entry), own.own, now_s, now_s)
+                    view.announced(str(entry), sender.own, now_s, now_s)
 
 
 def parallel_chains(engines: list[Engine]) -> list[list[Engine]]:
@@ -380,47 +384,51 @@
     return list(chains.values())
 
 
-def most_over_share(outcome: Outcome, engines: list[Engine]) -> float:
+def max_share_ratio(outcome: Outcome, engines: list[Engine]) -> float:
     """Return the largest quotient of a chain's part of requests and of throughput."""
     chains = parallel_chains(engines)
-    rates = [throughput_rps(members) for members in chains]
-    sent = [sum(outcome.sent[e.name] * len(e.layers) for e in c) for c in chains]
-    pairs = zip(sent, rates, strict=True)
-    return max(part / sum(sent) / (rate / sum(rates)) for part, rate in pairs)
+    chain_rps = [chain_throughput_rps(members) for members in chains]
+    sent = [
+        sum(outcome.sent[e.name] * len(e.layers) for e in stages) for stages in chains
+    ]
+    pairs = zip(sent, chain_rps, strict=True)
+    return max(count / sum(sent) / (rps / sum(chain_rps)) for count, rps in pairs)
 
 
-CAPACITY_RPS = sum(map(throughput_rps, parallel_chains(uneven_fleet())))
+CAPACITY_RPS = sum(map(chain_throughput_rps, parallel_chains(mixed_speed_fleet())))
 
 
-def balanced_choice(*, crosses: bool, bounded: bool = True) -> Choose:
+def balancer_choice(*, crosses: bool, bounded: bool = True) -> ChooseChain:
     """Return the product's own choice, as the entry's balancer puts it together.
 
     :param bounded: whether crossings are bounded by what pipes carry.
     """
 
     def choose(
-        fleet: Fleet, entry: int, needs: RequestNeeds, now_s: float
+        fleet: FleetSimulation, entry: int, needs: RequestNeeds, now_s: float
     ) -> list[tuple[Engine, LayerRange]]:
-        def crossing_cost(one: str, other: str) -> float:
+        def crossing_cost(domain: str, other_domain: str) -> float:
             if not bounded:
                 return 0.05
-            return fleet.pipes[entry].cost(one, other, MODEL, needs, now_s)
+            return fleet.pipes[entry].crossing_cost(
+                domain, other_domain, MODEL, needs, now_s
+            )
 
         candidates = fleet.candidates(entry, needs, now_s)
-        place = (candidates, MODEL.layer_count, fleet.domain_of(entry))
+        search_args = (candidates, MODEL.layer_count, fleet.domain_of(entry))
         if crosses:
-            chains = search_all_chains(*place, crossing_cost)
+            chains = search_all_chains(*search_args, crossing_cost)
         else:
-            chains = search_chains(*place, None)
+            chains = search_chains(*search_args, None)
         if not chains:
             return []
-        rated = [_rate(found) for found in chains]
-        index = choose_rated(rated, fleet.load.entries, fleet.rng)
-        return fleet.engines_of(chains[index])
+        rated = [_rated(found) for found in chains]
+        index = choose_rated(rated, fleet.workload.entries, fleet.rng)
+        return fleet.stages_of(chains[index])
 
     return choose
 
 
-def _rate(found: FoundChain) -> RatedChain:
+def _rated(found: FoundChain) -> RatedChain:
     room = min(found.capacity_tokens / MODEL.mean_tokens, MODEL.max_sequences)
     return RatedChain(found.cost, room / found.duration_s, found.has_room, True)
--- a/tests/unit/test_chain_search.py
+++ b/tests/unit/test_chain_search.py
@@ -20,14 +20,14 @@
 )
 from railfold._internal.decisions.fleet_load import ServerLoad
 from railfold._internal.decisions.planner import Replica
-from tests.lib.fleet_draws import (
+from tests.lib.fleet_simulation import (
     CAPACITY_RPS,
     FAST,
-    Fleet,
-    Load,
+    FleetSimulation,
     Outcome,
-    balanced_choice,
-    uneven_fleet,
+    Workload,
+    balancer_choice,
+    mixed_speed_fleet,
 )
 
 LAYERS = 8
@@ -171,14 +171,14 @@
     gaps = {"one": {"hall-0": 79}, "each": {"hall-0": 5, "hall-1": 35, "hall-2": 75}}
     engines = [
         engine
-        for engine in uneven_fleet()
+        for engine in mixed_speed_fleet()
         if not engine.layers.first
         <= gaps[fleet].get(engine.domain, -1)
         <= engine.layers.last
     ]
-    load = Load(rps=load_share * CAPACITY_RPS, duration_s=5.0, **k)  # type: ignore[arg-type]
-    choose = balanced_choice(crosses=crosses, bounded=bounded)
-    return Fleet(engines, load, seed=3).play(choose)
+    load = Workload(rps=load_share * CAPACITY_RPS, duration_s=5.0, **k)  # type: ignore[arg-type]
+    choose = balancer_choice(crosses=crosses, bounded=bounded)
+    return FleetSimulation(engines, load, seed=3).run(choose)
 
 
 def test_a_gap_costs_less_where_chains_cross() -> None:
@@ -197,8 +197,8 @@
     """Without a bound most requests would be late behind the pipes."""
     swamped = play("one", 0.75, crosses=True, bounded=False)
     bounded = play("one", 0.75, crosses=True)
-    assert swamped.late_start > 0.2 * swamped.arrived
-    assert bounded.late_start < 0.02 * bounded.arrived
+    assert swamped.late_first_events > 0.2 * swamped.arrived
+    assert bounded.late_first_events < 0.02 * bounded.arrived
 
 
 def test_slow_pipes_are_crossed_less() -> None:
--- a/tests/unit/test_fleet_balance.py
+++ b/tests/unit/test_fleet_balance.py
@@ -11,83 +11,94 @@
 from railfold._internal.core import LayerRange
 from railfold._internal.decisions.chain_costs import RequestNeeds
 from railfold._internal.decisions.fleet_load import LoadPart
-from tests.lib.fleet_draws import (
+from tests.lib.fleet_simulation import (
     CAPACITY_RPS,
-    Choose,
+    ChooseChain,
     Engine,
-    Fleet,
-    Load,
+    FleetSimulation,
     Outcome,
-    balanced_choice,
-    most_over_share,
+    Workload,
+    balancer_choice,
+    max_share_ratio,
+    mixed_speed_fleet,
     parallel_chains,
-    uneven_fleet,
 )
 
-ENGINES = uneven_fleet()
-balanced = balanced_choice(crosses=False)
+ENGINES = mixed_speed_fleet()
+balancer = balancer_choice(crosses=False)
 
-Chain = list[tuple[Engine, LayerRange]]
+Stages = list[tuple[Engine, LayerRange]]
 
 
-def whole(engines: list[Engine]) -> Chain:
+def full_stages(engines: list[Engine]) -> Stages:
     return [(engine, engine.layers) for engine in engines]
 
 
-def by_chance(fleet: Fleet, entry: int, needs: RequestNeeds, now_s: float) -> Chain:
-    return whole(fleet.rng.choice(parallel_chains(fleet.engines)))
+def random_chain(
+    fleet: FleetSimulation, entry: int, needs: RequestNeeds, now_s: float
+) -> Stages:
+    return full_stages(fleet.rng.choice(parallel_chains(fleet.engines)))
 
 
-def round_robin(fleet: Fleet, entry: int, needs: RequestNeeds, now_s: float) -> Chain:
+def round_robin_chain(
+    fleet: FleetSimulation, entry: int, needs: RequestNeeds, now_s: float
+) -> Stages:
     chains = parallel_chains(fleet.engines)
-    return whole(chains[(fleet.outcome.arrived * 7 + entry) % len(chains)])
+    return full_stages(chains[(fleet.outcome.arrived * 7 + entry) % len(chains)])
 
 
-def least_of_own(fleet: Fleet, entry: int, needs: RequestNeeds, now_s: float) -> Chain:
+def least_own_load_chain(
+    fleet: FleetSimulation, entry: int, needs: RequestNeeds, now_s: float
+) -> Stages:
     def own_tokens(engines: list[Engine]) -> tuple[int, float]:
-        part = fleet.known[entry].own.get(engines[0].name, LoadPart())
+        part = fleet.load_views[entry].own.get(engines[0].name, LoadPart())
         return part.tokens, fleet.rng.random()
 
-    return whole(min(parallel_chains(fleet.engines), key=own_tokens))
+    return full_stages(min(parallel_chains(fleet.engines), key=own_tokens))
 
 
-def play(load_share: float, choose: Choose, **changes: float) -> Outcome:
-    load = Load(rps=load_share * CAPACITY_RPS, duration_s=5.0, **changes)  # type: ignore[arg-type]
-    return Fleet(ENGINES, load, seed=3).play(choose)
+def simulate(load_share: float, choose: ChooseChain, **overrides: float) -> Outcome:
+    workload = Workload(rps=load_share * CAPACITY_RPS, duration_s=5.0, **overrides)  # type: ignore[arg-type]
+    return FleetSimulation(ENGINES, workload, seed=3).run(choose)
 
 
-@pytest.mark.parametrize("baseline", [by_chance, round_robin, least_of_own])
-def test_fewer_are_rejected_than_by_choices_that_know_less(baseline: Choose) -> None:
+@pytest.mark.parametrize(
+    "baseline", [random_chain, round_robin_chain, least_own_load_chain]
+)
+def test_fewer_rejections_than_with_simpler_balancers(baseline: ChooseChain) -> None:
     """Nine tenths of what the chains serve."""
-    others, ours = play(0.9, baseline), play(0.9, balanced)
-    assert others.rejected / others.arrived > 0.1
-    assert ours.rejected / ours.arrived < 0.03
-    assert ours.in_time / ours.arrived > 0.96
+    baseline_outcome, balanced_outcome = (
+        simulate(0.9, baseline),
+        simulate(0.9, balancer),
+    )
+    assert baseline_outcome.rejected / baseline_outcome.arrived > 0.1
+    assert balanced_outcome.rejected / balanced_outcome.arrived < 0.03
+    assert balanced_outcome.in_time / balanced_outcome.arrived > 0.96
 
 
 @pytest.mark.parametrize("load_share", [0.3, 0.7, 0.9])
-def test_no_server_gets_far_over_its_share_by_speed(load_share: float) -> None:
-    assert most_over_share(play(load_share, balanced), ENGINES) < 1.5
+def test_no_chain_gets_far_more_than_its_share(load_share: float) -> None:
+    assert max_share_ratio(simulate(load_share, balancer), ENGINES) < 1.5
 
 
 @pytest.mark.parametrize("entries", [3, 12, 48])
-def test_all_are_served_in_time_whatever_the_number_of_entries(entries: int) -> None:
+def test_requests_are_in_time_for_any_number_of_entries(entries: int) -> None:
     """Seven tenths of what the chains serve."""
-    played = play(0.7, balanced, entries=entries)
-    assert played.in_time / played.arrived > 0.98
+    outcome = simulate(0.7, balancer, entries=entries)
+    assert outcome.in_time / outcome.arrived > 0.98
 
 
-def test_without_news_of_others_load_is_spread_still() -> None:
-    played = play(0.7, balanced, news_s=0.0)
-    assert played.in_time / played.arrived > 0.97
-    assert most_over_share(played, ENGINES) < 1.5
+def test_load_is_balanced_without_announcements() -> None:
+    outcome = simulate(0.7, balancer, announce_interval_s=0.0)
+    assert outcome.in_time / outcome.arrived > 0.97
+    assert max_share_ratio(outcome, ENGINES) < 1.5
 
 
-def test_loose_objectives_leave_fast_engines_to_tight_ones() -> None:
+def test_loose_objectives_leave_fast_engines_to_tight_objectives() -> None:
     """Half of the requests have twice as long for the first event."""
-    played = play(0.6, balanced, loose_share=0.5)
+    outcome = simulate(0.6, balancer, loose_share=0.5)
     fast = [e.name for e in ENGINES if "fast" in e.name]
-    loose = sum(played.loose_sent[name] for name in fast)
-    tight = sum(played.sent[name] for name in fast) - loose
+    loose = sum(outcome.loose_sent[name] for name in fast)
+    tight = sum(outcome.sent[name] for name in fast) - loose
     assert loose < 0.9 * tight
-    assert played.in_time / played.arrived > 0.98
+    assert outcome.in_time / outcome.arrived > 0.98
--- a/tests/unit/test_layer_placement.py
+++ b/tests/unit/test_layer_placement.py
@@ -11,185 +11,218 @@
 
 from railfold._internal.core import LayerRange
 from railfold._internal.decisions.placement import (
-    EngineRoom,
-    domain_throughput_rps,
+    EnginePlacement,
+    best_chain_throughput_rps,
     plan_layers,
-    uncovered_layers,
+    uncovered_ranges,
 )
 from railfold._internal.decisions.routing_table import Accelerator
 from tests.lib.models import FAST, MIDDLE, MODEL, SMALL
 
 
-def engines(*kinds: Accelerator) -> list[EngineRoom]:
-    return [EngineRoom(f"e{n:02d}", kind, None) for n, kind in enumerate(kinds)]
+def make_engines(*accelerators: Accelerator) -> list[EnginePlacement]:
+    return [
+        EnginePlacement(f"e{n:02d}", kind, None) for n, kind in enumerate(accelerators)
+    ]
 
 
-def carried_out(
-    before: list[EngineRoom], plan: dict[str, LayerRange]
-) -> list[EngineRoom]:
+def apply_plan(
+    before: list[EnginePlacement], plan: dict[str, LayerRange]
+) -> list[EnginePlacement]:
     """Return engines that hold what was planned and run requests."""
-    after = [replace(e, held=plan.get(e.server_id, e.held)) for e in before]
-    return [replace(e, busy=e.held is not None) for e in after]
+    after = [
+        replace(e, held_layers=plan.get(e.server_id, e.held_layers)) for e in before
+    ]
+    return [replace(e, busy=e.held_layers is not None) for e in after]
 
 
-def covers(members: list[EngineRoom]) -> bool:
-    return not uncovered_layers((e.held for e in members), MODEL.layer_count)
+def covers_all_layers(members: list[EnginePlacement]) -> bool:
+    return not uncovered_ranges((e.held_layers for e in members), MODEL.layer_count)
 
 
-HALL = [FAST] * 3 + [MIDDLE] * 3 + [SMALL] * 5
+DOMAIN_ACCELERATORS = [FAST] * 3 + [MIDDLE] * 3 + [SMALL] * 5
 
 
-def test_a_first_plan_covers_all_and_uses_every_engine() -> None:
-    plan = plan_layers(engines(*HALL), MODEL)
-    assert len(plan) == len(HALL)
-    assert covers(carried_out(engines(*HALL), plan))
+def test_first_plan_covers_all_layers_and_uses_every_engine() -> None:
+    plan = plan_layers(make_engines(*DOMAIN_ACCELERATORS), MODEL)
+    assert len(plan) == len(DOMAIN_ACCELERATORS)
+    assert covers_all_layers(apply_plan(make_engines(*DOMAIN_ACCELERATORS), plan))
 
 
-def test_a_first_plan_keeps_memory_for_most_of_a_full_batch() -> None:
-    kinds = dict(zip((e.server_id for e in engines(*HALL)), HALL, strict=True))
-    for server_id, layers in plan_layers(engines(*HALL), MODEL).items():
-        tokens = MODEL.state_tokens(kinds[server_id], len(layers))
+def test_first_plan_leaves_memory_for_most_of_a_full_batch() -> None:
+    accelerators = dict(
+        zip(
+            (e.server_id for e in make_engines(*DOMAIN_ACCELERATORS)),
+            DOMAIN_ACCELERATORS,
+            strict=True,
+        )
+    )
+    for server_id, layers in plan_layers(
+        make_engines(*DOMAIN_ACCELERATORS), MODEL
+    ).items():
+        tokens = MODEL.state_tokens(accelerators[server_id], len(layers))
         assert tokens >= 0.8 * MODEL.max_sequences * MODEL.mean_tokens
 
 
-def test_a_plan_that_is_carried_out_isnt_changed() -> None:
-    placed = carried_out(engines(*HALL), plan_layers(engines(*HALL), MODEL))
+def test_applied_plan_is_stable() -> None:
+    placed = apply_plan(
+        make_engines(*DOMAIN_ACCELERATORS),
+        plan_layers(make_engines(*DOMAIN_ACCELERATORS), MODEL),
+    )
     assert plan_layers(placed, MODEL) == {}
 
 
-def test_too_few_engines_get_no_plan() -> None:
-    assert plan_layers(engines(*[SMALL] * 9), MODEL) == {}
+def test_no_plan_if_engines_cannot_hold_all_layers() -> None:
+    assert plan_layers(make_engines(*[SMALL] * 9), MODEL) == {}
 
 
-def test_a_lost_engines_layers_go_to_its_neighbours() -> None:
-    placed = carried_out(engines(*HALL), plan_layers(engines(*HALL), MODEL))
-    left = [e for e in placed if e.server_id != "e04"]
-    changes = plan_layers(left, MODEL)
-    assert covers(carried_out(left, changes))
+def test_neighbours_load_the_layers_of_a_lost_engine() -> None:
+    placed = apply_plan(
+        make_engines(*DOMAIN_ACCELERATORS),
+        plan_layers(make_engines(*DOMAIN_ACCELERATORS), MODEL),
+    )
+    remaining = [e for e in placed if e.server_id != "e04"]
+    changes = plan_layers(remaining, MODEL)
+    assert covers_all_layers(apply_plan(remaining, changes))
     assert set(changes) <= {"e03", "e05"}
 
 
-def test_a_new_engine_takes_over_a_gap_that_neighbours_cant() -> None:
-    tight = [SMALL] * 10
+def test_new_engine_fills_a_gap_if_neighbours_lack_memory() -> None:
+    accelerators = [SMALL] * 10
     placed = [
-        EngineRoom(f"e{n:02d}", SMALL, LayerRange(8 * n, 8 * n + 7))
-        for n in range(len(tight))
+        EnginePlacement(f"e{n:02d}", SMALL, LayerRange(8 * n, 8 * n + 7))
+        for n in range(len(accelerators))
     ]
-    left = [
+    remaining = [
         *(e for e in placed if e.server_id != "e05"),
-        EngineRoom("new", MIDDLE, None),
+        EnginePlacement("new", MIDDLE, None),
     ]
-    changes = plan_layers(left, MODEL)
+    changes = plan_layers(remaining, MODEL)
     assert changes == {"new": LayerRange(40, 47)}
 
 
-def test_a_loss_that_neighbours_cant_take_over_moves_few_layers() -> None:
-    placed = carried_out(engines(*HALL), plan_layers(engines(*HALL), MODEL))
-    held = {e.server_id: e.held for e in placed}
-    for lost in held:
-        left = [e for e in placed if e.server_id != lost]
-        changes = plan_layers(left, MODEL)
-        assert covers(carried_out(left, changes))
-        loads = [_new_layers(held[server_id], n) for server_id, n in changes.items()]
+def test_repair_after_any_loss_loads_few_layers() -> None:
+    placed = apply_plan(
+        make_engines(*DOMAIN_ACCELERATORS),
+        plan_layers(make_engines(*DOMAIN_ACCELERATORS), MODEL),
+    )
+    held_by_id = {e.server_id: e.held_by_id for e in placed}
+    for lost in held_by_id:
+        remaining = [e for e in placed if e.server_id != lost]
+        changes = plan_layers(remaining, MODEL)
+        assert covers_all_layers(apply_plan(remaining, changes))
+        loads = [
+            _count_loads(held_by_id[server_id], n) for server_id, n in changes.items()
+        ]
         # Loading everything anew would be 80 layers, 14 of them at one engine.
         assert sum(loads) <= MODEL.layer_count // 2
         assert max(loads) <= 8
 
 
-def _new_layers(before: LayerRange | None, after: LayerRange) -> int:
-    had = set(range(before.first, before.last + 1)) if before else set()
-    return len(set(range(after.first, after.last + 1)) - had)
+def _count_loads(before: LayerRange | None, after: LayerRange) -> int:
+    already_held = set(range(before.first, before.last + 1)) if before else set()
+    return len(set(range(after.first, after.last + 1)) - already_held)
 
 
-def least_room(members: list[EngineRoom]) -> int:
+def min_token_capacity(members: list[EnginePlacement]) -> int:
     return min(
-        MODEL.state_tokens(e.accelerator, len(e.held)) for e in members if e.held
+        MODEL.state_tokens(e.accelerator, len(e.held_layers))
+        for e in members
+        if e.held_layers
     )
 
 
-def test_an_engine_that_comes_back_empty_relieves_those_that_stood_in() -> None:
-    placed = carried_out(engines(*HALL), plan_layers(engines(*HALL), MODEL))
-    normal_rps = domain_throughput_rps(placed, MODEL)
+def test_replacement_engine_restores_throughput_after_a_loss() -> None:
+    placed = apply_plan(
+        make_engines(*DOMAIN_ACCELERATORS),
+        plan_layers(make_engines(*DOMAIN_ACCELERATORS), MODEL),
+    )
+    normal_rps = best_chain_throughput_rps(placed, MODEL)
     for lost in placed:
-        left = [e for e in placed if e is not lost]
-        stood_in = carried_out(left, plan_layers(left, MODEL))
-        assert domain_throughput_rps(stood_in, MODEL) < 0.95 * normal_rps
-        members = [*stood_in, EngineRoom("new", lost.accelerator, None)]
+        remaining = [e for e in placed if e is not lost]
+        repaired = apply_plan(remaining, plan_layers(remaining, MODEL))
+        assert best_chain_throughput_rps(repaired, MODEL) < 0.95 * normal_rps
+        members = [*repaired, EnginePlacement("new", lost.accelerator, None)]
         for _ in range(4):
-            members = carried_out(members, plan_layers(members, MODEL))
-            assert covers(members)
-        assert domain_throughput_rps(members, MODEL) > 0.75 * normal_rps
+            members = apply_plan(members, plan_layers(members, MODEL))
+            assert covers_all_layers(members)
+        assert best_chain_throughput_rps(members, MODEL) > 0.75 * normal_rps
         assert plan_layers(members, MODEL) == {}
 
 
-def test_a_neighbour_with_room_takes_layers_from_a_narrow_engine() -> None:
+def test_layers_move_from_a_bottleneck_to_a_neighbour_with_memory() -> None:
     # Eight layers leave a small engine room for 4,300 tokens, seven for 26,700.
-    placed = carried_out(
+    placed = apply_plan(
         [
-            EngineRoom("e00", FAST, LayerRange(0, 15)),
-            EngineRoom("e01", SMALL, LayerRange(16, 23)),
-            EngineRoom("e02", FAST, LayerRange(24, 39)),
-            EngineRoom("e03", FAST, LayerRange(40, 55)),
-            EngineRoom("e04", FAST, LayerRange(56, 71)),
-            EngineRoom("e05", MIDDLE, LayerRange(72, 79)),
+            EnginePlacement("e00", FAST, LayerRange(0, 15)),
+            EnginePlacement("e01", SMALL, LayerRange(16, 23)),
+            EnginePlacement("e02", FAST, LayerRange(24, 39)),
+            EnginePlacement("e03", FAST, LayerRange(40, 55)),
+            EnginePlacement("e04", FAST, LayerRange(56, 71)),
+            EnginePlacement("e05", MIDDLE, LayerRange(72, 79)),
         ],
         {},
     )
-    before_rps = domain_throughput_rps(placed, MODEL)
-    room = least_room(placed)
+    before_rps = best_chain_throughput_rps(placed, MODEL)
+    before_tokens = min_token_capacity(placed)
     members = placed
     for _ in range(6):
-        members = carried_out(members, plan_layers(members, MODEL))
-        assert covers(members)
+        members = apply_plan(members, plan_layers(members, MODEL))
+        assert covers_all_layers(members)
     assert plan_layers(members, MODEL) == {}
-    assert least_room(members) > 4 * room
-    assert domain_throughput_rps(members, MODEL) > 3 * before_rps
+    assert min_token_capacity(members) > 4 * before_tokens
+    assert best_chain_throughput_rps(members, MODEL) > 3 * before_rps
 
 
-def test_engines_that_are_all_narrow_hand_nothing_to_and_fro() -> None:
+def test_equally_constrained_engines_exchange_no_layers() -> None:
     placed = [
-        EngineRoom(f"e{n:02d}", SMALL, LayerRange(8 * n, 8 * n + 7)) for n in range(10)
+        EnginePlacement(f"e{n:02d}", SMALL, LayerRange(8 * n, 8 * n + 7))
+        for n in range(10)
     ]
     assert plan_layers(placed, MODEL) == {}
 
 
 @given(
-    kinds=st.lists(st.sampled_from([FAST, MIDDLE, SMALL]), min_size=9, max_size=16),
+    accelerators=st.lists(
+        st.sampled_from([FAST, MIDDLE, SMALL]), min_size=9, max_size=16
+    ),
     lost=st.integers(0, 15),
 )
 @settings(max_examples=100, deadline=None)
-def test_changes_after_a_loss_come_to_an_end(
-    kinds: list[Accelerator], lost: int
+def test_plans_converge_after_a_loss(
+    accelerators: list[Accelerator], lost: int
 ) -> None:
-    members = engines(*kinds)
-    members = carried_out(members, plan_layers(members, MODEL))
+    members = make_engines(*accelerators)
+    members = apply_plan(members, plan_layers(members, MODEL))
     members = [e for e in members if e.server_id != f"e{lost:02d}"]
     for _ in range(60):
         changes = plan_layers(members, MODEL)
         if not changes:
             return
-        members = carried_out(members, changes)
+        members = apply_plan(members, changes)
     pytest.fail("engines hand layers on for ever")
 
 
 @given(
-    kinds=st.lists(st.sampled_from([FAST, MIDDLE, SMALL]), min_size=9, max_size=24),
+    accelerators=st.lists(
+        st.sampled_from([FAST, MIDDLE, SMALL]), min_size=9, max_size=24
+    ),
     losses=st.lists(st.integers(0, 23), max_size=6),
 )
 @settings(max_examples=150, deadline=None)
-def test_losses_in_any_order_leave_a_plan_that_covers_and_fits(
-    kinds: list[Accelerator], losses: list[int]
+def test_plans_after_any_losses_cover_all_layers_and_fit_memory(
+    accelerators: list[Accelerator], losses: list[int]
 ) -> None:
-    members = engines(*kinds)
-    members = carried_out(members, plan_layers(members, MODEL))
+    members = make_engines(*accelerators)
+    members = apply_plan(members, plan_layers(members, MODEL))
     for loss in losses:
         members = [e for e in members if e.server_id != f"e{loss:02d}"]
         changes = plan_layers(members, MODEL)
-        after = carried_out(members, changes)
+        after = apply_plan(members, changes)
         if changes:
-            assert covers(after)
+            assert covers_all_layers(after)
         for engine in after:
-            used_mb = len(engine.held or ()) * MODEL.layer_mb
+            used_mb = len(engine.held_layers or ()) * MODEL.layer_mb
             assert used_mb <= engine.accelerator.memory_mb
         members = after
 
@@ -203,14 +236,14 @@
         ([None, LayerRange(0, 3)], [LayerRange(4, 9)]),
     ],
 )
-def test_uncovered_layers(
+def test_uncovered_ranges(
     ranges: list[LayerRange | None], gaps: list[LayerRange]
 ) -> None:
-    assert uncovered_layers(ranges, 10) == gaps
+    assert uncovered_ranges(ranges, 10) == gaps
 
 
 @pytest.mark.parametrize("needed_rps", [8.0, 12.0, 18.2, 22.7, 35.0, math.inf])
-def test_a_repair_under_load_leaves_engines_what_they_hold_if_it_can(
+def test_repair_under_load_drops_no_layers(
     needed_rps: float,
 ) -> None:
     """An engine that gives layers up waits for seconds for the requests there.
@@ -220,16 +253,19 @@
     fifth more load was reckoned. Then none was whole for three seconds. Whoever places
     layers doesn't see that the others' requests run on an engine.
     """
-    placed = carried_out(engines(*HALL), plan_layers(engines(*HALL), MODEL))
-    unseen = [replace(e, busy=False) for e in placed]
+    placed = apply_plan(
+        make_engines(*DOMAIN_ACCELERATORS),
+        plan_layers(make_engines(*DOMAIN_ACCELERATORS), MODEL),
+    )
+    marked_idle = [replace(e, busy=False) for e in placed]
     # The first and the last engine have a neighbour on one side only.
-    for lost in [e.server_id for e in unseen][1:-1]:
-        left = [e for e in unseen if e.server_id != lost]
-        changes = plan_layers(left, MODEL, needed_rps)
-        assert covers(carried_out(left, changes))
-        for engine in left:
-            held, next_held = engine.held, changes.get(engine.server_id)
-            assert held is not None
-            if next_held is not None:
-                assert next_held.first <= held.first
-                assert held.last <= next_held.last
+    for lost in [e.server_id for e in marked_idle][1:-1]:
+        remaining = [e for e in marked_idle if e.server_id != lost]
+        changes = plan_layers(remaining, MODEL, needed_rps)
+        assert covers_all_layers(apply_plan(remaining, changes))
+        for engine in remaining:
+            held_layers, target = engine.held_layers, changes.get(engine.server_id)
+            assert held_layers is not None
+            if target is not None:
+                assert target.first <= held_layers.first
+                assert held_layers.last <= target.last
--- a/tests/unit/test_orders.py
+++ b/tests/unit/test_orders.py
@@ -6,6 +6,7 @@
 
 from railfold._internal.core import LayerRange
 from railfold._internal.decisions.configuration import ChangeRecord, Configuration
+from railfold._internal.decisions.configured_loads import configured_load
 from railfold._internal.decisions.orders import (
     GiveOrder,
     LevelReached,
@@ -18,7 +19,6 @@
     WaitForSlot,
     WaitForSuccessor,
 )
-from railfold._internal.decisions.wanted_loads import wanted_load
 
 LIMITS = OrderLimits(lease_s=5.0, loads_per_s=2.0, retry_s=3.0)
 ORDER = LoadOrder("m", "2", LayerRange(0, 3), 7)
@@ -96,14 +96,14 @@
 
 
 def test_each_host_has_a_slot_of_its_own() -> None:
-    found = [wanted_load(configuration(), f"h{n}") for n in range(6)]
+    found = [configured_load(configuration(), f"h{n}") for n in range(6)]
     slots = [wanted[1] for wanted in found[1:] if wanted]
     assert len(set(slots)) == 5
     assert max(slots) < 6
 
 
 def test_pipeline_that_changed_last_counts() -> None:
-    wanted = wanted_load(configuration(), "h0")
+    wanted = configured_load(configuration(), "h0")
     assert wanted is not None
     assert (wanted[0].model, wanted[0].fencing) == ("second", 2)
-    assert wanted_load(configuration(), "elsewhere") is None
+    assert configured_load(configuration(), "elsewhere") is None
--- a/tests/unit/test_registrations.py
+++ b/tests/unit/test_registrations.py
@@ -24,7 +24,7 @@
     Registration,
 )
 from railfold._internal.decisions.fleet_load import ServerLoad
-from railfold._internal.decisions.placement import uncovered_layers
+from railfold._internal.decisions.placement import uncovered_ranges
 from railfold._internal.decisions.planner import LinkCosts, PlannerWeights, plan_chain
 from railfold._internal.errors import EngineError, NoCapacityError
 from railfold._internal.platform.engines import (
@@ -156,7 +156,7 @@
 
 def test_layers_beyond_the_model_cover_only_what_the_model_has() -> None:
     held = [LayerRange(-5, 3), LayerRange(70, 4000), LayerRange(200, 300)]
-    assert uncovered_layers(held, 80) == [LayerRange(4, 69)]
+    assert uncovered_ranges(held, 80) == [LayerRange(4, 69)]
 
 
 ANYTHING = st.recursive(
@@ -176,7 +176,7 @@
             directory.withdraw(key)
     replicas = directory.layer_replicas("llm", MODEL, "west", lambda _: ServerLoad(), 3)
     held = [entry.registration.layers for entry in directory]
-    uncovered_layers(held, MODEL.layer_count)
+    uncovered_ranges(held, MODEL.layer_count)
     return lambda: plan_chain(
         replicas,
         MODEL.layer_count,
--- a/tests/unit/test_throughput.py
+++ b/tests/unit/test_throughput.py
@@ -10,13 +10,16 @@
 from hypothesis import strategies as st
 
 from railfold._internal.core import LayerRange
-from railfold._internal.decisions.placement import EngineRoom, domain_throughput_rps
+from railfold._internal.decisions.placement import (
+    EnginePlacement,
+    best_chain_throughput_rps,
+)
 from railfold._internal.decisions.placement.chain import (
     best_chain,
     chain_throughput_rps,
-    served_now_rps,
+    current_throughput_rps,
 )
-from railfold._internal.decisions.placement.rooms import max_layers, request_room
+from railfold._internal.decisions.placement.engines import max_layers, request_capacity
 from railfold._internal.decisions.placement.spread import best_spread, spreads
 from railfold._internal.decisions.placement.throughput import (
     STAGE_DELAY_S,
@@ -26,14 +29,14 @@
 from railfold._internal.decisions.routing_table import Accelerator
 from tests.lib.models import FAST, MIDDLE, MODEL, SMALL
 
-KINDS = st.sampled_from([FAST, MIDDLE, SMALL])
+ACCELERATORS = st.sampled_from([FAST, MIDDLE, SMALL])
 
 
-def chain_of(kind: Accelerator, size: int) -> list[EngineRoom]:
+def make_chain(kind: Accelerator, size: int) -> list[EnginePlacement]:
     """Engines of one kind that hold ``size`` layers each, and all layers together."""
     firsts = range(0, MODEL.layer_count, size)
     return [
-        EngineRoom(
+        EnginePlacement(
             f"e{n:02d}",
             kind,
             LayerRange(first, min(first + size, MODEL.layer_count) - 1),
@@ -46,7 +49,7 @@
     ("stages", "work_factor", "measured_ms"),
     [(14, 6.13, 8.32), (9, 5.16, 6.73), (13, 8.61, 10.70)],
 )
-def test_a_token_takes_as_long_as_on_the_users_idle_engines(
+def test_predicted_token_time_matches_idle_engines(
     stages: int, work_factor: float, measured_ms: float
 ) -> None:
     # Chains of rrs-vooraf at a tenth of a quiet day's load; docs/MEASURES.md.
@@ -57,65 +60,71 @@
     assert token_s * 1000 == pytest.approx(measured_ms, rel=0.03)
 
 
-@given(kind=KINDS, layers=st.integers(1, 20), requests=st.floats(0.0, 96.0))
-def test_more_layers_requests_and_slowness_take_longer(
+@given(kind=ACCELERATORS, layers=st.integers(1, 20), requests=st.floats(0.0, 96.0))
+def test_residence_grows_with_layers_requests_and_slowness(
     kind: Accelerator, layers: int, requests: float
 ) -> None:
-    usual_s = stage_residence_s(kind, MODEL, layers, requests)
-    assert stage_residence_s(kind, MODEL, layers + 1, requests) > usual_s
-    assert stage_residence_s(kind, MODEL, layers, requests + 1) > usual_s
-    assert stage_residence_s(kind.slowed(3.0), MODEL, layers, requests) > usual_s
+    base_s = stage_residence_s(kind, MODEL, layers, requests)
+    assert stage_residence_s(kind, MODEL, layers + 1, requests) > base_s
+    assert stage_residence_s(kind, MODEL, layers, requests + 1) > base_s
+    assert stage_residence_s(kind.slowed(3.0), MODEL, layers, requests) > base_s
 
 
-@given(kind=KINDS, requests=st.floats(1.0, 96.0))
-def test_an_engine_with_its_most_layers_has_the_room_asked_for(
+@given(kind=ACCELERATORS, requests=st.floats(1.0, 96.0))
+def test_max_layers_leaves_the_requested_capacity(
     kind: Accelerator, requests: float
 ) -> None:
-    most = max_layers(kind, MODEL, requests)
-    if most > 0:
-        assert request_room(kind, MODEL, most, most) >= requests
-    if 0 < most < MODEL.layer_count:
-        assert request_room(kind, MODEL, most + 1, most + 1) < requests
+    layer_limit = max_layers(kind, MODEL, requests)
+    if layer_limit > 0:
+        assert request_capacity(kind, MODEL, layer_limit, layer_limit) >= requests
+    if 0 < layer_limit < MODEL.layer_count:
+        assert (
+            request_capacity(kind, MODEL, layer_limit + 1, layer_limit + 1) < requests
+        )
 
 
-def test_a_missing_layer_means_nothing_is_served() -> None:
-    engines = chain_of(SMALL, 7)
-    assert domain_throughput_rps(engines, MODEL) > 0
-    assert domain_throughput_rps(engines[1:], MODEL) == 0.0
+def test_missing_layer_means_no_throughput() -> None:
+    engines = make_chain(SMALL, 7)
+    assert best_chain_throughput_rps(engines, MODEL) > 0
+    assert best_chain_throughput_rps(engines[1:], MODEL) == 0.0
     assert best_chain(engines[1:], MODEL) is None
 
 
-def test_a_narrow_engine_bounds_its_chain() -> None:
+def test_stage_with_least_memory_bounds_its_chain() -> None:
     # A small engine has room for 4 usual requests beside 8 layers, 28 beside 7.
-    assert domain_throughput_rps(chain_of(SMALL, 7), MODEL) > 3 * domain_throughput_rps(
-        chain_of(SMALL, 8), MODEL
-    )
+    assert best_chain_throughput_rps(
+        make_chain(SMALL, 7), MODEL
+    ) > 3 * best_chain_throughput_rps(make_chain(SMALL, 8), MODEL)
 
 
-def test_layers_held_in_vain_cost_what_a_chain_serves_now() -> None:
-    engines = chain_of(SMALL, 7)
-    wide = replace(engines[0], held=LayerRange(0, 7))
-    chain = best_chain([wide, *engines[1:]], MODEL)
+def test_unused_held_layers_reduce_current_throughput() -> None:
+    engines = make_chain(SMALL, 7)
+    overfull = replace(engines[0], held_layers=LayerRange(0, 7))
+    chain = best_chain([overfull, *engines[1:]], MODEL)
     assert chain is not None
-    assert served_now_rps(chain, MODEL) < 0.5 * chain_throughput_rps(chain, MODEL)
+    assert current_throughput_rps(chain, MODEL) < 0.5 * chain_throughput_rps(
+        chain, MODEL
+    )
 
 
-def test_an_engine_runs_one_part_of_a_chain_only() -> None:
-    engines = [*chain_of(FAST, 12), EngineRoom("x", MIDDLE, LayerRange(4, 8))]
+def test_engine_runs_one_stage_of_a_chain() -> None:
+    engines = [*make_chain(FAST, 12), EnginePlacement("x", MIDDLE, LayerRange(4, 8))]
     chain = best_chain(engines, MODEL)
     assert chain is not None
     used = [stage.engine.server_id for stage in chain]
     assert len(used) == len(set(used))
 
 
-@given(kinds=st.lists(KINDS, min_size=9, max_size=20), more=KINDS)
+@given(accelerators=st.lists(ACCELERATORS, min_size=9, max_size=20), added=ACCELERATORS)
 @settings(max_examples=60, deadline=None)
-def test_one_engine_more_never_makes_the_best_spread_much_worse(
-    kinds: list[Accelerator], more: Accelerator
+def test_additional_engine_barely_reduces_the_best_spread(
+    accelerators: list[Accelerator], added: Accelerator
 ) -> None:
-    engines = [EngineRoom(f"e{n:02d}", kind, None) for n, kind in enumerate(kinds)]
+    engines = [
+        EnginePlacement(f"e{n:02d}", kind, None) for n, kind in enumerate(accelerators)
+    ]
     before = best_spread(engines, MODEL)
-    after = best_spread([*engines, EngineRoom("new", more, None)], MODEL)
+    after = best_spread([*engines, EnginePlacement("new", added, None)], MODEL)
     if before is None:
         return
     assert after is not None
@@ -123,20 +132,22 @@
     assert after.throughput_rps >= 0.85 * before.throughput_rps
 
 
-@given(kinds=st.lists(KINDS, min_size=6, max_size=20))
+@given(accelerators=st.lists(ACCELERATORS, min_size=6, max_size=20))
 @settings(max_examples=60, deadline=None)
-def test_spreads_hold_each_layer_once_with_room_for_their_requests(
-    kinds: list[Accelerator],
+def test_spreads_hold_each_layer_once_and_fit_their_requests(
+    accelerators: list[Accelerator],
 ) -> None:
-    engines = [EngineRoom(f"e{n:02d}", kind, None) for n, kind in enumerate(kinds)]
+    engines = [
+        EnginePlacement(f"e{n:02d}", kind, None) for n, kind in enumerate(accelerators)
+    ]
     by_id = {e.server_id: e.accelerator for e in engines}
     for spread in spreads(engines, MODEL):
         ranges = sorted(spread.layers.values(), key=lambda layers: layers.first)
         assert ranges[0].first == 0
         assert ranges[-1].last == MODEL.layer_count - 1
-        for one, other in pairwise(ranges):
-            assert other.first == one.last + 1
+        for previous, following in pairwise(ranges):
+            assert following.first == previous.last + 1
         for server_id, layers in spread.layers.items():
-            held = len(layers)
-            room = request_room(by_id[server_id], MODEL, held, held)
-            assert room >= spread.requests
+            held_count = len(layers)
+            capacity = request_capacity(by_id[server_id], MODEL, held_count, held_count)
+            assert capacity >= spread.requests
