--- a/src/railfold/_internal/decisions/placement/additional_chains.py
+++ b/src/railfold/_internal/decisions/placement/additional_chains.py
@@ -53,9 +53,9 @@
     holder_counts = count_holders(e.held_layers for e in engines)
     spares: list[EnginePlacement] = []
     for engine in idle:
-        held_layers = count_holders([engine.held_layers])
-        if all(holder_counts[layer] > 1 for layer in held_layers):
-            holder_counts.subtract(held_layers)
+        engine_layers = count_holders([engine.held_layers])
+        if all(holder_counts[layer] > 1 for layer in engine_layers):
+            holder_counts.subtract(engine_layers)
             spares.append(engine)
     return spares
 
--- a/src/railfold/_internal/decisions/placement/chain.py
+++ b/src/railfold/_internal/decisions/placement/chain.py
@@ -50,7 +50,7 @@
 
     def current_request_capacity(self, model: EngineModel) -> float:
         """Return how many usual requests fit beside all that the engine holds."""
-        held_count = len(self.engine.held_count or self.layers)
+        held_count = len(self.engine.held_layers or self.layers)
         return request_capacity(
             self.engine.accelerator, model, held_count, len(self.layers)
         )
--- a/src/railfold/_internal/decisions/placement/copies.py
+++ b/src/railfold/_internal/decisions/placement/copies.py
@@ -222,8 +222,8 @@
 
     Those of layers with little room left come first; chains need them most.
     """
-    held_layers = [e.held_layers for e in engines if e.held_layers is not None]
-    firsts = {n for layers in held_layers for n in (layers.first, layers.last + 1)}
+    held_ranges = [e.held_layers for e in engines if e.held_layers is not None]
+    firsts = {n for layers in held_ranges for n in (layers.first, layers.last + 1)}
     firsts |= {n - size for n in firsts}
     ranges = [
         LayerRange(n, n + size - 1)
--- a/src/railfold/_internal/decisions/placement/improve.py
+++ b/src/railfold/_internal/decisions/placement/improve.py
@@ -112,7 +112,7 @@
         served_rps = estimate_throughput(
             after, model, baseline.objective_s
         ).throughput_rps
-        held_by_id = {e.server_id: e.held_by_id for e in engines}
+        held_by_id = {e.server_id: e.held_layers for e in engines}
         loads = sum(
             count_layers_to_load(held_by_id[s], layers) for s, layers in changes.items()
         )
@@ -121,7 +121,7 @@
     best = max(additional_chain_changes(engines, spares, model), key=rank, default=None)
     if best is None:
         return {}
-    moves = any(e.held_by_id is not None for e in engines if e.server_id in best)
+    moves = any(e.held_layers is not None for e in engines if e.server_id in best)
     min_gain = _MIN_GAIN_FOR_MOVES if moves else _MIN_GAIN
     return best if baseline.is_exceeded_by(rank(best)[0], min_gain) else {}
 
--- a/src/railfold/_internal/decisions/placement/parallel_chains.py
+++ b/src/railfold/_internal/decisions/placement/parallel_chains.py
@@ -99,7 +99,7 @@
     engine: EnginePlacement
     held_layers: LayerRange
     layer_s: float
-    free_layer_states: float
+    free_state_slots: float
     free_sequences: float
     entering_requests: float = 0.0
     assigned_requests: float = 0.0
@@ -107,17 +107,13 @@
 
     def request_capacity(self, layers: LayerRange) -> float:
         """Return how many requests more it can run so many layers of."""
-        request_capacity = self.free_layer_states / len(layers)
-        return (
-            min(request_capacity, self.free_sequences)
-            if layers.first == 0
-            else request_capacity
-        )
+        capacity = self.free_state_slots / len(layers)
+        return min(capacity, self.free_sequences) if layers.first == 0 else capacity
 
     def reserve(self, requests: float, layers: LayerRange) -> None:
         """Take requests up to run so many layers of them."""
         self.assigned_requests += requests
-        self.free_layer_states -= requests * len(layers)
+        self.free_state_slots -= requests * len(layers)
         if layers.first == 0:
             self.entering_requests += requests
             self.free_sequences -= requests
--- a/src/railfold/_internal/decisions/placement/repair.py
+++ b/src/railfold/_internal/decisions/placement/repair.py
@@ -199,7 +199,7 @@
     widened = _widen_neighbours(gap, engines, model, requests)
     if widened is not None:
         return widened
-    spare = _spare_for(gap, engines, model, requests)
+    spare = _best_spare(gap, engines, model, requests)
     if spare is None:
         return None
     size = min(len(gap), max_layers(spare.accelerator, model, requests))
@@ -215,8 +215,8 @@
     """Let the engines on both sides of a gap take its layers, if they have room."""
 
     def free_layers(engine: EnginePlacement) -> int:
-        held_layers = len(engine.held_layers) if engine.held_layers else 0
-        return max_layers(engine.accelerator, model, requests) - held_layers
+        held_count = len(engine.held_layers) if engine.held_layers else 0
+        return max_layers(engine.accelerator, model, requests) - held_count
 
     before = [
         e for e in engines if e.held_layers and e.held_layers.last == gap.first - 1
@@ -247,7 +247,7 @@
     return changes
 
 
-def _spare_for(
+def _best_spare(
     gap: LayerRange,
     engines: Sequence[EnginePlacement],
     model: EngineModel,
@@ -255,17 +255,17 @@
 ) -> EnginePlacement | None:
     """Return the engine without layers of its own that can best be moved to a gap."""
 
-    def fits(engine: EnginePlacement) -> tuple[bool, int, int]:
+    def suitability(engine: EnginePlacement) -> tuple[bool, int, int]:
         layer_limit = max_layers(engine.accelerator, model, requests)
-        held_layers = len(engine.held_layers) if engine.held_layers else 0
-        return (layer_limit >= len(gap), -held_layers, layer_limit)
+        held_count = len(engine.held_layers) if engine.held_layers else 0
+        return (layer_limit >= len(gap), -held_count, layer_limit)
 
     usable = [
         e
         for e in redundant_engines(engines)
         if max_layers(e.accelerator, model, requests) > 0
     ]
-    return max(usable, key=fits, default=None)
+    return max(usable, key=suitability, default=None)
 
 
 # Moving up
--- a/src/railfold/_internal/decisions/placement/throughput.py
+++ b/src/railfold/_internal/decisions/placement/throughput.py
@@ -76,12 +76,12 @@
     that tells how good a repair is, and not what a whole domain serves.
     """
     placed = [e for e in engines if e.held_layers is not None]
-    best = 0.0
+    best_rps = 0.0
     for requests in concurrency_levels(model):
         residence_s = _shortest_residence_s(placed, model, requests)
         if residence_s is not None:
-            best = max(best, requests / residence_s)
-    return best
+            best_rps = max(best_rps, requests / residence_s)
+    return best_rps
 
 
 def _shortest_residence_s(
@@ -94,8 +94,8 @@
     """
     shortest_s: dict[int, float] = {0: 0.0}
     for layer in range(model.layer_count):
-        so_far_s = shortest_s.get(layer)
-        if so_far_s is None:
+        previous_s = shortest_s.get(layer)
+        if previous_s is None:
             continue
         for engine in engines:
             held_layers = engine.held_layers
@@ -110,7 +110,7 @@
                 < requests
             ):
                 continue
-            total_s = so_far_s + stage_residence_s(
+            total_s = previous_s + stage_residence_s(
                 engine.accelerator, model, run_count, requests
             )
             if total_s < shortest_s.get(held_layers.last + 1, float("inf")):
--- a/tests/unit/test_layer_placement.py
+++ b/tests/unit/test_layer_placement.py
@@ -106,7 +106,7 @@
         make_engines(*DOMAIN_ACCELERATORS),
         plan_layers(make_engines(*DOMAIN_ACCELERATORS), MODEL),
     )
-    held_by_id = {e.server_id: e.held_by_id for e in placed}
+    held_by_id = {e.server_id: e.held_layers for e in placed}
     for lost in held_by_id:
         remaining = [e for e in placed if e.server_id != lost]
         changes = plan_layers(remaining, MODEL)
