--- a/src/railfold/_internal/decisions/configured_loads.py
+++ b/src/railfold/_internal/decisions/configured_loads.py
@@ -1,4 +1,4 @@
-"""What the configuration wants each engine to load."""
+"""The layers that the configuration assigns to each engine."""
 
 from __future__ import annotations
 
@@ -13,11 +13,13 @@
 def configured_load(
     configuration: Configuration, host: str
 ) -> tuple[LoadOrder, int] | None:
-    """Return what the configuration wants of a host's engine, and its slot.
+    """Return the load order of a host's engine in the configuration, and its slot.
 
-    The slot is the host's place in a fixed shuffle of the pipeline's hosts, so
-    that hosts share the weight store's rate without talking to each other. If
-    several pipelines place the host, the one that changed last counts.
+    The slot is the index of the host in a fixed shuffle of the pipeline's hosts. It
+    lets hosts share the rate of the weight store without communication. If several
+    pipelines place the host, the one that changed last applies.
+
+    :returns: ``None`` if no pipeline places the host.
     """
     latest: tuple[LoadOrder, int] | None = None
     for name, pipeline in configuration.pipelines.items():
--- a/src/railfold/_internal/decisions/coverage.py
+++ b/src/railfold/_internal/decisions/coverage.py
@@ -1,4 +1,4 @@
-"""Why no failure domain can serve a model, told of each of them."""
+"""The reasons why failure domains can't serve a model, for error texts."""
 
 from __future__ import annotations
 
@@ -27,9 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """Engines hold all layers, but those of ``layers`` take no request now.
+    """All layers are held, but the engines of ``layers`` accept no requests now.
 
-    :param left_s: time until one of each does, as far as it is known.
+    :param available_in_s: time until each of the layers has an engine that accepts
+        requests; ``None`` if it isn't known.
     """
 
     layers: tuple[int, ...]
@@ -38,14 +39,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DomainShortage:
-    """What one failure domain lacks."""
+    """The reason why one failure domain can't serve."""
 
     failure_domain: str
     cause: Uncovered | Unavailable
 
 
 def uncovered_layers(ranges: Iterable[LayerRange], layer_count: int) -> tuple[int, ...]:
-    """Return the layers that none of the ranges holds."""
+    """Return the layers that none of the ranges contains."""
     covered = bytearray(layer_count)
     for layers in ranges:
         end = min(layers.last + 1, layer_count)
@@ -59,11 +60,11 @@
     usable_ranges: Iterable[LayerRange],
     layer_count: int,
 ) -> DomainShortage:
-    """Return what a failure domain without a chain lacks.
+    """Return why there is no chain in a failure domain.
 
-    :param held: ranges that its engines hold, each with the time until the engine
-        takes requests, if it is known.
-    :param usable: those that a chain may use now.
+    :param held_ranges: the ranges that its engines hold, each with the time until the
+        engine accepts requests, or ``None`` if that isn't known.
+    :param usable_ranges: the ranges that a chain may use now.
     """
     missing_layers = uncovered_layers(
         (layers for layers, _ in held_ranges), layer_count
@@ -93,7 +94,7 @@
 
 
 def describe_shortages(shortages: Iterable[DomainShortage]) -> str:
-    """Return what each failure domain lacks, for errors and logs."""
+    """Return why each failure domain can't serve, for errors and logs."""
     return "; ".join(f"{s.failure_domain}: {_describe(s.cause)}" for s in shortages)
 
 
@@ -110,7 +111,7 @@
 
 
 def describe_layers(layers: Sequence[int]) -> str:
-    """Return layers as ranges: ``0-4, 26``."""
+    """Return sorted layers as a text of ranges, such as ``0-4, 26``."""
     parts: list[list[int]] = []
     for layer in layers:
         if parts and parts[-1][1] == layer - 1:
--- a/src/railfold/_internal/decisions/domain_pipes.py
+++ b/src/railfold/_internal/decisions/domain_pipes.py
@@ -1,10 +1,11 @@
-"""How much may cross between failure domains, and what a crossing costs.
-
-Answers chains that pass activations over pipes which all requests share: a prompt
-that crosses takes the pipe for a good part of an objective, so that a few tens of
-them a second fill it, and each one more delays all others. Each entry has an even
-part of what a pair of domains may carry, and takes less of it once crossings arrive
-later than the pipe explains, since pipes slow down.
+"""Quotas and costs of traffic between failure domains.
+
+Chains over several failure domains send activations over pipes, the network links
+between two domains, which all requests share. The prompt of a request occupies a pipe
+for a considerable share of the objective, so a few tens of crossing requests a second
+saturate it, and each further one delays all others. Each entry therefore has an equal
+quota of each pipe, and uses less of it if first events arrive later than predicted,
+since pipes may be slower than configured.
 """
 
 from __future__ import annotations
@@ -17,37 +18,40 @@
 
 __all__ = ["DomainPipes"]
 
-# The share of a pipe that crossings are reckoned to take at most: transfers arrive by
-# chance, and wait twice as long as they take at this utilization.
+# The share of a pipe's rate that all quotas together allow. Transfers arrive at random,
+# and at this utilization each takes twice as long, with the wait for others.
 _MAX_UTILIZATION = 0.5
 
-# How much a part may be used ahead of time: crossings come in bunches.
+# Seconds of a quota that may be used at once, since crossings arrive in bursts.
 _BURST_S = 1.0
 
-# A part is cut to this share when a crossing comes late, at most once in so long, and
-# grows by so much with each one that comes in time: a pipe may be slower than it is
-# told to be, or carry as much again in the other direction.
+# The used share of a quota is multiplied by the factor after a late first event, at
+# most once in the interval, and grows by the increment with each one in time. A pipe
+# may be slower than configured, or carry the same rate again in the other direction, so
+# the share may also exceed 1.
 _REDUCTION_FACTOR = 0.5
 _REDUCTION_INTERVAL_S = 0.5
 _SHARE_INCREMENT = 0.05
 _MIN_SHARE = 0.05
 _MAX_SHARE = 2.0
 
-# What a crossing costs whatever its pipe carries: it takes the pipe from others.
+# Fixed cost of a crossing even over an idle pipe, since it takes capacity from others.
 _CROSSING_COST = 0.25
 
-# First events later than predicted by more than this share of the objective, over a
-# crossing chain, count against its pipes.
+# A first event over a crossing chain is late for its pipes if it exceeds the prediction
+# by more than this share of the objective.
 _LATE_OBJECTIVE_SHARE = 0.33
 
 
 @dataclass(slots=True)
 class _Pipe:
-    """One entry's part of a pipe.
+    """One entry's quota of a pipe.
 
-    :param share: of its part that it uses.
-    :param credit_s: seconds of its part that it may use now; below zero if it has used
-        some ahead of time.
+    :param quota_share: the share of the quota that the entry uses.
+    :param credit_s: how many seconds of the quota may be used now; negative after a
+        burst, until it has refilled.
+    :param updated_at_s: when the credit was last refilled.
+    :param reduced_at_s: when the share was last reduced.
     """
 
     quota_share: float = 1.0
@@ -57,9 +61,10 @@
 
 
 class DomainPipes:
-    """One entry's crossings between failure domains.
+    """Quotas of one entry on the pipes between failure domains.
 
-    Times are on the monotonic clock.
+    All times are on the monotonic clock. Both directions of a pair of domains share one
+    quota.
     """
 
     def __init__(self) -> None:
@@ -73,10 +78,10 @@
         needs: RequestNeeds,
         now_s: float,
     ) -> float:
-        """Return the cost of a crossing; infinite if the pipe has no room for it.
+        """Return the cost of a crossing, infinite if the quota is used up.
 
-        By the share of the objectives that it uses up, and the share of the part of
-        the pipe that is gone.
+        The cost adds up the shares of the objective and of the allowed pause that the
+        crossing takes, the used share of the credit, and a fixed cost.
         """
         if not model.pipe_bytes_per_s:
             return math.inf
@@ -100,7 +105,10 @@
         entries: int,
         now_s: float,
     ) -> None:
-        """Count a request that will cross."""
+        """Charge a request that will cross to the quota.
+
+        :param entries: how many entries share the pipe.
+        """
         if not model.pipe_bytes_per_s:
             return
         pipe = self._pipe(domain, other_domain, now_s)
@@ -116,9 +124,10 @@
         objective_s: float,
         now_s: float,
     ) -> bool:
-        """Take how late a first event came that crossed; return if that cuts the part.
+        """Adapt the used share to a first event over a crossing chain.
 
-        :param late_s: compared with the prediction.
+        :param late_s: how much later than predicted it arrived.
+        :returns: whether the share was reduced.
         """
         pipe = self._pipe(domain, other_domain, now_s)
         if late_s <= _LATE_OBJECTIVE_SHARE * objective_s:
@@ -131,7 +140,7 @@
         return True
 
     def quota_share(self, domain: str, other_domain: str) -> float:
-        """Return which share of its part of a pipe the entry uses."""
+        """Return the share of its quota of a pipe that the entry uses."""
         pipe = self._pipes.get(_pipe_key(domain, other_domain))
         return pipe.quota_share if pipe is not None else 1.0
 
--- a/src/railfold/_internal/decisions/domains.py
+++ b/src/railfold/_internal/decisions/domains.py
@@ -1,4 +1,4 @@
-"""Grouping what stands in failure domains."""
+"""Grouping of items by failure domain, and of engines for placement."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 T = TypeVar("T")
 
-# Layers of so many engines are placed together at most, on average: the time of a plan
-# grows faster than their number, and must stay well within the lease under which it is
-# made. A whole chain takes 8 to 14 engines.
+# Mean number of engines in a group at most. The duration of a plan grows faster than
+# the number of engines, and has to stay well within the lease of the planning entry. A
+# complete chain takes 8 to 14 engines.
 _MAX_MEAN_GROUP_SIZE = 60
 
 
 def group_by_domain(items: Iterable[T], domain_of: Callable[[T], str]) -> list[list[T]]:
-    """Return the items of each failure domain, in the order of their names."""
+    """Return the items of each failure domain, ordered by the names of the domains."""
     by_domain: dict[str, list[T]] = {}
     for item in items:
         by_domain.setdefault(domain_of(item), []).append(item)
@@ -25,10 +25,10 @@
 
 
 def split_into_groups(items: Sequence[T], id_of: Callable[[T], str]) -> list[list[T]]:
-    """Return items in groups of bounded size, all in one if they are few.
+    """Return items in groups of bounded mean size, without empty groups.
 
-    An item's group follows from its id and from the number of groups, which doubles, so
-    that items that come and go leave the others where they are.
+    The group of an item depends only on its id and the number of groups, which is a
+    power of two. Added and removed items therefore rarely move others to another group.
     """
     count = 1
     while len(items) > count * _MAX_MEAN_GROUP_SIZE:
--- a/src/railfold/_internal/decisions/placement/__init__.py
+++ b/src/railfold/_internal/decisions/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Which engine holds which layers, and what that lets a failure domain serve."""
+"""Placement of model layers on engines, and the throughput of a failure domain."""
 
 from __future__ import annotations
 
--- a/src/railfold/_internal/decisions/placement/additional_chains.py
+++ b/src/railfold/_internal/decisions/placement/additional_chains.py
@@ -1,8 +1,9 @@
-"""Putting spare engines beside the chains of a failure domain that is whole.
+"""Additional chains over spare engines of a failure domain that covers all layers.
 
-All chains pass each layer. Where engines have hardly any room left beside the chains
-that there are, no further chain gets through, however many engines are idle at other
-layers. One spare engine rarely holds all such layers; several side by side do.
+Every chain passes each layer. If the engines of some layers have hardly any capacity
+left beside the existing chains, no further chain is possible, however many engines are
+idle at other layers. One spare engine rarely has memory for all such layers; several
+together do.
 """
 
 from __future__ import annotations
@@ -25,17 +26,20 @@
 
 __all__ = ["additional_chain_changes", "spare_engines"]
 
-# Rooms of a further chain that are looked at, the largest of them a full batch.
+# Numbers of requests that an additional chain is planned for, from a full batch down.
 _CONCURRENCY_LEVELS_TRIED = 4
 
-# An engine whose chains use more of its room than this doesn't move.
+# An engine isn't spare if chains use more than this share of its request capacity.
 _MAX_SPARE_UTILIZATION = 0.25
 
 
 def spare_engines(
     engines: Sequence[EnginePlacement], model: EngineModel
 ) -> list[EnginePlacement]:
-    """Return engines that may move together: empty ones first, then the least used."""
+    """Return engines that may all get other layers without uncovering a layer.
+
+    Empty engines come first, then those with the lowest utilization.
+    """
     utilization = chain_utilization(engines, model)
     idle = [
         e
@@ -65,9 +69,9 @@
     spares: Sequence[EnginePlacement],
     model: EngineModel,
 ) -> Iterable[Changes]:
-    """Yield what spare engines may hold for a further chain to get through.
+    """Yield layers for spare engines that make an additional chain possible.
 
-    :param spares: some of the engines, in the order in which they are used.
+    :param spares: engines that may move, in the order in which they are assigned.
     """
     moving_ids = {e.server_id for e in spares}
     spare_capacity = spare_layer_capacity(
@@ -87,7 +91,12 @@
     model: EngineModel,
     requests: float,
 ) -> Changes:
-    """Return loads that let so many requests more through all layers, or nothing."""
+    """Return layers for spares that give every layer capacity for more requests.
+
+    :param spare_capacity: how many requests each layer has capacity for without spares.
+    :param requests: the capacity that each layer has to reach.
+    :returns: an empty dictionary if the spares don't suffice.
+    """
     remaining = list(spares)
     changes: Changes = {}
     layer = 0
--- a/src/railfold/_internal/decisions/placement/chain.py
+++ b/src/railfold/_internal/decisions/placement/chain.py
@@ -1,8 +1,9 @@
-"""The chain that serves most over what engines hold, and what it could serve.
+"""The chain with the highest throughput over the layers that engines hold.
 
-An engine may hold more layers than it runs. What it holds in vain leaves less memory
-for requests, and can be given up at any time. So two figures tell of a chain: what it
-serves now, and what it would serve if each of its engines held only what it runs.
+An engine may hold more layers than it runs in a chain. The other layers take memory
+from requests, and the engine can drop them at any time. A chain therefore has two
+throughputs: the current one, and the one that it reaches if each of its engines holds
+only the layers that it runs.
 """
 
 from __future__ import annotations
@@ -31,47 +32,47 @@
     "current_throughput_rps",
 ]
 
-# How many ways to each layer are kept; two are enough where engines' ranges overlap
-# by one neighbour's, the third is for copies.
+# The search keeps this many fastest paths to each layer. Two suffice if the range of an
+# engine overlaps with that of one neighbour; the third allows for copies of layers.
 _PATHS_KEPT = 3
 
 
 @dataclass(frozen=True, slots=True)
 class PlacedStage:
-    """An engine, and the layers that it runs in a chain."""
+    """An engine and the layers that it runs in a chain."""
 
     engine: EnginePlacement
     layers: LayerRange
 
     def request_capacity(self, model: EngineModel) -> float:
-        """Return how many usual requests fit if the engine holds only what it runs."""
+        """Return how many typical requests fit if the engine holds only its stage."""
         run_count = len(self.layers)
         return request_capacity(self.engine.accelerator, model, run_count, run_count)
 
     def current_request_capacity(self, model: EngineModel) -> float:
-        """Return how many usual requests fit beside all that the engine holds."""
+        """Return how many typical requests fit beside all layers that it holds now."""
         held_count = len(self.engine.held_layers or self.layers)
         return request_capacity(
             self.engine.accelerator, model, held_count, len(self.layers)
         )
 
 
-# The stages that a request passes, in order.
+# The stages of a chain in the order in which a request passes them.
 PlacedChain = list[PlacedStage]
 
 
 def chain_request_capacity(stages: Iterable[PlacedStage], model: EngineModel) -> float:
-    """Return how many requests a chain takes if its engines hold only what they run."""
+    """Return how many requests fit on a chain whose engines hold only their stages."""
     return min(stage.request_capacity(model) for stage in stages)
 
 
 def chain_throughput_rps(stages: Sequence[PlacedStage], model: EngineModel) -> float:
-    """Return what a chain serves if its engines hold only what they run."""
+    """Return the throughput of a chain whose engines hold only their stages."""
     return _throughput_rps(stages, model, chain_request_capacity(stages, model))
 
 
 def current_throughput_rps(stages: Sequence[PlacedStage], model: EngineModel) -> float:
-    """Return what a chain serves beside all that its engines hold."""
+    """Return the throughput of a chain with all layers that its engines hold now."""
     requests = min(stage.current_request_capacity(model) for stage in stages)
     return _throughput_rps(stages, model, requests)
 
@@ -89,7 +90,10 @@
 def best_chain(
     engines: Iterable[EnginePlacement], model: EngineModel
 ) -> PlacedChain | None:
-    """Return the chain that could serve most; nothing if layers are missing."""
+    """Return the chain with the highest throughput, or ``None`` if layers are missing.
+
+    The throughput is that of engines that hold only their stages.
+    """
     placed = [e for e in engines if e.held_layers is not None]
     chains = [
         chain
@@ -101,7 +105,10 @@
 
 @dataclass(frozen=True, slots=True)
 class _Path:
-    """The fastest way through the layers before one that ends at an engine."""
+    """The fastest chain over the first layers whose last stage is on a given engine.
+
+    :param residence_s: how long a typical request spends at its stages.
+    """
 
     residence_s: float
     stages: tuple[PlacedStage, ...]
@@ -110,9 +117,9 @@
 def _fastest_chain(
     engines: Sequence[EnginePlacement], model: EngineModel, requests: float
 ) -> PlacedChain | None:
-    """Return the fastest chain whose engines have room for so many requests.
+    """Return the fastest chain whose engines have capacity for ``requests`` requests.
 
-    A stage ends where its engine's range does, or where another one's begins.
+    A stage ends where the range of its engine ends, or where another range begins.
     """
     stage_ends = {e.held_layers.last for e in engines if e.held_layers}
     stage_ends |= {e.held_layers.first - 1 for e in engines if e.held_layers}
@@ -142,12 +149,15 @@
 
 
 def _fastest_paths(paths: dict[str, _Path]) -> list[_Path]:
-    """Return the few fastest ways: one has to be left that an engine isn't in."""
+    """Return the fastest paths.
+
+    Several are kept so that one is left that doesn't contain the next stage's engine.
+    """
     return sorted(paths.values(), key=lambda path: path.residence_s)[:_PATHS_KEPT]
 
 
 def _fastest_path_without(server_id: str, paths: Sequence[_Path]) -> _Path | None:
-    """Return the fastest way that an engine isn't part of: it runs one part."""
+    """Return the fastest path without an engine, which may run only one stage."""
     for path in paths:
         if all(stage.engine.server_id != server_id for stage in path.stages):
             return path
@@ -157,7 +167,7 @@
 def _possible_stages(
     engine: EnginePlacement, first: int, stage_ends: set[int], layer_limit: int
 ) -> Iterable[PlacedStage]:
-    """Yield what an engine may run from a layer on, ``most`` layers at most."""
+    """Yield the stages of up to ``layer_limit`` layers that an engine can begin."""
     held_layers = engine.held_layers
     if held_layers is None or not held_layers.first <= first <= held_layers.last:
         return
--- a/src/railfold/_internal/decisions/placement/copies.py
+++ b/src/railfold/_internal/decisions/placement/copies.py
@@ -1,7 +1,7 @@
-"""Copies of layers on engines that a domain's chain doesn't need.
+"""Copies of layers on engines that the chains of a failure domain don't need.
 
-A dead engine whose layers others hold costs its streams no load: they go on over the
-copies.
+If an engine dies and other engines hold copies of its layers, its streams continue over
+the copies without waiting for a load.
 """
 
 from __future__ import annotations
@@ -31,30 +31,33 @@
 
 __all__ = ["place_copies", "place_safest_copies"]
 
-# A copy leaves its engine room for this part of a full batch at least, so that it can
-# stand in for an engine of a chain that is busy.
+# A copy leaves its engine memory for at least this share of a full batch, so that the
+# engine can replace one of a busy chain.
 _MIN_CAPACITY_SHARE = 0.25
 
-# Copies whose throughput is reckoned, of those that end or begin beside others' layers.
+# Candidate ranges of each kind, bridging and adjacent, whose throughput is estimated.
 _MAX_CANDIDATES = 8
 
-# Engines that get copies in one plan; the others do in the next ones. That bounds the
-# time of a plan on hosts with a part of a core.
+# Engines that get copies in one plan; the following plans serve the others. The bound
+# limits the duration of a plan on hosts that have only a fraction of a core.
 _MAX_ENGINES_PER_PLAN = 16
 
-# Of these the best are tried for other engines of the same kind.
+# The best candidates of an engine that are tried for others with its accelerator.
 _MAX_REUSED_CANDIDATES = 2
 
-# Gains below this are within what the reckoning leaves out.
+# Smaller gains are below the accuracy of the estimate.
 _MIN_GAIN = 1.01
 
 
 def place_copies(
     engines: Sequence[EnginePlacement], model: EngineModel, objective_s: float = inf
 ) -> Changes:
-    """Let empty engines take part in chains, or copy layers that a single engine holds.
+    """Return layers for empty engines, to form chains or to copy sole layers.
 
-    They have nothing to give up, so that any gain is worth their loads.
+    A sole layer is one that a single engine holds. Empty engines drop nothing, so any
+    gain is worth their loads.
+
+    :param objective_s: the longest time to a first event that is of use to a client.
     """
     current = {e.server_id: e for e in engines}
     changes: Changes = {}
@@ -77,7 +80,7 @@
         best_rps, target = rated[0]
         if best_rps <= _MIN_GAIN * safest_rps:
             target = candidates[0]
-        # Others of its kind choose among the best of these.
+        # Engines with the same accelerator choose among the best of these.
         best_by_kind[engine.accelerator] = [
             copy for _, copy in rated[:_MAX_REUSED_CANDIDATES]
         ]
@@ -89,7 +92,7 @@
 def place_safest_copies(
     engines: Sequence[EnginePlacement], model: EngineModel
 ) -> Changes:
-    """Let empty engines copy layers that a single engine holds."""
+    """Return layers for empty engines, to copy those that a single engine holds."""
     current = {e.server_id: e for e in engines}
     changes: Changes = {}
     for engine in (e for e in engines if e.held_layers is None):
@@ -108,9 +111,9 @@
     model: EngineModel,
     best_of_kind: Sequence[LayerRange] | None,
 ) -> list[LayerRange]:
-    """Return layers that an engine may copy, first what keeps a domain whole best.
+    """Return ranges that an empty engine may copy, the safest one first.
 
-    :param ranked: what was found best for another engine of its kind.
+    :param best_of_kind: the best ranges for another engine with its accelerator.
     """
     size = _copy_size(empty, model)
     if size <= 0:
@@ -131,10 +134,10 @@
 def _safest_copy(
     engines: Sequence[EnginePlacement], size: int, model: EngineModel
 ) -> LayerRange:
-    """Return the layers of which a copy lets the domain lose the most engines.
+    """Return the range whose copy lets the domain survive the loss of most engines.
 
-    An engine can be lost if copies hold all its layers; of equal copies the one of
-    fewer engines' layers that are held once.
+    The domain survives the loss of an engine if other engines hold all its layers. Of
+    equal ranges, the one with the most layers that a single engine holds is returned.
     """
     holder_counts = count_holders(e.held_layers for e in engines)
     sole_ranges = [
@@ -161,9 +164,10 @@
     model: EngineModel,
     objective_s: float,
 ) -> float:
-    """Return what a domain serves with a copy, on average over the loss of an engine.
+    """Return the throughput of a domain with a copy, averaged over single losses.
 
-    One that holds layers alone takes all of it along.
+    The loss of an engine that alone holds some layer reduces the throughput to zero;
+    other losses are assumed not to change it.
     """
     after = [*engines, replace(empty, held_layers=copy)]
     holder_counts = count_holders(e.held_layers for e in after)
@@ -185,10 +189,10 @@
     max_size: int,
     model: EngineModel,
 ) -> list[LayerRange]:
-    """Return ranges from where an engine ends to where another one begins.
+    """Return ranges between the end of an engine's range and the start of another's.
 
-    Those between engines of like speed come first: they belong to a chain that lacks
-    such an engine.
+    Ranges between engines of similar speed come first: they complete a chain that lacks
+    an engine of this speed.
     """
     own_factor = empty.accelerator.step_factor
     difference_before: dict[int, float] = {0: 0.0}
@@ -218,9 +222,9 @@
     size: int,
     model: EngineModel,
 ) -> list[LayerRange]:
-    """Return copies that begin or end where engines' ranges do.
+    """Return ranges that begin or end where the ranges of engines do.
 
-    Those of layers with little room left come first; chains need them most.
+    Ranges with little spare capacity come first, since they limit further chains.
     """
     held_ranges = [e.held_layers for e in engines if e.held_layers is not None]
     firsts = {n for layers in held_ranges for n in (layers.first, layers.last + 1)}
@@ -237,7 +241,10 @@
 def _sole_layers(
     held_layers: LayerRange, holder_counts: Counter[int]
 ) -> LayerRange | None:
-    """Return the part of a range that no other engine holds."""
+    """Return the smallest range with all layers that no other engine holds.
+
+    :returns: ``None`` if other engines hold all of ``held_layers``.
+    """
     layers = [
         n
         for n in range(held_layers.first, held_layers.last + 1)
@@ -247,7 +254,10 @@
 
 
 def _copy_size(empty: EnginePlacement, model: EngineModel) -> int:
-    """Return how many layers an engine holds well: enough room, many layers."""
+    """Return the most layers an engine can copy with memory left for requests.
+
+    :returns: 0 if it can't hold a layer beside ``_MIN_CAPACITY_SHARE`` of a full batch.
+    """
     sizes = [
         max_layers(empty.accelerator, model, requests)
         for requests in concurrency_levels(model)
--- a/src/railfold/_internal/decisions/placement/demand.py
+++ b/src/railfold/_internal/decisions/placement/demand.py
@@ -1,8 +1,9 @@
-"""What is wanted of each group of engines, as parts of one supply for one demand.
+"""The demand on each group of engines, as a part of the demand on all of them.
 
-Clients' requests go to any failure domain, at a little more delay. What one of them
-can't serve is no reason to change it while the others have room for it, and what all
-lack together is made up where it can be, rather than in every one of them.
+Requests can go to any failure domain at the cost of a little more delay. A group that
+serves less than its share is therefore left unchanged while the groups together meet
+the demand, and throughput that is missing in total is added where that is possible
+rather than in every group.
 """
 
 from __future__ import annotations
@@ -13,13 +14,13 @@
 
 
 def group_demands_rps(served_rps: Sequence[float], needed_rps: float) -> list[float]:
-    """Return how many requests a second are wanted of each group.
+    """Return the demand on each group in requests a second.
 
-    A group that serves nothing is wanted to serve its equal part, also where the
-    others have room: its own clients come from near it.
+    A group that serves nothing gets an equal share of the demand even if the others
+    meet all of it, since its own clients are close to it.
 
-    :param served_rps: what each of them serves.
-    :param needed_rps: what is wanted of all together.
+    :param served_rps: throughput of each group.
+    :param needed_rps: demand on all groups together.
     """
     missing_rps = max(0.0, needed_rps - sum(served_rps))
     equal_share_rps = needed_rps / max(1, len(served_rps))
@@ -30,5 +31,5 @@
 
 
 def planning_order(served_rps: Sequence[float]) -> list[int]:
-    """Return the groups in the order in which they are planned: the weakest first."""
+    """Return the indexes of the groups by throughput, the lowest first."""
     return sorted(range(len(served_rps)), key=lambda n: (served_rps[n], n))
--- a/src/railfold/_internal/decisions/placement/engines.py
+++ b/src/railfold/_internal/decisions/placement/engines.py
@@ -1,4 +1,4 @@
-"""Engines with memory for layers and requests, and what their layers cover."""
+"""The layers and the memory of engines, and the layers that engines cover together."""
 
 from __future__ import annotations
 
@@ -21,21 +21,22 @@
     "uncovered_ranges",
 ]
 
-# What engines should hold from now on, by engine; others keep what they hold.
+# The layers that engines should hold, by server id. Other engines keep their layers.
 Changes = dict[str, LayerRange]
 
-# Keeps an engine that is exactly full from counting as overfull.
+# Keeps rounding errors from making an engine that is exactly full count as overfull.
 _ROUNDING_TOLERANCE = 1e-9
 
 
 @dataclass(frozen=True, slots=True)
 class EnginePlacement:
-    """An engine that may be given layers.
+    """An engine and the layers placed on it.
 
-    :param held: the layers that it holds, or was ordered to hold.
-    :param under_order: whether an order isn't carried out yet.
-    :param busy: whether it runs requests, as far as is known. It gives layers up
-        only once those have ended.
+    :param held_layers: the layers that it holds or was ordered to hold; ``None`` if it
+        is empty.
+    :param order_pending: whether it still has to complete an order.
+    :param busy: whether it is assumed to run requests. It drops layers only after these
+        have ended.
     """
 
     server_id: str
@@ -48,9 +49,10 @@
 def uncovered_ranges(
     ranges: Iterable[LayerRange | None], layer_count: int
 ) -> list[LayerRange]:
-    """Return the runs of layers that are in none of the ranges.
+    """Return the gaps between the ranges, as ranges.
 
-    Ranges may reach beyond the model: what engines register is their own word.
+    The ranges come from engines' registrations, which aren't validated: they may extend
+    beyond the model.
     """
     covered = [False] * layer_count
     for layers in ranges:
@@ -71,7 +73,7 @@
 
 
 def max_layers(accelerator: Accelerator, model: EngineModel, requests: float) -> int:
-    """Return how many layers fit beside the memory for so many usual requests."""
+    """Return how many layers fit beside the state of ``requests`` typical requests."""
     state_mb = requests * model.mean_tokens * model.request_mb_per_token
     layer_limit = int(accelerator.memory_mb / (model.layer_mb + state_mb))
     return min(layer_limit, model.layer_count)
@@ -80,10 +82,10 @@
 def request_capacity(
     accelerator: Accelerator, model: EngineModel, held_count: int, run_count: int
 ) -> float:
-    """Return how many usual requests fit beside the layers that an engine holds.
+    """Return how many typical requests fit beside the layers that an engine holds.
 
-    :param held: how many layers it holds.
-    :param run: how many of them a request runs there, at least one.
+    :param held_count: how many layers it holds.
+    :param run_count: how many of them a request runs there, at least one.
     """
     free_mb = accelerator.memory_mb - held_count * model.layer_mb
     request_mb = run_count * model.mean_tokens * model.request_mb_per_token
@@ -93,7 +95,7 @@
 
 
 def count_holders(ranges: Iterable[LayerRange | None]) -> Counter[int]:
-    """Return in how many of the ranges each layer is."""
+    """Return the number of ranges that contain each layer."""
     counts: Counter[int] = Counter()
     for layers in ranges:
         if layers is not None:
@@ -102,9 +104,9 @@
 
 
 def redundant_engines(engines: Iterable[EnginePlacement]) -> list[EnginePlacement]:
-    """Return engines of each of which the others hold all that it holds.
+    """Return the engines all of whose layers other engines hold as well.
 
-    One that loses its layers may make another one needed.
+    Each one is redundant on its own; if it drops its layers, others may no longer be.
     """
     members = list(engines)
     holder_counts = count_holders(e.held_layers for e in members)
@@ -120,14 +122,14 @@
 
 
 def covers(outer: LayerRange | None, inner: LayerRange) -> bool:
-    """Return whether a range holds all of another."""
+    """Return whether a range contains all of another."""
     if outer is None:
         return False
     return outer.first <= inner.first and inner.last <= outer.last
 
 
 def count_layers_to_load(held_layers: LayerRange | None, target: LayerRange) -> int:
-    """Return how many layers an engine has to load."""
+    """Return how many layers of ``target`` an engine doesn't hold yet."""
     if held_layers is None:
         return len(target)
     kept = min(held_layers.last, target.last) - max(held_layers.first, target.first) + 1
--- a/src/railfold/_internal/decisions/placement/improve.py
+++ b/src/railfold/_internal/decisions/placement/improve.py
@@ -1,9 +1,9 @@
-"""Improving the placement of a failure domain that is whole, while it serves.
+"""Improvements of the placement of a failure domain while it serves all layers.
 
-No engine that runs requests moves: giving layers up waits for the requests there,
-which takes as long as the longest of them. Instead engines of the chain hand a few
-layers to the ones beside them, and engines that aren't needed where they are take
-layers of the chain over. What the chain then doesn't run is given up.
+An engine that runs requests isn't moved: to drop layers it has to drain, which takes as
+long as its longest request. Instead, engines of the chain hand a few layers to their
+neighbours, and redundant engines take over layers of the chain. A later plan drops the
+layers that the chain no longer runs.
 """
 
 from __future__ import annotations
@@ -40,12 +40,14 @@
 
 __all__ = ["improve"]
 
-# A change is worth its loads if the domain then serves this much more: above the
-# reckoning's error at like loads (a tenth), so that plans don't change to and fro.
+# A change is worth its loads if it multiplies the throughput by at least this factor.
+# It exceeds the error of the estimate between similar loads (10%), so that plans don't
+# oscillate.
 _MIN_GAIN = 1.15
 
-# Where engines with layers move for it: they may run others' requests, and serve
-# nothing until those have ended, which takes as long as a repair is reckoned to stand.
+# The factor for changes that move engines with layers. Such an engine may run requests
+# of other entries, and serves nothing until they have ended, which takes about as long
+# as a repair is expected to last.
 _MIN_GAIN_FOR_MOVES = 1.3
 
 
@@ -55,15 +57,15 @@
     needed_rps: float,
     objective_s: float,
 ) -> Changes:
-    """Return the next changes that let a domain serve more; it stays whole.
+    """Return the next changes that raise the throughput and keep all layers covered.
 
-    :param needed_rps: how many requests a second are wanted of it; none of its
-        chains' layers move while it serves so many.
+    :param needed_rps: the demand on the domain in requests a second. While it is met,
+        only empty engines get layers.
     :param objective_s: the longest time to a first event that is of use to a client.
     """
     if any(engine.order_pending for engine in engines):
-        # Who holds layers moves one step after the other, but nobody waits for those
-        # who hold none.
+        # Engines with layers change one step at a time, and a pending order is such a
+        # step. Empty engines don't have to wait for it.
         return place_copies(engines, model, objective_s)
     chain = best_chain(engines, model)
     if chain is None:
@@ -73,7 +75,7 @@
     if served_rps >= needed_rps:
         return copied
     if copied:
-        # Engines in use leave to empty ones what those can take over as well.
+        # Engines in use move only for a gain over what copies on empty ones achieve.
         after = _apply_changes(engines, copied)
         copied_rps = estimate_throughput(after, model, objective_s).throughput_rps
         served_rps = max(served_rps, copied_rps)
@@ -88,23 +90,24 @@
 
 @dataclass(frozen=True, slots=True)
 class _Baseline:
-    """What a change is measured by.
+    """The throughput that a change has to exceed.
 
-    :param served_rps: what the domain serves once its empty engines hold copies.
+    :param served_rps: throughput of the domain once its empty engines hold copies.
+    :param objective_s: the longest time to a first event that is of use to a client.
     """
 
     served_rps: float
     objective_s: float
 
     def is_exceeded_by(self, served_rps: float, min_gain: float) -> bool:
-        """Return whether to serve so much is worth loads."""
+        """Return whether a throughput is at least ``min_gain`` times the baseline."""
         return served_rps >= min_gain * self.served_rps
 
 
 def _add_chain(
     engines: Sequence[EnginePlacement], model: EngineModel, baseline: _Baseline
 ) -> Changes:
-    """Return what spare engines should hold beside the chains that there are."""
+    """Return layers for spare engines that add a chain, if it is worth the loads."""
     spares = spare_engines(engines, model)
 
     def rank(changes: Changes) -> tuple[float, int]:
@@ -140,9 +143,9 @@
     model: EngineModel,
     baseline: _Baseline,
 ) -> Changes:
-    """Let the chain's engines give up what keeps it from serving what it could.
+    """Return changes that drop layers which the chain doesn't run but which limit it.
 
-    What they hold beside it may be part of other chains.
+    They are made only if the domain gains: other chains may run the dropped layers.
     """
     possible_rps = chain_throughput_rps(chain, model)
     if current_throughput_rps(chain, model) * _MIN_GAIN > possible_rps:
@@ -165,7 +168,7 @@
 
 
 def _trimmed(held_layers: LayerRange, needed: LayerRange, size: int) -> LayerRange:
-    """Return a range without layers at its ends that aren't needed, if over size."""
+    """Return ``held_layers`` cut to ``size`` layers, without cutting ``needed``."""
     last = max(needed.last, min(held_layers.last, held_layers.first + size - 1))
     first = min(needed.first, max(held_layers.first, last - size + 1))
     return LayerRange(first, last)
@@ -178,7 +181,7 @@
     baseline: _Baseline,
     needed_rps: float,
 ) -> Changes:
-    """Return the loads that let the domain serve the most more, if it is worth it."""
+    """Return the loads that raise the throughput most, if they are worth it."""
 
     def rank(candidate: RebalancedChain) -> tuple[float, int]:
         served_rps = min(needed_rps, chain_throughput_rps(candidate.chain, model))
@@ -204,7 +207,7 @@
 def _movable_engines(
     engines: Sequence[EnginePlacement], chain: PlacedChain
 ) -> list[EnginePlacement]:
-    """Return engines that may move, fast ones first."""
+    """Return idle redundant engines outside of a chain, the fastest first."""
     used_ids = {stage.engine.server_id for stage in chain}
     redundant = redundant_engines(engines)
     movable = [e for e in redundant if e.server_id not in used_ids and not e.busy]
--- a/src/railfold/_internal/decisions/placement/parallel_chains.py
+++ b/src/railfold/_internal/decisions/placement/parallel_chains.py
@@ -1,15 +1,16 @@
-"""What engines serve together, over all chains that run beside each other.
-
-A chain takes the fastest engine with memory left at each layer, and as many requests as
-its narrowest stage has room for. The next chain takes what is left, until a layer has
-no room any more. Engines may be part of several chains.
-
-The engine that a request enters takes a bounded number of sequences, and runs them as
-one batch through the whole chain: a prompt that is read holds up the tokens of the
-others, and the stages that the batch isn't at have time for batches of other first
-engines. So several first engines before the same fast ones serve more than one. What
-engines have no time for stretches all chains through them. A chain that is too slow for
-every route serves nothing.
+"""Throughput of engines over all chains that run in parallel.
+
+Chains are built one after the other. A chain uses the fastest engine with memory left
+at each layer, and gets as many requests as its smallest stage has memory for. The next
+chain uses the remaining memory, until the engines of some layer have none. An engine
+may be part of several chains.
+
+The first engine of a chain takes a bounded number of sequences and runs them as one
+batch through the whole chain. The prefill of a prompt delays the tokens of the other
+sequences in its batch. While a batch is at one stage, the other stages can run batches
+of other first engines, so several first engines before the same fast stages serve more
+than a single one. Engines that are overloaded slow down all chains through them. A
+chain that misses the objectives of all routes doesn't count.
 """
 
 from __future__ import annotations
@@ -35,24 +36,25 @@
     "spare_layer_capacity",
 ]
 
-# Chains that are reckoned at most; each fills an engine, and the last ones are slow.
+# Chains built at most. Each one uses up the capacity of an engine, and the last ones
+# are slow and add little.
 _MAX_CHAINS = 48
 
-# A chain takes this part of a batch at most at a time, so that first engines before the
-# same fast ones are used alike.
+# A chain gets at most this share of a full batch at a time, so that several first
+# engines before the same fast stages are used evenly.
 _MAX_BATCH_SHARE = 0.5
 
-# An engine without memory for one usual request more isn't part of another chain.
+# An engine without capacity for another typical request isn't part of further chains.
 _MIN_REQUESTS = 1.0 - 1e-6
 
 
 @dataclass(frozen=True, slots=True)
 class ParallelChain:
-    """A chain, and what it serves beside the others.
+    """A chain and its throughput while the other chains run as well.
 
-    :param stages: engines and the layers that each of them runs, in order.
+    :param stages: server ids with the layers that each of them runs, in order.
     :param requests: how many requests are in flight on it.
-    :param residence_s: how long a usual request stays.
+    :param residence_s: how long a typical request runs.
     """
 
     stages: tuple[tuple[str, LayerRange], ...]
@@ -61,11 +63,11 @@
 
     @property
     def throughput_rps(self) -> float:
-        """How many requests a second it serves."""
+        """Typical requests a second that it serves."""
         return self.requests / self.residence_s
 
     def __str__(self) -> str:
-        """Return the figures of a log line."""
+        """Return the throughput, the requests in flight and the stages, for logs."""
         hosts = ", ".join(f"{server_id} {layers}" for server_id, layers in self.stages)
         return (
             f"{self.throughput_rps:.1f}/s, {self.requests:.0f} in flight"
@@ -75,25 +77,28 @@
 
 @dataclass(frozen=True, slots=True)
 class ThroughputEstimate:
-    """The chains that engines serve at a time, those that were found first first."""
+    """The chains that engines run in parallel, in the order of their construction."""
 
     chains: tuple[ParallelChain, ...]
 
     @property
     def throughput_rps(self) -> float:
-        """How many usual requests a second they serve together."""
+        """Typical requests a second that all chains serve together."""
         return sum(chain.throughput_rps for chain in self.chains)
 
 
 @dataclass(slots=True, eq=False)
 class _EngineState:
-    """An engine while chains are laid over it.
-
-    :param layer_s: how long a usual request spends at one of its layers.
-    :param free_layers: memory left, in the state that a usual request has at one layer.
-    :param free_sequences: how many requests more may enter at it.
-    :param entered: how many requests have.
-    :param busy: the part of its time that its batches need.
+    """The remaining capacity of an engine while chains are built.
+
+    :param layer_s: how long a typical request spends at one of its layers.
+    :param free_state_slots: remaining memory; one slot holds the state of a typical
+        request in one layer.
+    :param free_sequences: how many more requests may have it as their first engine.
+    :param entering_requests: how many requests have it as their first engine.
+    :param assigned_requests: how many requests of all chains run on it.
+    :param utilization: the share of its time that its batches need; above 1 if it is
+        overloaded.
     """
 
     engine: EnginePlacement
@@ -106,12 +111,12 @@
     utilization: float = 0.0
 
     def request_capacity(self, layers: LayerRange) -> float:
-        """Return how many requests more it can run so many layers of."""
+        """Return for how many more requests it has capacity to run ``layers``."""
         capacity = self.free_state_slots / len(layers)
         return min(capacity, self.free_sequences) if layers.first == 0 else capacity
 
     def reserve(self, requests: float, layers: LayerRange) -> None:
-        """Take requests up to run so many layers of them."""
+        """Reserve capacity for requests that run ``layers`` on it."""
         self.assigned_requests += requests
         self.free_state_slots -= requests * len(layers)
         if layers.first == 0:
@@ -120,7 +125,7 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether it can be part of no further chain."""
+        """Whether it has no capacity for a further chain, even for one layer."""
         return self.request_capacity(LayerRange(1, 1)) < _MIN_REQUESTS
 
 
@@ -130,7 +135,7 @@
 def estimate_throughput(
     engines: Sequence[EnginePlacement], model: EngineModel, objective_s: float = inf
 ) -> ThroughputEstimate:
-    """Return what engines serve over parallel chains, as they hold layers now.
+    """Return the parallel chains over the layers that engines hold, with throughputs.
 
     :param objective_s: the longest time to a first event that is of use to a client.
     """
@@ -148,7 +153,7 @@
 def chain_utilization(
     engines: Sequence[EnginePlacement], model: EngineModel
 ) -> dict[str, float]:
-    """Return the part of each engine's room that parallel chains use, from 0 to 1."""
+    """Return the share of each engine's capacity that chains use, from 0 to 1."""
     utilization = {engine.server_id: 0.0 for engine in engines}
     for stages, _ in _build_chains(_engines_by_layer(engines, model), model):
         for state, _ in stages:
@@ -162,9 +167,9 @@
 def spare_layer_capacity(
     engines: Sequence[EnginePlacement], model: EngineModel
 ) -> list[float]:
-    """Return how many requests more each layer's engines have room for.
+    """Return for how many more requests the engines of each layer have capacity.
 
-    That is beside the chains that they serve, in each of which an engine takes part.
+    The parallel chains over the engines are subtracted.
     """
     by_layer = _engines_by_layer(engines, model)
     _build_chains(by_layer, model)
@@ -177,9 +182,11 @@
 def _build_chains(
     by_layer: Sequence[list[_EngineState]], model: EngineModel
 ) -> list[tuple[list[_Stage], float]]:
-    """Return chains, one after the other, and how many requests each of them takes.
+    """Build chains until a layer has no capacity left.
+
+    Removes engines without capacity from ``by_layer``.
 
-    Engines that are full are taken out of ``by_layer``.
+    :returns: the stages of each chain, and how many requests it gets.
     """
     chains: list[tuple[list[_Stage], float]] = []
     while len(chains) < _MAX_CHAINS:
@@ -201,7 +208,7 @@
 def _engines_by_layer(
     engines: Sequence[EnginePlacement], model: EngineModel
 ) -> list[list[_EngineState]]:
-    """Return the engines that hold each layer, fast ones first."""
+    """Return the engines that hold each layer, the fastest first."""
     state_mb = model.mean_tokens * model.request_mb_per_token
     states: list[_EngineState] = []
     for engine in engines:
@@ -233,12 +240,13 @@
 def _fastest_stages(
     by_layer: Sequence[Sequence[_EngineState]], model: EngineModel
 ) -> list[_Stage] | None:
-    """Return a chain of the fastest engines with room; nothing if a layer has none.
+    """Return a chain of the fastest engines with capacity, or ``None``.
 
-    A chain may enter a range behind its first layer, and runs it to its end.
+    A stage may begin after the first layer of an engine's range, and extends to the end
+    of the range.
     """
     delay_s = model.answer_tokens * STAGE_DELAY_S
-    # What entered before at a first engine holds up what enters now.
+    # Prefill of the requests that already enter at a first engine delays further ones.
     prefill_delay_s = [
         model.prompt_s * state.entering_requests for state in by_layer[0]
     ]
@@ -268,12 +276,13 @@
 
 @dataclass(frozen=True, slots=True)
 class _Batch:
-    """What a chain's requests take while the engines have time for nothing else.
+    """Durations of a chain's batch while its engines run no other batches.
 
-    :param step_s: one decode step of the batch, through all stages.
-    :param read_s: reading a usual prompt, through all stages.
-    :param first_event_s: from the start of reading to the first event.
-    :param residence_s: how long a request stays, held up by the prompts of the others.
+    :param step_s: one decode step of the batch through all stages.
+    :param prefill_s: the prefill of a typical prompt through all stages.
+    :param first_event_s: from the start of the prefill to the first event.
+    :param residence_s: how long a typical request runs, including the delay by the
+        prefill of others in its batch.
     """
 
     step_s: float
@@ -284,7 +293,10 @@
     def add_utilization(
         self, stages: Sequence[_Stage], requests: float, model: EngineModel
     ) -> None:
-        """Count the time that this chain needs of its engines."""
+        """Add the time that a chain needs of its engines to their utilization.
+
+        :param requests: how many requests are in flight on the chain.
+        """
         first, _ = stages[0]
         arriving_rps = requests / self.residence_s
         share = requests / first.entering_requests
@@ -321,7 +333,10 @@
 def _parallel_chain(
     stages: Sequence[_Stage], requests: float, batch: _Batch, objective_s: float
 ) -> ParallelChain | None:
-    """Return a chain beside all the others; nothing if it is too slow."""
+    """Return a chain slowed down by the utilization of its engines.
+
+    :returns: ``None`` if its first event takes longer than ``objective_s``.
+    """
     slowdown = max(1.0, *(state.utilization for state, _ in stages))
     if slowdown * batch.first_event_s > objective_s:
         return None
--- a/src/railfold/_internal/decisions/placement/plan.py
+++ b/src/railfold/_internal/decisions/placement/plan.py
@@ -1,9 +1,10 @@
-"""What the engines of one failure domain should hold next.
+"""Plans of the layers that the engines of one failure domain should hold next.
 
-Every failure domain that can holds a whole chain of its own, since what stages pass to
-each other is expensive between domains. The first plan spreads the layers for the most
-throughput, and what memory is left holds copies of neighbours' layers. Later plans
-repair what was lost, or improve what stands by what all chains serve together.
+Every failure domain holds a complete chain if it can, since stages send activations to
+each other and this traffic is expensive between domains. The first plan spreads the
+layers for the highest throughput and fills the remaining memory with copies of the
+neighbours' layers. Later plans restore lost layers, or improve the total throughput of
+all chains.
 """
 
 from __future__ import annotations
@@ -36,11 +37,11 @@
 ) -> Changes:
     """Return the layers that each engine of one failure domain should hold next.
 
-    Engines that are left out keep what they hold. Empty if nothing would be better,
-    or the engines can't hold all layers together.
+    Engines that aren't in the result keep their layers. The result is empty if no
+    change is an improvement, or if the engines together can't hold all layers.
 
-    :param needed_rps: how many requests a second are wanted of the domain; as many
-        as it can if that isn't known.
+    :param needed_rps: the demand on the domain in requests a second; infinite if it
+        isn't known, which asks for the highest throughput.
     :param objective_s: the longest time to a first event that is of use to a client.
     """
     ordered = sorted(engines, key=lambda engine: engine.server_id)
@@ -69,7 +70,7 @@
 
 
 def _widened(layers: LayerRange, max_size: int, layer_count: int) -> LayerRange:
-    """Widen a range on both sides to ``limit`` layers."""
+    """Return a range extended on both sides to ``max_size`` layers."""
     extra = max_size - len(layers)
     before = min(layers.first, extra // 2)
     after = min(layer_count - 1 - layers.last, extra - before)
--- a/src/railfold/_internal/decisions/placement/rebalancing.py
+++ b/src/railfold/_internal/decisions/placement/rebalancing.py
@@ -1,7 +1,7 @@
-"""Chains that could serve more than the best one of a failure domain that is whole.
+"""Chains that may serve more than the best one of a failure domain.
 
-Engines of the chain hand layers to the ones beside them, or spare engines take some
-over.
+Engines of the best chain hand layers to their neighbours, or spare engines take some
+layers over.
 """
 
 from __future__ import annotations
@@ -23,14 +23,17 @@
 
 __all__ = ["RebalancedChain", "rebalanced_chains"]
 
-# While it loads beside what it holds, an engine keeps this part of its room for
-# requests: those that run there still have to grow to their end.
+# An engine that loads layers in addition to those that it holds keeps this share of its
+# request capacity, since the state of its requests in flight still grows.
 _CAPACITY_SHARE_KEPT = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class RebalancedChain:
-    """A chain that could serve more, and the loads that lead to it."""
+    """A chain and the layers that engines have to hold for it.
+
+    :param loads: layers by engine, only for engines that have to load some.
+    """
 
     chain: PlacedChain
     loads: Changes
@@ -39,7 +42,7 @@
 def rebalanced_chains(
     chain: PlacedChain, spares: Sequence[EnginePlacement], model: EngineModel
 ) -> Iterable[RebalancedChain]:
-    """Yield chains that could relieve this one, and their loads.
+    """Yield variants of a chain that relieve its engines, with their loads.
 
     :param spares: engines that may move, fast ones first.
     """
@@ -47,15 +50,15 @@
     yield from _insertions(chain, spares, model)
 
 
-# Handing layers on
+# Handovers between engines of the chain
 
 
 def _handovers(
     chain: PlacedChain, spares: Sequence[EnginePlacement], model: EngineModel
 ) -> Iterable[RebalancedChain]:
-    """Yield chains whose engines all have room for more and more requests.
+    """Yield a chain for each concurrency level whose engines have capacity for it.
 
-    Those without it hand layers to the engines beside them, or to spare ones.
+    Engines without the capacity hand layers to the next stage or to spare engines.
     """
     for requests in concurrency_levels(model):
         rebalanced = _chain_with_capacity(chain, spares, model, requests)
@@ -69,14 +72,14 @@
     model: EngineModel,
     requests: float,
 ) -> RebalancedChain | None:
-    """Return a chain whose engines all have room for so many requests."""
+    """Return a chain whose engines have capacity for ``requests``, or ``None``."""
     remaining = list(spares)
     stages: PlacedChain = []
     first = 0
     for index, stage in enumerate(chain):
         size = stage.layers.last - first + 1
         if size <= 0:
-            continue  # The stages before took it all.
+            continue  # The previous stages took over all its layers.
         layer_limit = max_layers(stage.engine.accelerator, model, requests)
         if size > layer_limit:
             next_stage = chain[index + 1] if index + 1 < len(chain) else None
@@ -109,7 +112,7 @@
 def _layers_taken_by_next(
     next_stage: PlacedStage | None, excess: int, model: EngineModel, requests: float
 ) -> int:
-    """Return how many layers the next stage takes over."""
+    """Return how many of ``excess`` layers the next stage has memory for."""
     if next_stage is None:
         return 0
     layer_limit = max_layers(next_stage.engine.accelerator, model, requests)
@@ -119,9 +122,12 @@
 def _required_loads(
     stages: PlacedChain, spare_ids: set[str], model: EngineModel
 ) -> Changes | None:
-    """Return what engines have to load for a chain; nothing if they can't.
+    """Return the layers that engines have to hold for a chain.
+
+    Engines of the present chain keep their layers while they load, so that all layers
+    stay covered.
 
-    Engines of the chain load beside what they hold, so that it stays whole.
+    :returns: ``None`` if one of them lacks memory for that.
     """
     loads: Changes = {}
     for stage in stages:
@@ -140,7 +146,10 @@
 def _layers_while_loading(
     engine: EnginePlacement, layers: LayerRange, model: EngineModel
 ) -> LayerRange | None:
-    """Return what an engine holds while it loads beside what it runs."""
+    """Return the layers that an engine holds if it loads some and drops none.
+
+    :returns: ``None`` if too little memory is left for its requests.
+    """
     held_layers = engine.held_layers
     assert held_layers is not None
     combined = LayerRange(
@@ -155,13 +164,13 @@
     return combined if len(combined) <= layer_limit else None
 
 
-# Putting spare engines in
+# Insertions of spare engines
 
 
 def _insertions(
     chain: PlacedChain, spares: Sequence[EnginePlacement], model: EngineModel
 ) -> Iterable[RebalancedChain]:
-    """Yield chains into which a spare engine was put, one of each kind."""
+    """Yield chains with a spare engine inserted, one for each kind of accelerator."""
     firsts = _insertion_points(chain, model)
     for spare in {e.accelerator: e for e in reversed(spares)}.values():
         sizes = {
@@ -177,9 +186,10 @@
 
 
 def _insertion_points(chain: PlacedChain, model: EngineModel) -> set[int]:
-    """Return layers from which on another engine could relieve a chain.
+    """Return the layers at which an inserted stage may begin.
 
-    They are where its stages begin, and where one reaches what it holds well.
+    These are the first layers of stages, and the layers up to which the engine of a
+    stage has memory for some concurrency level.
     """
     firsts = {stage.layers.first for stage in chain}
     for stage in chain:
@@ -193,7 +203,7 @@
 def _with_inserted_stage(
     chain: PlacedChain, spare: EnginePlacement, inserted: LayerRange
 ) -> PlacedChain:
-    """Return a chain in which another engine runs these layers."""
+    """Return a chain in which a spare engine runs the layers ``inserted``."""
     before, after = [], []
     for stage in chain:
         layers = stage.layers
--- a/src/railfold/_internal/decisions/placement/repair.py
+++ b/src/railfold/_internal/decisions/placement/repair.py
@@ -1,9 +1,9 @@
-"""Making a failure domain whole again after it lost layers.
+"""Repairs of a failure domain in which no engine holds some layers.
 
-Several ways are weighed by what the domain serves over the next seconds: the engines
-beside a gap load its layers, a copy or an empty engine moves there, the engines on one
-side of it all move up by a few layers, or all layers are spread anew. Loads take time,
-and until they end the domain serves nothing.
+Candidates are compared by the requests that the domain serves over the next seconds:
+the neighbours of a gap load its layers, a redundant or empty engine moves there, all
+engines on one side of the gap shift by a few layers, or all layers are spread again.
+Loads take time, and the domain serves nothing until they end.
 """
 
 from __future__ import annotations
@@ -35,25 +35,27 @@
 
 __all__ = ["repair"]
 
-# For how long a repair is reckoned to stand: improvements follow within seconds,
-# step by step, while the domain serves.
+# How long a repair is expected to last: improvements replace it step by step within
+# seconds, while the domain serves.
 _REPAIR_LIFETIME_S = 5.0
 
-# The share of that time that a repair may take before it serves hardly anything.
+# Up to this share of the lifetime, a repair is rated by the time that is left to serve.
+# Beyond it the rating decreases with the duration, but never reaches zero.
 _MAX_DURATION_SHARE = 0.9
 
-# What an order takes beside its loads: one look, and the registration that tells of
-# its end, which comes with a lag of up to 0.8 s on the users' platform.
+# Duration of an order in addition to its loads: one planning interval, and the lag of
+# the registration that reports its completion, up to 0.8 s on the users' platform.
 _ORDER_OVERHEAD_S = 0.8
 
 
-# Engines of which a move into the gap is reckoned, those that aren't needed first.
+# Engines that are tried in a gap when all layers are spread again, redundant ones
+# first.
 _MAX_MOVES_TRIED = 20
 
 
 @dataclass(frozen=True, slots=True)
 class _Repair:
-    """Changes, and how many requests a second the domain serves after them."""
+    """Changes and the throughput of the domain after them."""
 
     changes: Changes
     throughput_rps: float
@@ -62,12 +64,11 @@
 def repair(
     engines: Sequence[EnginePlacement], model: EngineModel, needed_rps: float
 ) -> Changes | None:
-    """Return the changes that make the domain whole and let it serve the most.
+    """Return the changes that cover all layers and serve the most requests.
 
-    Nothing if its engines can't hold all layers.
-
-    :param needed_rps: how many requests a second are wanted of the domain; to serve
-        more is worth nothing.
+    :param needed_rps: the demand on the domain in requests a second; a higher
+        throughput has no advantage.
+    :returns: ``None`` if the engines can't hold all layers.
     """
     candidates = [
         *_gap_repairs(engines, model),
@@ -86,9 +87,10 @@
 
 
 def _serving_time_s(duration_s: float) -> float:
-    """Return for how long a repair serves of the time that it is reckoned to stand.
+    """Return how long a repair serves within its expected lifetime.
 
-    However long it takes, it is better than none, and a shorter one better still.
+    The result is positive for any duration, since a slow repair is better than none,
+    and decreases with the duration.
     """
     max_duration_s = _MAX_DURATION_SHARE * _REPAIR_LIFETIME_S
     if duration_s <= max_duration_s:
@@ -102,9 +104,12 @@
     model: EngineModel,
     in_flight: float,
 ) -> float:
-    """Return how long changes take: engines load side by side, but share a store.
+    """Return how long changes take until the domain serves.
+
+    Engines load in parallel, but share the rate of the weight store. If an engine that
+    runs requests drops layers, the time to drain it is added.
 
-    :param in_flight: requests in flight on the domain's engines, as far as is known.
+    :param in_flight: estimated requests in flight on the domain's engines.
     """
     loads = [
         count_layers_to_load(e.held_layers, changes[e.server_id])
@@ -130,25 +135,25 @@
 def _drain_duration_s(
     engines: Sequence[EnginePlacement], model: EngineModel, in_flight: float
 ) -> float:
-    """Return how long an engine that gives layers up waits for the requests there.
+    """Return how long an engine drains before it drops layers.
 
-    It takes up nothing new, and waits for the last of them. Answers' lengths vary
-    widely, about as an exponential distribution's: the longest of n takes the n-th
-    harmonic number times as long as a usual one. Reckoned with a usual one, repairs
-    that move engines under load looked 2 s long and took 4 to 10 s.
+    It takes no new requests and waits for the last one in flight. The lengths of
+    answers vary about as widely as an exponential distribution, for which the longest
+    of n takes the n-th harmonic number times as long as a typical one. An estimate by a
+    typical request gives 2 s for repairs that take 4 to 10 s under load.
     """
     request_count = max(1, round(in_flight))
     harmonic_number = sum(1.0 / n for n in range(1, request_count + 1))
     return harmonic_number * typical_residence_s(engines, model)
 
 
-# Changing few engines
+# Repairs that change few engines
 
 
 def _gap_repairs(
     engines: Sequence[EnginePlacement], model: EngineModel
 ) -> Iterable[_Repair]:
-    """Yield patches that keep room for fewer and fewer requests."""
+    """Yield repairs that fill the gaps, for decreasing concurrency levels."""
     last: Changes | None = None
     for requests in concurrency_levels(model):
         changes = _fill_gaps(engines, model, requests)
@@ -170,10 +175,14 @@
 def _fill_gaps(
     engines: Sequence[EnginePlacement], model: EngineModel, requests: float
 ) -> Changes | None:
-    """Close all gaps so that changed engines have room for so many requests."""
+    """Return changes that fill all gaps.
+
+    :param requests: how many requests each changed engine keeps memory for.
+    :returns: ``None`` if the engines lack memory for that.
+    """
     current = {e.server_id: e for e in engines}
     changes: Changes = {}
-    # Each round closes or narrows one gap; the bound guards against a mistake.
+    # Each iteration fills or narrows one gap; the bound guards against an endless loop.
     for _ in range(model.layer_count):
         gaps = uncovered_ranges(
             (e.held_layers for e in current.values()), model.layer_count
@@ -195,7 +204,7 @@
     model: EngineModel,
     requests: float,
 ) -> Changes | None:
-    """Return who takes over the layers of a gap."""
+    """Return changes that fill a gap, or its first layers."""
     widened = _widen_neighbours(gap, engines, model, requests)
     if widened is not None:
         return widened
@@ -212,7 +221,10 @@
     model: EngineModel,
     requests: float,
 ) -> Changes | None:
-    """Let the engines on both sides of a gap take its layers, if they have room."""
+    """Return changes in which the neighbours on both sides of a gap load its layers.
+
+    :returns: ``None`` if they lack memory for that.
+    """
 
     def free_layers(engine: EnginePlacement) -> int:
         held_count = len(engine.held_layers) if engine.held_layers else 0
@@ -230,7 +242,7 @@
     right_free = max(0, free_layers(right)) if right else 0
     if left_free + right_free < len(gap):
         return None
-    # As even as the two allow: their loads run side by side.
+    # The layers are split as evenly as possible, since both engines load in parallel.
     from_left = min(left_free, max(len(gap) // 2, len(gap) - right_free))
     from_right = len(gap) - from_left
     changes: Changes = {}
@@ -253,7 +265,10 @@
     model: EngineModel,
     requests: float,
 ) -> EnginePlacement | None:
-    """Return the engine without layers of its own that can best be moved to a gap."""
+    """Return the best redundant engine to move into a gap, or ``None``.
+
+    Engines that can hold the whole gap come first, then those that hold few layers.
+    """
 
     def suitability(engine: EnginePlacement) -> tuple[bool, int, int]:
         layer_limit = max_layers(engine.accelerator, model, requests)
@@ -268,15 +283,16 @@
     return max(usable, key=suitability, default=None)
 
 
-# Moving up
+# Repairs that shift engines
 
 
 def _shift_repairs(
     engines: Sequence[EnginePlacement], model: EngineModel
 ) -> Iterable[_Repair]:
-    """Yield repairs in which the engines behind a gap, or before it, move up.
+    """Yield repairs in which the engines after a gap, or before it, shift towards it.
 
-    Each takes over a few layers of the one next to it, fewer and fewer.
+    Each engine takes over a few layers of its neighbour, so the gap is divided among
+    many of them.
     """
     mirrored = [
         replace(e, held_layers=_mirrored(e.held_layers, model)) for e in engines
@@ -292,7 +308,7 @@
 
 
 def _mirrored(layers: LayerRange | None, model: EngineModel) -> LayerRange | None:
-    """Return where layers stand if they are counted from the last one."""
+    """Return a range with the layers counted from the last one."""
     if layers is None:
         return None
     end = model.layer_count - 1
@@ -302,7 +318,11 @@
 def _shift_layers(
     engines: Sequence[EnginePlacement], model: EngineModel, requests: float
 ) -> Changes | None:
-    """Let each engine begin where the one before it ends; nothing if one can't."""
+    """Return changes by which each engine begins where the previous one ends.
+
+    :param requests: how many requests each engine keeps memory for.
+    :returns: ``None`` if the engines don't cover all layers this way.
+    """
     changes: Changes = {}
     first = 0
     for engine in _sorted_by_layers(engines):
@@ -319,7 +339,7 @@
 
 
 def _sorted_by_layers(engines: Iterable[EnginePlacement]) -> list[EnginePlacement]:
-    """Return engines as they stand along the chain, empty ones first."""
+    """Return engines in the order of their layers, empty ones first."""
 
     def position(engine: EnginePlacement) -> tuple[int, int]:
         held_layers = engine.held_layers
@@ -328,13 +348,13 @@
     return sorted(engines, key=position)
 
 
-# Changing all
+# Repairs that spread all layers again
 
 
 def _respread_repairs(
     engines: Sequence[EnginePlacement], model: EngineModel
 ) -> Iterable[_Repair]:
-    """Yield spreads over all engines, each of which keeps what it can."""
+    """Yield repairs that spread all layers again and keep what engines can hold."""
     for order in _engine_orders(engines, model):
         for spread in spreads(order, model):
             yield _Repair(
@@ -345,7 +365,7 @@
 def _engine_orders(
     engines: Sequence[EnginePlacement], model: EngineModel
 ) -> Iterable[list[EnginePlacement]]:
-    """Yield orders along the chain: as they are, or with one moved into a gap."""
+    """Yield the present order of the engines, and orders with one moved into a gap."""
     sorted_engines = _sorted_by_layers(engines)
     yield sorted_engines
     gaps = uncovered_ranges((e.held_layers for e in sorted_engines), model.layer_count)
@@ -379,7 +399,7 @@
 def _extended_by_held(
     layers: LayerRange, held_layers: LayerRange | None, max_size: int
 ) -> LayerRange:
-    """Widen a range by what is held next to it, up to ``limit`` layers."""
+    """Return a range extended by held layers next to it, to ``max_size`` at most."""
     if (
         held_layers is None
         or held_layers.last < layers.first - 1
--- a/src/railfold/_internal/decisions/placement/spread.py
+++ b/src/railfold/_internal/decisions/placement/spread.py
@@ -1,8 +1,8 @@
-"""Spreading a model's layers over the engines of a failure domain, in an order.
+"""Spreads of a model's layers over the engines of a failure domain.
 
-More memory for requests lets more of them run at a time, and leaves fewer layers to
-the fast engines, so that each request stays longer. The throughput tells which room is
-best: it is reckoned for each number of requests that is worth a look.
+If engines keep memory for more requests, more of them run at a time, but the fast
+engines hold fewer layers and each request takes longer. Spreads are therefore computed
+for several numbers of requests and compared by their throughput.
 """
 
 from __future__ import annotations
@@ -20,18 +20,19 @@
 
 __all__ = ["Spread", "best_spread", "spreads"]
 
-# Of spreads whose throughput is within this part of the best one's the fastest is
-# taken: the reckoning is no finer, and requests that stay less long are lost less.
+# Of the spreads with at least this share of the best throughput, the one with the
+# shortest residence is used: the estimate isn't more accurate, and an engine that is
+# lost takes fewer requests along if they stay for less time.
 _NEAR_BEST_SHARE = 0.95
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Each layer of a model on one engine.
+    """A placement of each layer of a model on one engine.
 
-    :param layers: by engine; engines that aren't needed are left out.
-    :param requests: how many requests in flight each of the engines has room for.
-    :param residence_s: how long a request then stays.
+    :param layers: the layers by server id, without engines that get none.
+    :param requests: how many requests in flight each of the engines has memory for.
+    :param residence_s: how long a typical request runs with so many in flight.
     """
 
     layers: Mapping[str, LayerRange]
@@ -40,16 +41,17 @@
 
     @property
     def throughput_rps(self) -> float:
-        """How many requests a second the chain serves."""
+        """Requests a second that the chain serves."""
         return self.requests / self.residence_s
 
 
 def best_spread(
     engines: Sequence[EnginePlacement], model: EngineModel
 ) -> Spread | None:
-    """Return the spread that serves the most; nothing if the layers don't fit.
+    """Return the spread with the best throughput and a short residence.
 
-    :param engines: in the order in which they take layers.
+    :param engines: the engines in the order of their layers.
+    :returns: ``None`` if the layers don't fit.
     """
     candidates = list(spreads(engines, model))
     if not candidates:
@@ -62,7 +64,7 @@
 
 
 def spreads(engines: Sequence[EnginePlacement], model: EngineModel) -> Iterable[Spread]:
-    """Yield a spread for each number of requests in flight that is worth a look."""
+    """Yield a spread for each concurrency level that leaves memory for all layers."""
     for requests in concurrency_levels(model):
         layer_limits = [max_layers(e.accelerator, model, requests) for e in engines]
         if sum(layer_limits) >= model.layer_count:
@@ -92,10 +94,10 @@
 def _sizes(
     engines: Sequence[EnginePlacement], layer_limits: Sequence[int], layer_count: int
 ) -> list[int]:
-    """Return how many layers each engine runs; the fastest run their most.
+    """Return how many layers each engine runs, as many as possible on the fastest.
 
-    Few engines that are full make a shorter chain than many that aren't. Of equal
-    ones those come first that hold layers already.
+    A chain of few full engines has fewer stages than one of many engines with memory to
+    spare. Of equally fast engines, those that hold layers come first.
     """
     sizes = [0] * len(engines)
     remaining = layer_count
--- a/src/railfold/_internal/decisions/placement/throughput.py
+++ b/src/railfold/_internal/decisions/placement/throughput.py
@@ -1,12 +1,13 @@
-"""What a failure domain's engines can serve, from the figures of the configuration.
+"""Throughput of a chain, computed from the model and accelerators in the configuration.
 
 A token passes the stages of a chain one after the other. At each of them it takes the
-stage's share of a decode step, which grows with the requests in flight, and the way
-there. A chain's requests in flight are bounded by the stage with the least memory for
-their state. So many requests, over the time that one stays, is the throughput.
+stage's share of a decode step, which grows with the requests in flight, and a
+transmission delay. The stage with the least memory for request state bounds the
+requests in flight. Their number divided by the residence time of a request is the
+throughput.
 
-Checked against the users' engines, docs/MEASURES.md: at light load the time of a token
-is met within 3%, with 30 to 60 requests in flight within 20%.
+The predicted time of a token is accurate within 3% at light load, and within 20% with
+30 to 60 requests in flight (docs/MEASURES.md).
 """
 
 from __future__ import annotations
@@ -27,17 +28,16 @@
     "stage_token_s",
 ]
 
-# What each stage adds to the time of a token beside its share of the step: the way
-# there, at light load.
+# Transmission delay that each stage adds to the time of a token at light load.
 STAGE_DELAY_S = 0.00015
 
-# Numbers of requests in flight that are looked at, each this part of the one before:
-# half of a level changes how many layers fit by one or two.
+# Ratio between consecutive concurrency levels. Half a level changes the number of
+# layers that fit on an engine by only one or two, so finer levels gain little.
 _LEVEL_RATIO = 0.6
 
 
 def concurrency_levels(model: EngineModel) -> list[float]:
-    """Return numbers of requests in flight that are worth a look, most first."""
+    """Return the numbers of requests in flight that plans consider, highest first."""
     levels = [float(model.max_sequences)]
     while levels[-1] > 1.0:
         levels.append(max(1.0, levels[-1] * _LEVEL_RATIO))
@@ -47,7 +47,7 @@
 def stage_residence_s(
     accelerator: Accelerator, model: EngineModel, layers: int, requests: float
 ) -> float:
-    """Return how long a usual request spends at a stage.
+    """Return how long a typical request spends at a stage.
 
     :param layers: how many layers the stage runs.
     :param requests: how many requests are in flight on its chain.
@@ -61,7 +61,11 @@
 def stage_token_s(
     accelerator: Accelerator, model: EngineModel, layers: int, requests: float
 ) -> float:
-    """Return how long each token spends at a stage; parameters as above."""
+    """Return how long each token spends at a stage, with the transmission delay.
+
+    :param layers: how many layers the stage runs.
+    :param requests: how many requests are in flight on its chain.
+    """
     layer_share = layers / model.layer_count
     step_s = model.step_s + requests * model.sequence_step_s
     return layer_share * accelerator.step_factor * step_s + STAGE_DELAY_S
@@ -70,10 +74,11 @@
 def best_chain_throughput_rps(
     engines: Iterable[EnginePlacement], model: EngineModel
 ) -> float:
-    """Return how many usual requests a second a domain's best chain serves.
+    """Return how many typical requests a second the best chain of a domain serves.
 
-    0 if its engines hold no whole chain. Chains beside the best one aren't counted:
-    that tells how good a repair is, and not what a whole domain serves.
+    The result is 0 if the engines don't cover all layers. It is used to compare
+    repairs; it isn't the throughput of the domain, since parallel chains aren't
+    counted.
     """
     placed = [e for e in engines if e.held_layers is not None]
     best_rps = 0.0
@@ -87,10 +92,12 @@
 def _shortest_residence_s(
     engines: Sequence[EnginePlacement], model: EngineModel, requests: float
 ) -> float | None:
-    """Return how long a request stays on the fastest chain with room for so many.
+    """Return the residence time on the fastest chain with capacity for ``requests``.
+
+    As in the planner's chains, a stage may begin after the first layer of an engine's
+    range, and extends to the end of the range.
 
-    Like the planner's chains, these may enter a range behind its first layer, and
-    run it to its end.
+    :returns: ``None`` if there is no such chain.
     """
     shortest_s: dict[int, float] = {0: 0.0}
     for layer in range(model.layer_count):
