--- a/tests/lib/fleet_simulation.py
+++ b/tests/lib/fleet_simulation.py
@@ -103,8 +103,8 @@
 
 def chain_throughput_rps(engines: list[Engine]) -> float:
     """Return how many usual requests a second a chain of engines serves when full."""
-    room = min(engine.capacity_tokens for engine in engines) / MODEL.mean_tokens
-    sequences = min(room, float(MODEL.max_sequences))
+    capacity = min(engine.capacity_tokens for engine in engines) / MODEL.mean_tokens
+    sequences = min(capacity, float(MODEL.max_sequences))
     load = ServerLoad(sequences * MODEL.mean_tokens, sequences)
     states = [
         StageState(e.accelerator, len(e.layers), e.capacity_tokens, load)
@@ -309,11 +309,11 @@
                 ),
             )
         first_event_s = predicted.first_event_s + delay_s
-        first_event_in_time = first_event_s <= needs.objective_s
+        starts_in_time = first_event_s <= needs.objective_s
         pauses_in_time = predicted.pause_s <= needs.allowed_pause_s
-        outcome.late_first_events += not first_event_in_time
+        outcome.late_first_events += not starts_in_time
         outcome.long_pauses += not pauses_in_time
-        outcome.in_time += first_event_in_time and pauses_in_time
+        outcome.in_time += starts_in_time and pauses_in_time
         self.first_stage_requests[first] += 1
         unread = LoadPart(0, 0, needs.prompt_tokens)
         held = LoadPart(needs.total_tokens, 1, 0)
@@ -430,5 +430,5 @@
 
 
 def _rated(found: FoundChain) -> RatedChain:
-    room = min(found.capacity_tokens / MODEL.mean_tokens, MODEL.max_sequences)
-    return RatedChain(found.cost, room / found.duration_s, found.has_room, True)
+    capacity = min(found.capacity_tokens / MODEL.mean_tokens, MODEL.max_sequences)
+    return RatedChain(found.cost, capacity / found.duration_s, found.has_room, True)
--- a/tests/unit/test_fleet_balance.py
+++ b/tests/unit/test_fleet_balance.py
@@ -67,13 +67,13 @@
 )
 def test_fewer_rejections_than_with_simpler_balancers(baseline: ChooseChain) -> None:
     """Nine tenths of what the chains serve."""
-    baseline_outcome, balanced_outcome = (
+    simple, balanced = (
         simulate(0.9, baseline),
         simulate(0.9, balancer),
     )
-    assert baseline_outcome.rejected / baseline_outcome.arrived > 0.1
-    assert balanced_outcome.rejected / balanced_outcome.arrived < 0.03
-    assert balanced_outcome.in_time / balanced_outcome.arrived > 0.96
+    assert simple.rejected / simple.arrived > 0.1
+    assert balanced.rejected / balanced.arrived < 0.03
+    assert balanced.in_time / balanced.arrived > 0.96
 
 
 @pytest.mark.parametrize("load_share", [0.3, 0.7, 0.9])
--- a/tests/unit/test_layer_placement.py
+++ b/tests/unit/test_layer_placement.py
@@ -257,10 +257,10 @@
         make_engines(*DOMAIN_ACCELERATORS),
         plan_layers(make_engines(*DOMAIN_ACCELERATORS), MODEL),
     )
-    marked_idle = [replace(e, busy=False) for e in placed]
+    idle = [replace(e, busy=False) for e in placed]
     # The first and the last engine have a neighbour on one side only.
-    for lost in [e.server_id for e in marked_idle][1:-1]:
-        remaining = [e for e in marked_idle if e.server_id != lost]
+    for lost in [e.server_id for e in idle][1:-1]:
+        remaining = [e for e in idle if e.server_id != lost]
         changes = plan_layers(remaining, MODEL, needed_rps)
         assert covers_all_layers(apply_plan(remaining, changes))
         for engine in remaining:
--- a/tests/unit/test_parallel_chains.py
+++ b/tests/unit/test_parallel_chains.py
@@ -8,7 +8,6 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from railfold._internal.decisions.placement.make_engines import request_capacity
 
 from railfold._internal.core import LayerRange
 from railfold._internal.decisions.placement import (
@@ -20,6 +19,7 @@
     planning_order,
     uncovered_ranges,
 )
+from railfold._internal.decisions.placement.engines import request_capacity
 from railfold._internal.decisions.routing_table import Accelerator, EngineModel
 from tests.lib.models import FAST, MIDDLE, MODEL, SMALL
 
