--- a/tests/lib/fleet_simulation.py
+++ b/tests/lib/fleet_simulation.py
@@ -1,7 +1,8 @@
-"""Drawn plays of entries that share engines of unlike speeds, without a network.
+"""Simulation of entries that share engines of different speeds, without a network.
 
-Engines hold what they were sent until its predicted end and reject what they have no
-memory for. Entries know their own requests, and those of others by announcements.
+Engines keep the state of a request until its predicted end, and reject requests that
+they lack memory for. Entries know the load from their own requests immediately, and the
+load from others by announcements.
 """
 
 from __future__ import annotations
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True)
 class Engine:
-    """An engine, and the layers that it holds."""
+    """An engine and the layers that it holds."""
 
     name: str
     domain: str
@@ -75,7 +76,7 @@
 def make_chain(
     domain: str, name: str, accelerator: Accelerator, stages: int
 ) -> list[Engine]:
-    """Return engines that hold all layers between them."""
+    """Return the engines of a chain with equal stages over all layers."""
     count = MODEL.layer_count // stages
     return [
         Engine(
@@ -89,7 +90,7 @@
 
 
 def mixed_speed_fleet(domains: int = 3) -> list[Engine]:
-    """Return three parallel chains of unlike speeds in each failure domain."""
+    """Return three parallel chains of different speeds in each failure domain."""
     return [
         engine
         for domain in (f"hall-{n}" for n in range(domains))
@@ -102,7 +103,7 @@
 
 
 def chain_throughput_rps(engines: list[Engine]) -> float:
-    """Return how many usual requests a second a chain of engines serves when full."""
+    """Return how many typical requests a second a chain serves at full capacity."""
     capacity = min(engine.capacity_tokens for engine in engines) / MODEL.mean_tokens
     sequences = min(capacity, float(MODEL.max_sequences))
     load = ServerLoad(sequences * MODEL.mean_tokens, sequences)
@@ -117,13 +118,14 @@
 
 @dataclass(frozen=True)
 class Workload:
-    """What arrives.
-
-    :param rps: mean over all failure domains.
-    :param swing: by which share a domain's rate rises and falls, in turn.
-    :param news_s: how often entries announce their parts; 0 if they don't.
-    :param pipe_share: the share of what the model tells that pipes carry.
-    :param loose_share: the share of requests whose objective is twice as long.
+    """The requests that arrive, and the conditions of the simulation.
+
+    :param rps: mean requests a second of all failure domains together.
+    :param rate_swing: the share by which the rate of a domain rises and falls.
+    :param period_s: the period of this variation; domains are out of phase.
+    :param announce_interval_s: how often entries announce their load; 0 for never.
+    :param loose_share: the share of requests with twice the objective.
+    :param pipe_share: the real rate of pipes as a share of the configured one.
     """
 
     rps: float
@@ -141,7 +143,7 @@
 
 @dataclass
 class Outcome:
-    """What clients and engines saw."""
+    """Counts of requests by their results, and of requests sent to each engine."""
 
     arrived: int = 0
     in_time: int = 0
@@ -154,14 +156,15 @@
     loose_sent: Counter[str] = field(default_factory=Counter)
 
 
-# Chooses the engines of a request's chain, each with its layers, if there are any.
+# Returns the stages of a request's chain, or an empty list. The arguments are the
+# simulation, the entry, the needs of the request and the time in seconds.
 ChooseChain = Callable[
     ["FleetSimulation", int, RequestNeeds, float], list[tuple[Engine, LayerRange]]
 ]
 
 
 class FleetSimulation:
-    """Entries and engines of one play."""
+    """The entries and engines of one simulation run."""
 
     def __init__(self, engines: list[Engine], workload: Workload, seed: int) -> None:
         self.engines = engines
@@ -207,7 +210,7 @@
     def candidates(
         self, entry: int, needs: RequestNeeds, now_s: float
     ) -> list[Candidate]:
-        """Return what the product's own choice goes by."""
+        """Return the candidates that the product's search uses."""
         found = []
         for engine, replica in self.replicas(entry, now_s):
             load = self.load_at(entry, engine, now_s)
@@ -219,12 +222,12 @@
         return found
 
     def stages_of(self, found: FoundChain) -> list[tuple[Engine, LayerRange]]:
-        """Return the engines of a chain that the product found."""
+        """Return the stages of a chain that the product's search found."""
         by_name = {engine.name: engine for engine in self.engines}
         return [(by_name[c.replica.stage.host], layers) for c, layers in found.used]
 
     def run(self, choose: ChooseChain) -> Outcome:
-        """Return what came of the load with a way to choose."""
+        """Run the workload and return its outcome."""
         workload = self.workload
         now_s, next_announce_s = 0.0, workload.announce_interval_s
         while True:
@@ -334,7 +337,10 @@
     def _cross(
         self, pair: tuple[str, str], entry: int, needs: RequestNeeds, now_s: float
     ) -> float:
-        """Send a request over a pipe, which takes one after the other."""
+        """Send a request over a pipe that transfers one request after the other.
+
+        :returns: seconds until the prompt has been transferred.
+        """
         workload = self.workload
         self.pipes[entry].record_crossing(*pair, MODEL, needs, workload.entries, now_s)
         bytes_per_s = MODEL.pipe_bytes_per_s * workload.pipe_share
@@ -377,7 +383,7 @@
 
 
 def parallel_chains(engines: list[Engine]) -> list[list[Engine]]:
-    """Return engines by the chain that they were made for."""
+    """Return the engines grouped by the chain that they were created for."""
     chains: dict[str, list[Engine]] = {}
     for engine in engines:
         chains.setdefault(engine.name.rsplit("-", 1)[0], []).append(engine)
@@ -385,7 +391,10 @@
 
 
 def max_share_ratio(outcome: Outcome, engines: list[Engine]) -> float:
-    """Return the largest quotient of a chain's part of requests and of throughput."""
+    """Return the largest ratio of a chain's share of the load to its fair share.
+
+    The fair share is that of its throughput in the throughput of all chains.
+    """
     chains = parallel_chains(engines)
     chain_rps = [chain_throughput_rps(members) for members in chains]
     sent = [
@@ -399,9 +408,10 @@
 
 
 def balancer_choice(*, crosses: bool, bounded: bool = True) -> ChooseChain:
-    """Return the product's own choice, as the entry's balancer puts it together.
+    """Return the product's choice of chains, composed as in the entry's balancer.
 
-    :param bounded: whether crossings are bounded by what pipes carry.
+    :param crosses: whether chains may cross between failure domains.
+    :param bounded: whether the quotas of pipes limit crossings.
     """
 
     def choose(
--- a/tests/unit/test_coverage.py
+++ b/tests/unit/test_coverage.py
@@ -1,4 +1,4 @@
-"""What is said of failure domains that can't serve."""
+"""Wrong or incomplete reasons why failure domains can't serve."""
 
 from __future__ import annotations
 
@@ -18,7 +18,10 @@
 
 
 def shortage(*engines: tuple[int, int, float | None, bool]) -> DomainShortage:
-    """Return what a domain lacks of engines: first, last, time left, usable."""
+    """Return the shortage of a domain.
+
+    :param engines: first layer, last layer, seconds until available, whether usable.
+    """
     return domain_shortage(
         "hall-a",
         [
@@ -31,6 +34,7 @@
 
 
 def test_description_names_every_failure_domain() -> None:
+    """Guards against errors that name only the last failure domain."""
     shortages = [
         DomainShortage("hall-a", Uncovered((26, 27, 28, 29))),
         DomainShortage("hall-b", Unavailable((0, 1, 2), 0.4)),
--- a/tests/unit/test_domain_pipes.py
+++ b/tests/unit/test_domain_pipes.py
@@ -1,4 +1,4 @@
-"""What may cross between failure domains, over pipes that all share."""
+"""Crossings between failure domains that overload the pipes which all entries share."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def count_crossings(pipes: DomainPipes, duration_s: float, entries: int = 1) -> int:
-    """Return how many requests cross in a time if all that may do."""
+    """Return how many requests cross if one tries every 10 ms."""
     count = 0
     for step in range(int(duration_s * 100)):
         now_s = step / 100
@@ -35,6 +35,7 @@
 
 
 def test_both_directions_share_one_quota() -> None:
+    """Guards against a quota for each direction, which allows twice the rate."""
     pipes = DomainPipes()
     for _ in range(40):
         pipes.record_crossing("a", "b", MODEL, NEEDS, 1, 0.0)
@@ -53,6 +54,7 @@
 
 
 def test_burst_of_late_events_reduces_the_quota_once() -> None:
+    """Guards against a quota near zero after several late events with one cause."""
     pipes = DomainPipes()
     reductions = [
         pipes.record_first_event("a", "b", 0.4, 0.5, 1.0 + n / 100) for n in range(10)
--- a/tests/unit/test_domains.py
+++ b/tests/unit/test_domains.py
@@ -1,7 +1,7 @@
-"""Groups of engines whose layers are placed together.
+"""Groups of engines that are too large to plan, or that change with each engine.
 
-Entries of a fleet with 600 engines in a failure domain planned for longer than the
-lease lasts under which they plan, and nothing was placed.
+With 600 engines of a failure domain in one group, a plan takes longer than the lease of
+the planning entry, and no layers are placed.
 """
 
 from __future__ import annotations
@@ -25,11 +25,12 @@
     groups = split_into_groups(make_ids(count), str)
     assert sorted(item for group in groups for item in group) == make_ids(count)
     assert max(map(len, groups)) <= 100
-    # Enough for a chain of all layers each.
+    # Each group has enough engines for a complete chain.
     assert min(map(len, groups)) >= 20
 
 
 def test_added_and_removed_engines_leave_the_others_in_their_groups() -> None:
+    """Guards against plans that become invalid because engines change their group."""
     before = split_into_groups(make_ids(600), str)
     after = split_into_groups([*make_ids(600)[20:], "i-new"], str)
     for group, later in zip(before, after, strict=True):
--- a/tests/unit/test_fleet_balance.py
+++ b/tests/unit/test_fleet_balance.py
@@ -1,7 +1,7 @@
-"""Requests spread over parallel chains of unlike speeds, by entries that share them.
+"""Uneven load on parallel chains of different speeds that several entries share.
 
-Played without a network: demand swings by half between failure domains, accelerators
-differ sixfold in speed, and news of load is a quarter of a second old at most.
+Simulated without a network: the request rate of each failure domain varies by half,
+accelerators differ sixfold in speed, and announced load is at most 0.25 s old.
 """
 
 from __future__ import annotations
@@ -66,7 +66,10 @@
     "baseline", [random_chain, round_robin_chain, least_own_load_chain]
 )
 def test_fewer_rejections_than_with_simpler_balancers(baseline: ChooseChain) -> None:
-    """Nine tenths of what the chains serve."""
+    """Guards against rejections at 90% of the capacity.
+
+    Choices that ignore speed or the load from other entries overload slow chains.
+    """
     simple, balanced = (
         simulate(0.9, baseline),
         simulate(0.9, balancer),
@@ -83,7 +86,7 @@
 
 @pytest.mark.parametrize("entries", [3, 12, 48])
 def test_requests_are_in_time_for_any_number_of_entries(entries: int) -> None:
-    """Seven tenths of what the chains serve."""
+    """Guards against late answers, at 70% of the capacity, if many entries share it."""
     outcome = simulate(0.7, balancer, entries=entries)
     assert outcome.in_time / outcome.arrived > 0.98
 
@@ -95,7 +98,10 @@
 
 
 def test_loose_objectives_leave_fast_engines_to_tight_objectives() -> None:
-    """Half of the requests have twice as long for the first event."""
+    """Guards against loose requests that occupy the engines which tight ones need.
+
+    Half of the requests have twice the objective for the first event.
+    """
     outcome = simulate(0.6, balancer, loose_share=0.5)
     fast = [e.name for e in ENGINES if "fast" in e.name]
     loose = sum(outcome.loose_sent[name] for name in fast)
--- a/tests/unit/test_layer_placement.py
+++ b/tests/unit/test_layer_placement.py
@@ -1,4 +1,4 @@
-"""Plans of layers cover the model, fit the memory and change little."""
+"""Plans that leave layers uncovered, exceed memory, load too much or never settle."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def apply_plan(
     before: list[EnginePlacement], plan: dict[str, LayerRange]
 ) -> list[EnginePlacement]:
-    """Return engines that hold what was planned and run requests."""
+    """Return the engines after a plan; those with layers run requests."""
     after = [
         replace(e, held_layers=plan.get(e.server_id, e.held_layers)) for e in before
     ]
@@ -50,6 +50,7 @@
 
 
 def test_first_plan_leaves_memory_for_most_of_a_full_batch() -> None:
+    """Guards against plans that leave too little memory for the state of requests."""
     accelerators = dict(
         zip(
             (e.server_id for e in make_engines(*DOMAIN_ACCELERATORS)),
@@ -77,6 +78,7 @@
 
 
 def test_neighbours_load_the_layers_of_a_lost_engine() -> None:
+    """Guards against repairs that move engines which aren't next to the gap."""
     placed = apply_plan(
         make_engines(*DOMAIN_ACCELERATORS),
         plan_layers(make_engines(*DOMAIN_ACCELERATORS), MODEL),
@@ -88,6 +90,7 @@
 
 
 def test_new_engine_fills_a_gap_if_neighbours_lack_memory() -> None:
+    """Guards against repairs that fail or move others while a new engine is empty."""
     accelerators = [SMALL] * 10
     placed = [
         EnginePlacement(f"e{n:02d}", SMALL, LayerRange(8 * n, 8 * n + 7))
@@ -102,6 +105,7 @@
 
 
 def test_repair_after_any_loss_loads_few_layers() -> None:
+    """Guards against repairs that load most of the model and take too long."""
     placed = apply_plan(
         make_engines(*DOMAIN_ACCELERATORS),
         plan_layers(make_engines(*DOMAIN_ACCELERATORS), MODEL),
@@ -114,7 +118,7 @@
         loads = [
             _count_loads(held_by_id[server_id], n) for server_id, n in changes.items()
         ]
-        # Loading everything anew would be 80 layers, 14 of them at one engine.
+        # To load all layers again would be 80 loads, 14 of them on one engine.
         assert sum(loads) <= MODEL.layer_count // 2
         assert max(loads) <= 8
 
@@ -133,6 +137,7 @@
 
 
 def test_replacement_engine_restores_throughput_after_a_loss() -> None:
+    """Guards against plans that keep the layers of a lost engine on its neighbours."""
     placed = apply_plan(
         make_engines(*DOMAIN_ACCELERATORS),
         plan_layers(make_engines(*DOMAIN_ACCELERATORS), MODEL),
@@ -151,7 +156,8 @@
 
 
 def test_layers_move_from_a_bottleneck_to_a_neighbour_with_memory() -> None:
-    # Eight layers leave a small engine room for 4,300 tokens, seven for 26,700.
+    """Guards against a chain that stays limited by one engine with too many layers."""
+    # A small engine has memory for 4,300 tokens beside 8 layers, for 26,700 beside 7.
     placed = apply_plan(
         [
             EnginePlacement("e00", FAST, LayerRange(0, 15)),
@@ -175,6 +181,7 @@
 
 
 def test_equally_constrained_engines_exchange_no_layers() -> None:
+    """Guards against loads that only move a bottleneck to another engine."""
     placed = [
         EnginePlacement(f"e{n:02d}", SMALL, LayerRange(8 * n, 8 * n + 7))
         for n in range(10)
@@ -200,7 +207,7 @@
         if not changes:
             return
         members = apply_plan(members, changes)
-    pytest.fail("engines hand layers on for ever")
+    pytest.fail("plans never converge")
 
 
 @given(
@@ -246,19 +253,20 @@
 def test_repair_under_load_drops_no_layers(
     needed_rps: float,
 ) -> None:
-    """An engine that gives layers up waits for seconds for the requests there.
+    """Guards against repairs that drain engines for a slightly higher throughput.
 
-    Users saw two levels of service on one day: three failure domains had lost an engine
-    at once, and were patched, or spread anew for a little more throughput, by whether a
-    fifth more load was reckoned. Then none was whole for three seconds. Whoever places
-    layers doesn't see that the others' requests run on an engine.
+    An engine that drops layers waits seconds for its requests to end. When three
+    failure domains lost an engine at once, a load estimate higher by a fifth made all
+    of them spread their layers again instead of filling the gap, and none covered all
+    layers for 3 s. The planning entry sees only its own requests, so the engines here
+    aren't marked busy.
     """
     placed = apply_plan(
         make_engines(*DOMAIN_ACCELERATORS),
         plan_layers(make_engines(*DOMAIN_ACCELERATORS), MODEL),
     )
     idle = [replace(e, busy=False) for e in placed]
-    # The first and the last engine have a neighbour on one side only.
+    # The first and the last engine have only one neighbour and are left out.
     for lost in [e.server_id for e in idle][1:-1]:
         remaining = [e for e in idle if e.server_id != lost]
         changes = plan_layers(remaining, MODEL, needed_rps)
--- a/tests/unit/test_parallel_chains.py
+++ b/tests/unit/test_parallel_chains.py
@@ -1,4 +1,4 @@
-"""What a failure domain serves over all of its chains, and plans that follow it."""
+"""Wrong estimates of the throughput over parallel chains, and plans based on them."""
 
 from __future__ import annotations
 
@@ -82,6 +82,7 @@
 
 
 def test_chain_over_the_objective_adds_no_throughput() -> None:
+    """Guards against counting chains whose first event misses every objective."""
     slow = [EnginePlacement(f"b{n}", SMALL_22, _nth_range(n, 10)) for n in range(8)]
     assert estimate_throughput(slow, MIXED_MODEL, 0.5).throughput_rps > 0
     assert estimate_throughput(slow, MIXED_MODEL, 0.1).throughput_rps == 0
@@ -110,7 +111,11 @@
 
 
 def test_several_first_stages_before_shared_stages_serve_more_than_one() -> None:
-    """A batch leaves the stages idle that it isn't at, and waits for its prompts."""
+    """Guards against estimates in which a second first engine adds no throughput.
+
+    A batch uses one stage at a time and waits for its prefills, so batches of other
+    first engines can use the shared stages meanwhile.
+    """
     shared_stages = [
         EnginePlacement(f"a{n}", LARGE_72, LayerRange(20 + 30 * n, 49 + 30 * n))
         for n in range(2)
@@ -140,6 +145,7 @@
 
 
 def test_idle_copies_stay_while_demand_is_met() -> None:
+    """Guards against loads that move copies without a demand for more throughput."""
     empty = make_engines(2, 5, 13)
     placed = apply_plan(empty, plan_layers(empty, MIXED_MODEL))
     remaining = [e for e in placed if e.server_id not in ("e04", "e12")]
@@ -206,10 +212,11 @@
                 used_mb = len(engine.held_layers or ()) * MODEL.layer_mb
                 assert used_mb <= engine.accelerator.memory_mb
         else:
-            pytest.fail("plans change to and fro")
+            pytest.fail("plans oscillate")
 
 
 def test_new_engine_gets_layers_while_another_engine_loads() -> None:
+    """Guards against new engines that stay empty until a pending order completes."""
     first = make_engines(2, 5, 13)
     placed = apply_plan(first, plan_layers(first, MIXED_MODEL), busy=True)
     loading = replace(placed[0], order_pending=True)
@@ -219,6 +226,7 @@
 
 
 def test_returning_empty_engine_restores_throughput() -> None:
+    """Guards against a restarted engine that gets layers which no chain lacks."""
     first = make_engines(2, 5, 13)
     placed = apply_plan(first, plan_layers(first, MIXED_MODEL), busy=True)
     full_rps = estimate_throughput(placed, MIXED_MODEL).throughput_rps
@@ -229,7 +237,10 @@
 
 
 def test_engines_with_layers_do_not_move_for_a_small_gain() -> None:
-    """They may run requests that whoever places layers doesn't see."""
+    """Guards against draining engines for little throughput.
+
+    The engines may run requests of other entries, which the planning entry doesn't see.
+    """
     first = make_engines(2, 5, 13)
     placed = apply_plan(first, plan_layers(first, MIXED_MODEL))
     for lost in placed:
@@ -243,11 +254,13 @@
 
 
 def test_arrival_rate_alone_marks_engines_busy() -> None:
+    """Guards against treating engines as idle that run requests of other entries."""
     assert all_engines_busy(make_engines(2, 5, 13), MIXED_MODEL, 20.0)
     assert not all_engines_busy(make_engines(2, 5, 13), MIXED_MODEL, 0.2)
 
 
 def test_no_more_is_demanded_of_any_group_while_the_total_suffices() -> None:
+    """Guards against changes in a weak group while the others meet the demand."""
     assert group_demands_rps([100.0, 20.0], 110.0) == [100.0, 20.0]
 
 
--- a/tests/unit/test_throughput.py
+++ b/tests/unit/test_throughput.py
@@ -1,4 +1,4 @@
-"""What a failure domain is reckoned to serve grows with room, pace and engines."""
+"""Throughput estimates that don't follow memory, speed and the layers of engines."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def make_chain(kind: Accelerator, size: int) -> list[EnginePlacement]:
-    """Engines of one kind that hold ``size`` layers each, and all layers together."""
+    """Return engines of one kind that hold all layers, up to ``size`` layers each."""
     firsts = range(0, MODEL.layer_count, size)
     return [
         EnginePlacement(
@@ -52,7 +52,7 @@
 def test_predicted_token_time_matches_idle_engines(
     stages: int, work_factor: float, measured_ms: float
 ) -> None:
-    # Chains of rrs-vooraf at a tenth of a quiet day's load; docs/MEASURES.md.
+    # Measured on chains of the site rrs-vooraf at light load; see docs/MEASURES.md.
     model = replace(MODEL, step_s=0.00102)
     average = Accelerator(14400.0, work_factor)
     token_s = stage_token_s(average, model, model.layer_count, 0.0)
@@ -91,13 +91,14 @@
 
 
 def test_stage_with_least_memory_bounds_its_chain() -> None:
-    # A small engine has room for 4 usual requests beside 8 layers, 28 beside 7.
+    # A small engine has memory for 4 typical requests beside 8 layers, for 28 beside 7.
     assert best_chain_throughput_rps(
         make_chain(SMALL, 7), MODEL
     ) > 3 * best_chain_throughput_rps(make_chain(SMALL, 8), MODEL)
 
 
 def test_unused_held_layers_reduce_current_throughput() -> None:
+    """Guards against estimates that ignore the memory of layers which no chain runs."""
     engines = make_chain(SMALL, 7)
     overfull = replace(engines[0], held_layers=LayerRange(0, 7))
     chain = best_chain([overfull, *engines[1:]], MODEL)
@@ -128,7 +129,7 @@
     if before is None:
         return
     assert after is not None
-    # Spreads within a twentieth of the best count as equal.
+    # Of spreads within 5% of the best throughput, the one with less residence is used.
     assert after.throughput_rps >= 0.85 * before.throughput_rps
 
 
