--- a/tests/lib/fleet_simulation.py
+++ b/tests/lib/fleet_simulation.py
@@ -183,13 +183,13 @@
         return f"hall-{entry % self.workload.domains}"
 
     def replicas(self, entry: int, now_s: float) -> list[tuple[Engine, Replica]]:
-        found = []
+        result = []
         for engine in self.engines:
             load = self.load_at(entry, engine, now_s)
             stage = Stage(engine.name, "10.0.0.1:1", 1, engine.layers)
             in_flight = min(int(load.tokens), engine.capacity_tokens - 1)
             step_ms = engine.accelerator.step_factor * len(engine.layers)
-            found.append(
+            result.append(
                 (
                     engine,
                     Replica(
@@ -202,7 +202,7 @@
                     ),
                 )
             )
-        return found
+        return result
 
     def load_at(self, entry: int, engine: Engine, now_s: float) -> ServerLoad:
         return self.load_views[entry].load(engine.name, self.workload.entries, now_s)
@@ -211,15 +211,15 @@
         self, entry: int, needs: RequestNeeds, now_s: float
     ) -> list[Candidate]:
         """Return the candidates that the product's search uses."""
-        found = []
+        result = []
         for engine, replica in self.replicas(entry, now_s):
             load = self.load_at(entry, engine, now_s)
             state = StageState(
                 engine.accelerator, len(engine.layers), engine.capacity_tokens, load
             )
             spread = news_spread(state, MODEL, self.workload.entries, self.workload.rps)
-            found.append(candidate(replica, state, MODEL, needs, spread, self.rng))
-        return found
+            result.append(candidate(replica, state, MODEL, needs, spread, self.rng))
+        return result
 
     def stages_of(self, found: FoundChain) -> list[tuple[Engine, LayerRange]]:
         """Return the stages of a chain that the product's search found."""
@@ -318,18 +318,18 @@
         outcome.long_pauses += not pauses_in_time
         outcome.in_time += starts_in_time and pauses_in_time
         self.first_stage_requests[first] += 1
-        unread = LoadPart(0, 0, needs.prompt_tokens)
-        held = LoadPart(needs.total_tokens, 1, 0)
+        prompt_load = LoadPart(0, 0, needs.prompt_tokens)
+        request_load = LoadPart(needs.total_tokens, 1, 0)
         names = [engine.name for engine, _ in chain]
-        self._count(names, entry, held)
-        self._count(names, entry, unread)
+        self._count(names, entry, request_load)
+        self._count(names, entry, prompt_load)
         self._schedule(
             now_s + first_event_s,
-            lambda _: self._count(names, entry, unread, remove=True),
+            lambda _: self._count(names, entry, prompt_load, remove=True),
         )
 
         def finish(_: float) -> None:
-            self._count(names, entry, held, remove=True)
+            self._count(names, entry, request_load, remove=True)
             self.first_stage_requests[first] -= 1
 
         self._schedule(now_s + predicted.finish_s + delay_s, finish)
