--- a/soak/clients.py
+++ b/soak/clients.py
@@ -10,7 +10,7 @@
 from soak.faults import ENTRIES_IN_TOUCH, HARMLESS_TO_STREAMS, POISON_ID
 from soak.world import BUDGET_RATIO, BUDGET_SLACK, BUDGET_WINDOW_S, World
 from standins.chaining_engine import SEAL
-from tests.lib.backoffs import MAX_DURING, most_during_backoff
+from tests.lib.backoffs import MAX_REQUESTS_DURING_BACKOFF, max_requests_during_backoff
 from tests.lib.forwarding import (
     MODEL_SERVICE,
     PLAIN_SERVICE,
@@ -18,7 +18,7 @@
     Reply,
     events_of,
 )
-from tests.lib.limits import WINDOW_S, allowed
+from tests.lib.limits import WINDOW_S, allowed_requests
 
 # Rules, by the names of the users' pages.
 (
@@ -266,7 +266,7 @@
             (sum(1 for at_s in counted if s - WINDOW_S < at_s <= s) for s in counted),
             default=0,
         )
-        if most > allowed(float(named.text)):
+        if most > allowed_requests(float(named.text)):
             server_id = named.server.server_id
             seen.violated(LIMIT, f"{server_id} takes {named.text} a second: {most}")
 
@@ -279,8 +279,10 @@
     if any(fault.name == "link_fault" for fault in world.injected):
         return
     for server in world.servers:
-        most = most_during_backoff(server, lambda i: _undisturbed(world, seen, i))
-        if most > MAX_DURING:
+        most = max_requests_during_backoff(
+            server, lambda i: _undisturbed(world, seen, i)
+        )
+        if most > MAX_REQUESTS_DURING_BACKOFF:
             seen.violated(BUDGET, f"{server.server_id} backs off and got {most}")
 
 
--- a/src/railfold/_internal/decisions/eligibility.py
+++ b/src/railfold/_internal/decisions/eligibility.py
@@ -20,16 +20,16 @@
 )
 
 __all__ = [
-    "Bar",
-    "EndingBar",
+    "EligibilityTerms",
     "Full",
+    "IneligibleReason",
     "NotServing",
     "Paused",
     "RateLimited",
     "Role",
     "ServerEligibility",
     "SlowStart",
-    "Terms",
+    "TemporaryReason",
 ]
 
 
@@ -73,25 +73,27 @@
     """It rejected a request, of this entry or another one, for want of room."""
 
 
-Bar = BackingOff | HalfOpen | RateLimited | NotServing | Paused | SlowStart | Full
-EndingBar = BackingOff | HalfOpen | RateLimited
+IneligibleReason = (
+    BackingOff | HalfOpen | RateLimited | NotServing | Paused | SlowStart | Full
+)
+TemporaryReason = BackingOff | HalfOpen | RateLimited
 
 
 @dataclass(slots=True)
-class Terms:
+class EligibilityTerms:
     """What one request accepts, and what bars it met.
 
     :param max_wait_s: how long it may wait for a permit.
     :param relaxed: whether servers in slow start, or full ones, serve too, since no
         others can.
-    :param ignores_ends: whether bars that end by themselves don't count.
-    :param bars: the bars met, by server.
+    :param ignores_temporary: whether bars that end by themselves don't count.
+    :param reasons: the bars met, by server.
     """
 
     max_wait_s: float = 0.0
     relaxed: bool = False
-    ignores_ends: bool = False
-    bars: dict[str, Bar] = field(default_factory=dict)
+    ignores_temporary: bool = False
+    reasons: dict[str, IneligibleReason] = field(default_factory=dict)
 
 
 class ServerEligibility:
@@ -100,7 +102,7 @@
     Times are on the loop's clock.
 
     :param permit_wait_s: time until a server's next permit; 0 without a limit.
-    :param starts_slowly: draws whether a server's slow start leaves a request out.
+    :param skips_slow_start: draws whether a server's slow start leaves a request out.
     """
 
     def __init__(
@@ -110,46 +112,52 @@
         backoffs: RequestedBackoffs,
         fleet_load: FleetLoad,
         permit_wait_s: Callable[[str], float],
-        starts_slowly: Callable[[str, float], bool],
+        skips_slow_start: Callable[[str, float], bool],
     ) -> None:
         self._directory = directory
         self._avoidance = avoidance
         self._backoffs = backoffs
         self._fleet_load = fleet_load
         self._permit_wait_s = permit_wait_s
-        self._starts_slowly = starts_slowly
+        self._skips_slow_start = skips_slow_start
 
-    def allows(self, server_id: str, role: Role, now_s: float, terms: Terms) -> bool:
+    def allows(
+        self, server_id: str, role: Role, now_s: float, terms: EligibilityTerms
+    ) -> bool:
         """Return whether a server may serve; its bar is added to ``terms`` if not."""
-        bar = self._bar(server_id, role, now_s, terms)
-        if bar is None:
+        reason = self._ineligible_reason(server_id, role, now_s, terms)
+        if reason is None:
             return True
-        terms.bars[server_id] = bar
+        terms.reasons[server_id] = reason
         return False
 
-    def _bar(
-        self, server_id: str, role: Role, now_s: float, terms: Terms
-    ) -> Bar | None:
-        if role.is_direct and not terms.ignores_ends:
-            backoff = self._backoffs.bar(server_id, now_s)
+    def _ineligible_reason(
+        self, server_id: str, role: Role, now_s: float, terms: EligibilityTerms
+    ) -> IneligibleReason | None:
+        if role.is_direct and not terms.ignores_temporary:
+            backoff = self._backoffs.ineligible_reason(server_id, now_s)
             if backoff is not None:
                 return backoff
         wait_s = self._permit_wait_s(server_id)
-        if wait_s > terms.max_wait_s and not terms.ignores_ends:
+        if wait_s > terms.max_wait_s and not terms.ignores_temporary:
             return RateLimited(now_s + wait_s)
         if role is not Role.REPLICA and self._is_paused(server_id, now_s):
             return Paused()
-        return None if terms.relaxed else self._soft_bar(server_id, role, now_s)
+        return None if terms.relaxed else self._relaxable_reason(server_id, role, now_s)
 
-    def _soft_bar(self, server_id: str, role: Role, now_s: float) -> Bar | None:
+    def _relaxable_reason(
+        self, server_id: str, role: Role, now_s: float
+    ) -> IneligibleReason | None:
         """Return what bars a server only while others can serve."""
         if role is not Role.REPLICA and self._fleet_load.is_full(server_id, now_s):
             return Full()
-        if self._starts_slowly(server_id, now_s):
+        if self._skips_slow_start(server_id, now_s):
             return SlowStart()
         return None
 
-    def bar_of_send(self, server_id: str, now_s: float) -> Bar | None:
+    def reason_against_send(
+        self, server_id: str, now_s: float
+    ) -> IneligibleReason | None:
         """Return what has come up since a server was chosen.
 
         Its permit is taken by then, and its load counts the request.
@@ -157,8 +165,8 @@
         entry = self._directory.get(server_id)
         if entry is None or not entry.routable:
             return NotServing()
-        return self._backoffs.bar(server_id, now_s)
+        return self._backoffs.ineligible_reason(server_id, now_s)
 
     def _is_paused(self, server_id: str, now_s: float) -> bool:
         load = self._fleet_load.own_part(server_id).tokens
-        return self._avoidance.avoided(server_id, now_s, load)
+        return self._avoidance.is_avoided(server_id, now_s, load)
--- a/src/railfold/_internal/decisions/load_shedding/__init__.py
+++ b/src/railfold/_internal/decisions/load_shedding/__init__.py
@@ -1,8 +1,8 @@
 """Backend servers that shed load and say for how long, by Retry-After."""
 
-from railfold._internal.decisions.load_shedding.fleet import (
+from railfold._internal.decisions.load_shedding.blocked_entries import (
     NOTICE_INTERVAL_S,
-    BarredEntries,
+    BlockedEntries,
 )
 from railfold._internal.decisions.load_shedding.headers import (
     NoRetryAfter,
@@ -12,7 +12,7 @@
 )
 from railfold._internal.decisions.load_shedding.requested import (
     BackingOff,
-    BackoffBar,
+    BackoffReason,
     HalfOpen,
     RequestedBackoffs,
     ServerBackoff,
@@ -21,8 +21,8 @@
 __all__ = [
     "NOTICE_INTERVAL_S",
     "BackingOff",
-    "BackoffBar",
-    "BarredEntries",
+    "BackoffReason",
+    "BlockedEntries",
     "HalfOpen",
     "NoRetryAfter",
     "RequestedBackoffs",
--- a/src/railfold/_internal/decisions/rate_limits/__init__.py
+++ b/src/railfold/_internal/decisions/rate_limits/__init__.py
@@ -7,14 +7,14 @@
 )
 from railfold._internal.decisions.rate_limits.headers import (
     NoRateLimit,
+    RateLimitAdvertised,
     RateLimitHeader,
-    RateLimitNamed,
     UnreadableRateLimit,
 )
-from railfold._internal.decisions.rate_limits.holders import (
-    Fleet,
-    Holders,
-    permit_holders,
+from railfold._internal.decisions.rate_limits.issuers import (
+    KnownEntries,
+    PermitIssuers,
+    permit_issuers,
 )
 from railfold._internal.decisions.rate_limits.permits import (
     PermitDenied,
@@ -23,29 +23,29 @@
     PermitSchedule,
 )
 from railfold._internal.decisions.rate_limits.sharing import (
-    AskHolder,
+    AskIssuer,
+    PermitDecision,
     PermitSharing,
-    PermitStep,
 )
 from railfold._internal.decisions.rate_limits.wait_limit import permit_wait_limit_s
 
 __all__ = [
     "AdvertisedLimits",
-    "AskHolder",
-    "Fleet",
-    "Holders",
+    "AskIssuer",
+    "KnownEntries",
     "LimitChange",
     "LimitLapsed",
     "NoRateLimit",
+    "PermitDecision",
     "PermitDenied",
     "PermitGranted",
+    "PermitIssuers",
     "PermitOutcome",
     "PermitSchedule",
     "PermitSharing",
-    "PermitStep",
+    "RateLimitAdvertised",
     "RateLimitHeader",
-    "RateLimitNamed",
     "UnreadableRateLimit",
-    "permit_holders",
+    "permit_issuers",
     "permit_wait_limit_s",
 ]
--- a/src/railfold/_internal/decisions/rate_limits/advertised.py
+++ b/src/railfold/_internal/decisions/rate_limits/advertised.py
@@ -17,11 +17,11 @@
 
 from railfold._internal.decisions.rate_limits.headers import (
     NoRateLimit,
+    RateLimitAdvertised,
     RateLimitHeader,
-    RateLimitNamed,
     UnreadableRateLimit,
 )
-from railfold._internal.decisions.slow_start import usual_share
+from railfold._internal.decisions.slow_start import slow_start_share
 
 __all__ = [
     "AdvertisedLimits",
@@ -30,15 +30,15 @@
 ]
 
 # How long after the end of its limit a server's share of new work grows to the usual.
-_RECOVERY_S = 4.0
+_SLOW_START_S = 4.0
 
 # A limit that nobody confirms lapses after so long: with demand each permit confirms
 # it, and what is confirmed is told each second.
-_LEAST_LAPSE_S = 4.0
-_MOST_LAPSE_S = 30.0
+_MIN_LAPSE_S = 4.0
+_MAX_LAPSE_S = 30.0
 
 # A limit of so many requests a second lapses no sooner than several permits may take.
-_PERMITS_UNCONFIRMED = 3.0
+_MIN_PERMITS_BEFORE_LAPSE = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,17 +53,17 @@
 
 
 @dataclass(slots=True)
-class _Advertised:
+class _ServerLimit:
     """What is known of one server.
 
-    :param per_s: the rate that it takes; ``None`` since it names none any more.
+    :param limit_per_s: the rate that it takes; ``None`` since it names none any more.
     :param changed_s: when that was first known.
-    :param word_s: when its newest word was given.
+    :param latest_report_s: when its newest word was given.
     """
 
-    per_s: float | None
+    limit_per_s: float | None
     changed_s: float
-    word_s: float
+    latest_report_s: float
 
 
 class AdvertisedLimits:
@@ -73,122 +73,130 @@
     """
 
     def __init__(self) -> None:
-        self._known: dict[str, _Advertised] = {}
+        self._limits: dict[str, _ServerLimit] = {}
         self._unreadable: set[str] = set()
 
     def __bool__(self) -> bool:
         """Whether anything is known of any server."""
-        return bool(self._known)
+        return bool(self._limits)
 
     @property
     def in_force(self) -> list[str]:
         """The servers whose limits hold."""
-        return [s for s, known in self._known.items() if known.per_s is not None]
+        return [s for s, limit in self._limits.items() if limit.limit_per_s is not None]
 
-    def per_s(self, server_id: str) -> float | None:
+    def limit_per_s(self, server_id: str) -> float | None:
         """Return the rate that a server takes, if it names one."""
-        known = self._known.get(server_id)
-        return known.per_s if known is not None else None
+        limit = self._limits.get(server_id)
+        return limit.limit_per_s if limit is not None else None
 
     def observe(
-        self, server_id: str, word: RateLimitHeader, sent_s: float, now_s: float
+        self, server_id: str, header: RateLimitHeader, sent_s: float, now_s: float
     ) -> LimitChange | None:
         """Take what the head of an answer said, to a request sent at ``sent_s``.
 
         :return: the word, if it changes what is known.
         """
-        known = self._known.get(server_id)
-        match word:
-            case RateLimitNamed(per_s=per_s):
-                return self._named(server_id, per_s, sent_s, now_s)
+        limit = self._limits.get(server_id)
+        match header:
+            case RateLimitAdvertised(limit_per_s=limit_per_s):
+                return self._record_limit(server_id, limit_per_s, sent_s, now_s)
             case NoRateLimit():
-                if known is None or known.per_s is None or sent_s <= known.word_s:
+                if (
+                    limit is None
+                    or limit.limit_per_s is None
+                    or sent_s <= limit.latest_report_s
+                ):
                     return None
-                return self._ended(known, now_s)
+                return self._record_end(limit, now_s)
             case UnreadableRateLimit():
                 if server_id in self._unreadable:
                     return None
                 self._unreadable.add(server_id)
-                return word
+                return header
 
-    def _named(
-        self, server_id: str, per_s: float, sent_s: float, given_s: float
+    def _record_limit(
+        self, server_id: str, limit_per_s: float, sent_s: float, reported_s: float
     ) -> LimitChange | None:
-        known = self._known.get(server_id)
-        if known is None:
-            self._known[server_id] = _Advertised(per_s, given_s, given_s)
-            return RateLimitNamed(per_s)
-        if known.per_s is None and sent_s < known.word_s:
+        limit = self._limits.get(server_id)
+        if limit is None:
+            self._limits[server_id] = _ServerLimit(limit_per_s, reported_s, reported_s)
+            return RateLimitAdvertised(limit_per_s)
+        if limit.limit_per_s is None and sent_s < limit.latest_report_s:
             return None
-        known.word_s = max(known.word_s, given_s)
-        if known.per_s == per_s:
+        limit.latest_report_s = max(limit.latest_report_s, reported_s)
+        if limit.limit_per_s == limit_per_s:
             return None
-        known.per_s = per_s
-        known.changed_s = given_s
-        return RateLimitNamed(per_s)
+        limit.limit_per_s = limit_per_s
+        limit.changed_s = reported_s
+        return RateLimitAdvertised(limit_per_s)
 
-    def _ended(self, known: _Advertised, given_s: float) -> LimitChange:
-        known.per_s = None
-        known.changed_s = known.word_s = given_s
+    def _record_end(self, limit: _ServerLimit, reported_s: float) -> LimitChange:
+        limit.limit_per_s = None
+        limit.changed_s = limit.latest_report_s = reported_s
         return NoRateLimit()
 
-    def announced(
-        self, server_id: str, per_s: float | None, given_s: float
+    def observe_peer(
+        self, server_id: str, limit_per_s: float | None, reported_s: float
     ) -> LimitChange | None:
         """Take another entry's word, given to it by the server at ``given_s``.
 
-        :param per_s: the rate that the server takes; ``None`` if it names none.
+        :param limit_per_s: the rate that the server takes; ``None`` if it names none.
         :return: the word, if it changes what is known.
         """
-        known = self._known.get(server_id)
-        if known is not None and given_s < known.word_s:
+        limit = self._limits.get(server_id)
+        if limit is not None and reported_s < limit.latest_report_s:
             return None
-        if per_s is not None:
-            return self._named(server_id, per_s, given_s, given_s)
-        if known is None or known.per_s is None:
+        if limit_per_s is not None:
+            return self._record_limit(server_id, limit_per_s, reported_s, reported_s)
+        if limit is None or limit.limit_per_s is None:
             return None
-        return self._ended(known, given_s)
+        return self._record_end(limit, reported_s)
 
-    def word_age_s(self, server_id: str, now_s: float) -> float:
+    def report_age_s(self, server_id: str, now_s: float) -> float:
         """Return how old a server's newest word is."""
-        known = self._known.get(server_id)
-        return now_s - known.word_s if known is not None else float("inf")
+        limit = self._limits.get(server_id)
+        return now_s - limit.latest_report_s if limit is not None else float("inf")
 
-    def share(self, server_id: str, now_s: float) -> float:
+    def traffic_share(self, server_id: str, now_s: float) -> float:
         """Return which share of its usual new work a server without a limit gets."""
-        known = self._known.get(server_id)
-        if known is None or known.per_s is not None:
+        limit = self._limits.get(server_id)
+        if limit is None or limit.limit_per_s is not None:
             return 1.0
-        return usual_share(known.changed_s, now_s, _RECOVERY_S)
+        return slow_start_share(limit.changed_s, now_s, _SLOW_START_S)
 
-    def lapse(self, now_s: float, entries: int) -> dict[str, LimitLapsed]:
+    def lapse_unconfirmed(
+        self, now_s: float, entry_count: int
+    ) -> dict[str, LimitLapsed]:
         """Let limits lapse that nobody confirms; return which.
 
         One that all entries tried at once would get far too much: where nobody hears
         anybody, each tries as often as its part of the limit allows.
         """
         lapsed: dict[str, LimitLapsed] = {}
-        for server_id, known in self._known.items():
-            if known.per_s is None:
+        for server_id, limit in self._limits.items():
+            if limit.limit_per_s is None:
                 continue
-            unconfirmed_s = now_s - known.word_s
-            if unconfirmed_s > _lapse_s(known.per_s, entries):
+            unconfirmed_s = now_s - limit.latest_report_s
+            if unconfirmed_s > _lapse_delay_s(limit.limit_per_s, entry_count):
                 # The server gave no word: another entry's last one names it anew.
-                known.per_s = None
-                known.changed_s = now_s
+                limit.limit_per_s = None
+                limit.changed_s = now_s
                 lapsed[server_id] = LimitLapsed(unconfirmed_s)
         return lapsed
 
     def forget(self, known_ids: set[str], now_s: float) -> None:
         """Forget servers that are gone, and limits that ended long ago."""
         self._unreadable &= known_ids
-        for server_id, known in list(self._known.items()):
-            over = known.per_s is None and now_s - known.changed_s > _MOST_LAPSE_S
-            if server_id not in known_ids or over:
-                del self._known[server_id]
-
-
-def _lapse_s(per_s: float, entries: int) -> float:
-    rate_per_s = max(1e-6, per_s)
-    longest_s = max(_PERMITS_UNCONFIRMED, float(entries)) / rate_per_s
-    return min(_MOST_LAPSE_S, max(_LEAST_LAPSE_S, longest_s))
+        for server_id, limit in list(self._limits.items()):
+            expired = (
+                limit.limit_per_s is None and now_s - limit.changed_s > _MAX_LAPSE_S
+            )
+            if server_id not in known_ids or expired:
+                del self._limits[server_id]
+
+
+def _lapse_delay_s(limit_per_s: float, entry_count: int) -> float:
+    rate_per_s = max(1e-6, limit_per_s)
+    longest_s = max(_MIN_PERMITS_BEFORE_LAPSE, float(entry_count)) / rate_per_s
+    return min(_MAX_LAPSE_S, max(_MIN_LAPSE_S, longest_s))
--- a/src/railfold/_internal/decisions/rate_limits/headers.py
+++ b/src/railfold/_internal/decisions/rate_limits/headers.py
@@ -4,14 +4,19 @@
 
 from dataclasses import dataclass
 
-__all__ = ["NoRateLimit", "RateLimitHeader", "RateLimitNamed", "UnreadableRateLimit"]
+__all__ = [
+    "NoRateLimit",
+    "RateLimitAdvertised",
+    "RateLimitHeader",
+    "UnreadableRateLimit",
+]
 
 
 @dataclass(frozen=True, slots=True)
-class RateLimitNamed:
+class RateLimitAdvertised:
     """The server takes so many requests a second from all entries together."""
 
-    per_s: float
+    limit_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,4 +34,4 @@
     text: str
 
 
-RateLimitHeader = RateLimitNamed | NoRateLimit | UnreadableRateLimit
+RateLimitHeader = RateLimitAdvertised | NoRateLimit | UnreadableRateLimit
--- a/src/railfold/_internal/decisions/rate_limits/holders.py
+++ b/src/railfold/_internal/decisions/rate_limits/issuers.py
@@ -13,93 +13,98 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
-__all__ = ["Fleet", "Holders", "permit_holders"]
+__all__ = ["KnownEntries", "PermitIssuers", "permit_issuers"]
 
 # How much of a limit is handed out. A server that is obeyed to the last request leaves
 # nothing for permits of two holders that meet in one window.
-_USED_SHARE = 0.95
+_ISSUED_SHARE = 0.95
 
 # Requests a second where a server takes nothing at all: somebody has to find out when
 # that is over.
-_LEAST_PER_S = 0.2
+_MIN_PERMITS_PER_S = 0.2
 
 # Holders beside one for each request a second, and at least: if one is lost, others go
 # on. More of them would each have a permit too rarely to be asked for it in time.
-_SPARE_HOLDERS = 1
-_LEAST_HOLDERS = 2
+_SPARE_ISSUERS = 1
+_MIN_ISSUERS = 2
 
 # Whole permits that may be used at once, all holders together, where each has less
 # than one.
-_MOST_BURST = 3.0
+_MAX_TOTAL_BURST = 3.0
 
 # Of one holder. With less than this beyond a whole permit, what isn't taken at once is
 # lost, since whoever wants the next one asks some time after it is there.
-_LEAST_BURST = 1.5
+_MIN_BURST = 1.5
 
 # An entry whose list lacks more than this share of the entries that the store counts
 # can't tell who holds permits.
-_LISTED_SHARE = 0.75
+_MIN_LISTED_SHARE = 0.75
 
 
 @dataclass(frozen=True, slots=True)
-class Fleet:
+class KnownEntries:
     """The entries as one of them knows them.
 
     :param own_name: this entry's.
-    :param others: the names of the others on its list.
-    :param members: how many entries there are by the store's count.
+    :param peer_names: the names of the others on its list.
+    :param entry_count: how many entries there are by the store's count.
     """
 
     own_name: str
-    others: tuple[str, ...] = ()
-    members: int = 1
+    peer_names: tuple[str, ...] = ()
+    entry_count: int = 1
 
     @property
-    def listed(self) -> bool:
+    def can_select_issuers(self) -> bool:
         """Whether the list is whole enough to tell who holds permits."""
-        return 1 + len(self.others) >= _LISTED_SHARE * self.members
+        return 1 + len(self.peer_names) >= _MIN_LISTED_SHARE * self.entry_count
 
 
 @dataclass(frozen=True, slots=True)
-class Holders:
+class PermitIssuers:
     """Who hands out the permits of one server's limit.
 
     :param names: of the entries; none if this entry can't tell.
-    :param per_s: permits a second that each of them hands out.
+    :param permits_per_s: permits a second that each of them hands out.
     :param burst: how many at once after a pause.
     """
 
     names: tuple[str, ...]
-    per_s: float
+    permits_per_s: float
     burst: float
 
 
-def permit_holders(server_id: str, per_s: float, fleet: Fleet) -> Holders:
+def permit_issuers(
+    server_id: str, limit_per_s: float, entries: KnownEntries
+) -> PermitIssuers:
     """Return who hands out the permits of a server's limit of ``per_s``.
 
     An entry whose list can't tell has an equal part where entries are few. Where they
     are many it leaves the server to those that are in touch with each other.
     """
-    if fleet.listed:
+    if entries.can_select_issuers:
         ranked = sorted(
-            (fleet.own_name, *fleet.others), key=lambda name: _rank(server_id, name)
+            (entries.own_name, *entries.peer_names),
+            key=lambda name: _rank(server_id, name),
         )
-        names = tuple(ranked[: _count(per_s, len(ranked))])
-        return _holders(names, per_s, len(names))
-    count = _count(per_s, fleet.members)
-    alone = (fleet.own_name,) if fleet.members <= count else ()
-    return _holders(alone, per_s, count)
+        names = tuple(ranked[: _issuer_count(limit_per_s, len(ranked))])
+        return _split_limit(names, limit_per_s, len(names))
+    count = _issuer_count(limit_per_s, entries.entry_count)
+    own_names = (entries.own_name,) if entries.entry_count <= count else ()
+    return _split_limit(own_names, limit_per_s, count)
 
 
-def _count(per_s: float, entries: int) -> int:
-    wanted = max(_LEAST_HOLDERS, _SPARE_HOLDERS + math.ceil(per_s))
-    return max(1, min(entries, wanted))
+def _issuer_count(limit_per_s: float, entry_count: int) -> int:
+    target_count = max(_MIN_ISSUERS, _SPARE_ISSUERS + math.ceil(limit_per_s))
+    return max(1, min(entry_count, target_count))
 
 
-def _holders(names: tuple[str, ...], per_s: float, count: int) -> Holders:
-    used_per_s = max(_LEAST_PER_S, _USED_SHARE * per_s)
-    burst = min(_MOST_BURST, 1.0 + per_s)
-    return Holders(names, used_per_s / count, max(_LEAST_BURST, burst / count))
+def _split_limit(
+    names: tuple[str, ...], limit_per_s: float, count: int
+) -> PermitIssuers:
+    issued_per_s = max(_MIN_PERMITS_PER_S, _ISSUED_SHARE * limit_per_s)
+    burst = min(_MAX_TOTAL_BURST, 1.0 + limit_per_s)
+    return PermitIssuers(names, issued_per_s / count, max(_MIN_BURST, burst / count))
 
 
 def _rank(server_id: str, name: str) -> bytes:
--- a/src/railfold/_internal/decisions/rate_limits/permits.py
+++ b/src/railfold/_internal/decisions/rate_limits/permits.py
@@ -35,14 +35,14 @@
         self._interval_s: float | None = None
 
     def take(
-        self, now_s: float, per_s: float, burst: float, max_wait_s: float
+        self, now_s: float, rate_per_s: float, burst: float, max_wait_s: float
     ) -> PermitOutcome:
         """Take a permit that is there now, or will be within ``max_wait_s``.
 
         :param burst: how many may be taken at once after a pause; 1 at least.
         """
-        interval_s = 1.0 / per_s
-        self._use_interval(interval_s, now_s)
+        interval_s = 1.0 / rate_per_s
+        self._set_interval(interval_s, now_s)
         earliest_s = self._next_s - (burst - 1.0) * interval_s
         wait_s = max(0.0, earliest_s - now_s)
         if wait_s > max_wait_s:
@@ -50,9 +50,9 @@
         self._next_s = max(now_s, self._next_s) + interval_s
         return PermitGranted(wait_s)
 
-    def _use_interval(self, interval_s: float, now_s: float) -> None:
+    def _set_interval(self, interval_s: float, now_s: float) -> None:
         """Count permits that were taken ahead at the new rate."""
         if self._interval_s is not None and self._next_s > now_s:
-            ahead = (self._next_s - now_s) / self._interval_s
-            self._next_s = now_s + ahead * interval_s
+            taken_ahead = (self._next_s - now_s) / self._interval_s
+            self._next_s = now_s + taken_ahead * interval_s
         self._interval_s = interval_s
--- a/src/railfold/_internal/decisions/rate_limits/wait_limit.py
+++ b/src/railfold/_internal/decisions/rate_limits/wait_limit.py
@@ -10,15 +10,15 @@
 
 # A client in the middle of its answer leaves after 2 s without an event; pauses count
 # as too long well before.
-_BEGUN_S = 0.5
+_BEGUN_ANSWER_WAIT_S = 0.5
 
 # What the most urgent may wait, of their latency objective: the rest is for the first
 # event. Each further rank may wait for a part of what the one before may.
-_MOST_SHARE = 0.33
-_NEXT_RANK = 0.6
+_MAX_OBJECTIVE_SHARE = 0.33
+_RANK_FACTOR = 0.6
 
 # So many of all may wait as long as the most urgent, so that no rank starves.
-_EQUAL_SHARE = 0.125
+_UNRANKED_SHARE = 0.125
 
 
 def permit_wait_limit_s(
@@ -32,8 +32,8 @@
     :param begun: whether its client has a part of the answer.
     """
     if begun:
-        return _BEGUN_S
-    longest_s = _MOST_SHARE * objective_s
-    if random_unit < _EQUAL_SHARE:
+        return _BEGUN_ANSWER_WAIT_S
+    longest_s = _MAX_OBJECTIVE_SHARE * objective_s
+    if random_unit < _UNRANKED_SHARE:
         return longest_s
-    return longest_s * _NEXT_RANK ** max(0, rank)
+    return longest_s * _RANK_FACTOR ** max(0, rank)
--- a/src/railfold/_internal/decisions/retry_budget.py
+++ b/src/railfold/_internal/decisions/retry_budget.py
@@ -11,7 +11,7 @@
 # Of the retries beyond the share of first attempts, this part is kept for answers that
 # have begun. Without a retry such an answer is cut in its middle; a request that
 # hasn't begun is told that it wasn't run, and comes back.
-_KEPT_FOR_BEGUN = 0.25
+_RESERVED_FOR_BEGUN = 0.25
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,16 +49,16 @@
     def earn(self, now_s: float) -> None:
         """Count one first attempt."""
         self._first_attempts_s.append(now_s)
-        self._forget(now_s)
+        self._drop_expired(now_s)
 
     def allows(self, now_s: float, *, begun: bool = True) -> bool:
         """Return whether there is a retry to be taken.
 
         :param begun: whether it is for an answer that its client already reads.
         """
-        self._forget(now_s)
+        self._drop_expired(now_s)
         limits = self.limits
-        slack = limits.slack if begun else limits.slack * (1.0 - _KEPT_FOR_BEGUN)
+        slack = limits.slack if begun else limits.slack * (1.0 - _RESERVED_FOR_BEGUN)
         allowed = slack + limits.share * len(self._first_attempts_s)
         if allowed <= 0.0:
             return False
@@ -71,7 +71,7 @@
         self._retries_s.append(now_s)
         return True
 
-    def _forget(self, now_s: float) -> None:
+    def _drop_expired(self, now_s: float) -> None:
         since_s = now_s - self.limits.window_s
         for times_s in (self._first_attempts_s, self._retries_s):
             while times_s and times_s[0] <= since_s:
@@ -92,7 +92,7 @@
         for budget in self._budgets.values():
             budget.limits = limits
 
-    def of(self, service: str) -> RetryBudget:
+    def for_service(self, service: str) -> RetryBudget:
         """Return a service's budget."""
         return self._budgets.setdefault(
             service, RetryBudget(self._limits, self._rounding)
--- a/src/railfold/_internal/decisions/slow_start.py
+++ b/src/railfold/_internal/decisions/slow_start.py
@@ -5,10 +5,10 @@
 
 from __future__ import annotations
 
-__all__ = ["usual_share"]
+__all__ = ["slow_start_share"]
 
 
-def usual_share(started_s: float, now_s: float, duration_s: float) -> float:
+def slow_start_share(started_s: float, now_s: float, duration_s: float) -> float:
     """Return which share of its usual requests a server gets now, from 0 to 1.
 
     :param started_s: when it was first known to take requests again.
--- a/src/railfold/_internal/entry/calls.py
+++ b/src/railfold/_internal/entry/calls.py
@@ -21,9 +21,12 @@
     NoHost,
     SendCall,
 )
+from railfold._internal.decisions.client_retry_after import (
+    NoCapacity,
+    client_retry_after_s,
+)
 from railfold._internal.decisions.configuration import Service
 from railfold._internal.decisions.planner import choose_host
-from railfold._internal.decisions.return_time import NoRoom, return_after_s
 from railfold._internal.entry.agents import RequestMessage
 from railfold._internal.entry.generate import RoutingContext
 from railfold._internal.errors import NoCapacityError, OverloadedError
@@ -108,7 +111,7 @@
 
     def _choose(self, action: ChooseHost) -> None:
         context = self._context
-        retry_after_s = return_after_s(NoRoom(), context.rng.random())
+        retry_after_s = client_retry_after_s(NoCapacity(), context.rng.random())
         if action.is_retry:
             context.metrics.count("calls.retries")
             self._count_own(-1)
--- a/src/railfold/_internal/entry/generate.py
+++ b/src/railfold/_internal/entry/generate.py
@@ -8,6 +8,10 @@
 from dataclasses import dataclass
 
 from railfold._internal.core import Chain, GenerateRequest, Outcome, Token
+from railfold._internal.decisions.client_retry_after import (
+    NoCapacity,
+    client_retry_after_s,
+)
 from railfold._internal.decisions.configuration import Pipeline
 from railfold._internal.decisions.heartbeats import OverdueTimer
 from railfold._internal.decisions.lifecycle import (
@@ -36,7 +40,6 @@
 )
 from railfold._internal.decisions.planner import LinkCosts, PlannerWeights, plan_chain
 from railfold._internal.decisions.retry_budget import RetryBudget
-from railfold._internal.decisions.return_time import NoRoom, return_after_s
 from railfold._internal.entry.agents import AgentPool, RequestMessage
 from railfold._internal.errors import NoCapacityError, OverloadedError
 from railfold._internal.links.messages import (
@@ -176,7 +179,7 @@
 
     def _plan(self, action: PlanChain) -> None:
         context = self._context
-        retry_after_s = return_after_s(NoRoom(), context.rng.random())
+        retry_after_s = client_retry_after_s(NoCapacity(), context.rng.random())
         if action.is_retry:
             context.metrics.count("generate.retries")
             self._count_own(-1)
--- a/src/railfold/_internal/forwarding/requests/chain_planner.py
+++ b/src/railfold/_internal/forwarding/requests/chain_planner.py
@@ -17,7 +17,11 @@
 from railfold._internal.decisions.chain_costs import RequestNeeds
 from railfold._internal.decisions.coverage import describe_shortages, shortage_of
 from railfold._internal.decisions.domains import group_by_domain
-from railfold._internal.decisions.eligibility import EndingBar, Role, Terms
+from railfold._internal.decisions.eligibility import (
+    EligibilityTerms,
+    Role,
+    TemporaryReason,
+)
 from railfold._internal.decisions.load_shedding import BackingOff, HalfOpen
 from railfold._internal.decisions.planner import (
     Replica,
@@ -64,7 +68,7 @@
         model: EngineModel,
         needs: RequestNeeds,
         exclude: frozenset[str],
-        terms: Terms,
+        terms: EligibilityTerms,
         bearable_s: float,
         is_suspect: bool,
     ) -> Destination:
@@ -161,7 +165,7 @@
         model: EngineModel,
         replicas: list[Replica],
         usable: list[Replica],
-        terms: Terms,
+        terms: EligibilityTerms,
         now_s: float,
     ) -> NoCapacityError:
         """Return why there is no chain, told of each failure domain.
@@ -196,15 +200,21 @@
             hint="come back after Retry-After; operators: see 'railfold status'",
         )
 
-    def _left_s(self, server_id: str, terms: Terms, now_s: float) -> float | None:
+    def _left_s(
+        self, server_id: str, terms: EligibilityTerms, now_s: float
+    ) -> float | None:
         """Return when a server takes requests again, as far as that is known."""
-        bar = terms.bars.get(server_id)
-        if isinstance(bar, EndingBar):
+        bar = terms.reasons.get(server_id)
+        if isinstance(bar, TemporaryReason):
             return max(0.0, bar.until_s - now_s)
         return self._router.fleet_load.full_for_s(server_id, now_s)
 
     def _eligible(
-        self, replica: Replica, exclude: frozenset[str], now_s: float, terms: Terms
+        self,
+        replica: Replica,
+        exclude: frozenset[str],
+        now_s: float,
+        terms: EligibilityTerms,
     ) -> Replica | None:
         """Return what a chain may use of a replica, if anything.
 
@@ -219,7 +229,7 @@
             return replica if allowed else None
         if self._router.eligibility.allows(server_id, Role.FIRST_STAGE, now_s, terms):
             return replica if server_id not in exclude else None
-        backs_off = isinstance(terms.bars[server_id], BackingOff | HalfOpen)
+        backs_off = isinstance(terms.reasons[server_id], BackingOff | HalfOpen)
         if not backs_off or len(replica.stage.layers) < 2:
             return None
         # It wants no requests from this entry; those of other engines may pass it.
--- a/src/railfold/_internal/forwarding/requests/destination_search.py
+++ b/src/railfold/_internal/forwarding/requests/destination_search.py
@@ -267,7 +267,7 @@
     def _go_to(self, destination: Destination, *, is_retry: bool, begun: bool) -> None:
         """Go there, if the request is a first attempt or a retry is allowed."""
         router = self._router
-        budget = router.budgets.of(destination.service)
+        budget = router.budgets.for_service(destination.service)
         if not is_retry:
             if not self._earned:
                 budget.earn(self._loop.time())
@@ -316,7 +316,7 @@
             )
         except RequestError:
             return False
-        if not self._router.budgets.of(place.service).allows(now_s):
+        if not self._router.budgets.for_service(place.service).allows(now_s):
             return False
         self._reserved = place
         return True
--- a/src/railfold/_internal/forwarding/requests/destinations.py
+++ b/src/railfold/_internal/forwarding/requests/destinations.py
@@ -8,14 +8,14 @@
 from railfold._internal.core import Chain
 from railfold._internal.decisions.chain_costs import RequestNeeds
 from railfold._internal.decisions.eligibility import (
-    Bar,
-    EndingBar,
+    EligibilityTerms,
     Full,
+    IneligibleReason,
     Paused,
     RateLimited,
     Role,
     SlowStart,
-    Terms,
+    TemporaryReason,
 )
 from railfold._internal.decisions.load_shedding import BackingOff, HalfOpen
 from railfold._internal.decisions.planner import Replica, choose_host
@@ -83,18 +83,18 @@
         spec = self._service(route)
         if is_new:
             self._router.arrivals.arrived(spec.name, asyncio.get_running_loop().time())
-        strict = Terms()
+        strict = EligibilityTerms()
         try:
             return self._choose_at(
                 spec, route, exclude, size, strict, is_suspect=is_suspect
             )
         except NoCapacityError as error:
-            bars = list(strict.bars.values())
+            bars = list(strict.reasons.values())
             if waits_for_room:
                 bars = [bar for bar in bars if not isinstance(bar, Full)]
             if not any(map(_may_relax, bars)):
                 raise _room_short(error, strict) from error
-        relaxed = Terms(max_wait_s=max_wait_s, relaxed=True)
+        relaxed = EligibilityTerms(max_wait_s=max_wait_s, relaxed=True)
         try:
             found = self._choose_at(
                 spec, route, exclude, size, relaxed, is_suspect=is_suspect
@@ -112,13 +112,13 @@
         route: Route,
         exclude: frozenset[str],
         size: RequestSize,
-        terms: Terms,
+        terms: EligibilityTerms,
     ) -> RequestError | None:
         """Return why a request is refused that only lacks the end of some bars.
 
         :param terms: with the bars that it met.
         """
-        unbarred = Terms(relaxed=True, ignores_ends=True)
+        unbarred = EligibilityTerms(relaxed=True, ignores_temporary=True)
         try:
             place = self._choose_at(
                 spec, route, exclude, size, unbarred, is_suspect=False
@@ -126,7 +126,9 @@
         except NoCapacityError:
             return None
         now_s = asyncio.get_running_loop().time()
-        ending = {s: b for s, b in terms.bars.items() if isinstance(b, EndingBar)}
+        ending = {
+            s: b for s, b in terms.reasons.items() if isinstance(b, TemporaryReason)
+        }
         met_s = [ending[s].until_s for s in place.server_ids if s in ending]
         if not met_s:
             return None
@@ -142,7 +144,7 @@
         route: Route,
         exclude: frozenset[str],
         size: RequestSize,
-        terms: Terms,
+        terms: EligibilityTerms,
         *,
         is_suspect: bool,
     ) -> Destination:
@@ -219,14 +221,14 @@
         return spec
 
 
-def _room_short(error: NoCapacityError, terms: Terms) -> NoCapacityError:
+def _room_short(error: NoCapacityError, terms: EligibilityTerms) -> NoCapacityError:
     """Return an error that says whether only room is missing, as far as is known."""
-    if not any(isinstance(bar, Paused | Full) for bar in terms.bars.values()):
+    if not any(isinstance(bar, Paused | Full) for bar in terms.reasons.values()):
         return error
     return RoomShortError(error.what, why=error.why, hint=error.hint)
 
 
-def _may_relax(bar: Bar) -> bool:
+def _may_relax(bar: IneligibleReason) -> bool:
     """Return whether a request may go there after all, if no other server can."""
     return isinstance(bar, RateLimited | SlowStart | BackingOff | HalfOpen | Full)
 
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -297,7 +297,7 @@
         assert self._destination is not None
         server_id = self._destination.server.host
         router = self._router
-        bar = router.eligibility.bar_of_send(server_id, self._loop.time())
+        bar = router.eligibility.reason_against_send(server_id, self._loop.time())
         if bar is not None:
             router.metrics.count("attempts.not_eligible")
             raise ServerNotEligibleError(
--- a/src/railfold/_internal/forwarding/router.py
+++ b/src/railfold/_internal/forwarding/router.py
@@ -13,6 +13,20 @@
 from railfold._internal.decisions.avoidance import Avoidance
 from railfold._internal.decisions.chain_activity import ChainActivity
 from railfold._internal.decisions.chain_search import crossings
+from railfold._internal.decisions.client_retry_after import (
+    ContentOnTrial,
+    NoCapacity,
+    ProofMissingEverywhere,
+    ProofMissingHere,
+    RefusalCause,
+    RoomShort,
+    ServersBackingOff,
+    Starting,
+    client_retry_after_s,
+)
+from railfold._internal.decisions.client_retry_after import (
+    RateLimited as ReturnAtPermit,
+)
 from railfold._internal.decisions.domain_pipes import DomainPipes
 from railfold._internal.decisions.eligibility import ServerEligibility
 from railfold._internal.decisions.engine_directory import (
@@ -29,18 +43,6 @@
 )
 from railfold._internal.decisions.planner import LinkCosts, PlannerWeights
 from railfold._internal.decisions.retry_budget import RetryBudgets
-from railfold._internal.decisions.return_time import (
-    AloneWithoutProof,
-    NobodyHasProof,
-    NoRoom,
-    OnTrial,
-    ReturnCause,
-    RoomShort,
-    ServersBackingOff,
-    Starting,
-    return_after_s,
-)
-from railfold._internal.decisions.return_time import RateLimited as ReturnAtPermit
 from railfold._internal.decisions.routing_table import (
     CredentialOwner,
     EngineModel,
@@ -199,20 +201,20 @@
 
     def return_after_s(self, error: RailfoldError) -> float:
         """Return after how many seconds the caller of a refused request comes back."""
-        return return_after_s(self._return_cause(error), self.rng.random())
+        return client_retry_after_s(self._return_cause(error), self.rng.random())
 
-    def _return_cause(self, error: RailfoldError) -> ReturnCause:
+    def _return_cause(self, error: RailfoldError) -> RefusalCause:
         now_s = asyncio.get_running_loop().time()
         match error:
             case ConfigurationStaleError():
                 if self.others_have_proof(now_s):
-                    return AloneWithoutProof()
+                    return ProofMissingHere()
                 lapsed_s = self.lease.age_s(now_s) - self.lease.duration_s
-                return NobodyHasProof(lapsed_s)
+                return ProofMissingEverywhere(lapsed_s)
             case NotReadyError():
                 return Starting()
             case RequestOnTrialError(left_s=left_s):
-                return OnTrial(left_s)
+                return ContentOnTrial(left_s)
             case RateLimitedError(left_s=left_s):
                 return ReturnAtPermit(left_s)
             case ServersBackingOffError(left_s=left_s, service=service):
@@ -220,7 +222,7 @@
             case RoomShortError(served_share=served_share, left_s=left_s):
                 return RoomShort(served_share, left_s)
             case _:
-                return NoRoom()
+                return NoCapacity()
 
     def require_fresh(self, route: Route) -> None:
         """Refuse if what is known of credentials is too old.
--- a/src/railfold/_internal/forwarding/servers/backoffs.py
+++ b/src/railfold/_internal/forwarding/servers/backoffs.py
@@ -11,8 +11,8 @@
 from railfold._internal.decisions.load_shedding import (
     NOTICE_INTERVAL_S,
     BackingOff,
-    BackoffBar,
-    BarredEntries,
+    BackoffReason,
+    BlockedEntries,
     NoRetryAfter,
     RequestedBackoffs,
     RetryAfter,
@@ -60,7 +60,7 @@
         self._unreadable: set[str] = set()
         self._name = ""
         self._channel: PeerChannel | None = None
-        self._barred_entries = BarredEntries()
+        self._barred_entries = BlockedEntries()
         self._announced_s: dict[str, float] = {}
 
     def use(self, name: str, channel: PeerChannel) -> None:
@@ -96,7 +96,7 @@
         if delay_s <= 0.0:
             return False
         self._metrics.count("backoffs.requested")
-        if self.requested.requested(server_id, delay_s, _now_s()):
+        if self.requested.record_retry_after(server_id, delay_s, _now_s()):
             cause = f"it answered {status} with Retry-After"
             event = ServerBackoffChanged(
                 server_id, "started", cause, source, round(delay_s, 3), 1, 0
@@ -113,7 +113,7 @@
 
     def record_served(self, server_id: str, request_id: str) -> None:
         """Take that a server worked on a request."""
-        if not self.requested.served(server_id, request_id, _now_s()):
+        if not self.requested.record_served(server_id, request_id, _now_s()):
             return
         backoff = self.requested.get(server_id)
         if backoff is not None:
@@ -128,19 +128,19 @@
             return
         now_s = _now_s()
         backoff = self.requested.get(server_id)
-        if backoff is not None and backoff.active(now_s):
+        if backoff is not None and backoff.is_active(now_s):
             self._metrics.count("backoffs.sends_during")
-        self.requested.sent(server_id, request_id, now_s)
+        self.requested.record_send(server_id, request_id, now_s)
 
     def attempt_ended(self, server_id: str, request_id: str) -> None:
         """Take that a request at a server ended."""
-        self.requested.attempt_ended(server_id, request_id)
+        self.requested.record_attempt_end(server_id, request_id)
 
     def is_starting_slowly(self, server_id: str, now_s: float) -> bool:
         """Draw whether a server that has just recovered is left out once."""
         if not self.requested:
             return False
-        share = self.requested.share(server_id, now_s)
+        share = self.requested.traffic_share(server_id, now_s)
         return share < 1.0 and self._rng.random() >= share
 
     def left_s(self, server_id: str) -> float:
@@ -152,7 +152,7 @@
     # Refusals
 
     def refusal(
-        self, service: str, bars: Mapping[str, BackoffBar], left_s: float
+        self, service: str, bars: Mapping[str, BackoffReason], left_s: float
     ) -> ServersBackingOffError:
         """Return why a request is refused that these bars keep from all servers.
 
@@ -188,12 +188,14 @@
         """Take another entry's notice."""
         now_s = _now_s()
         until_s = now_s + message.left_ms / 1000.0
-        self._barred_entries.announced(message.name, message.service, until_s, now_s)
+        self._barred_entries.record_notice(
+            message.name, message.service, until_s, now_s
+        )
 
     def others_serve(self, service: str) -> bool:
         """Return whether most other entries can send to a server of a service."""
         others = len(self._channel.peers) if self._channel is not None else 0
-        return self._barred_entries.others_serve(service, others, _now_s())
+        return self._barred_entries.others_can_serve(service, others, _now_s())
 
     # Upkeep
 
@@ -219,12 +221,20 @@
     ) -> None:
         lasted_s = round(backoff.until_s - backoff.started_s, 3)
         event = ServerBackoffChanged(
-            server_id, state, cause, source, lasted_s, backoff.requests, backoff.sends
+            server_id,
+            state,
+            cause,
+            source,
+            lasted_s,
+            backoff.retry_after_count,
+            backoff.sends_during,
         )
         self._log.write(event)
 
     def _set_gauge(self) -> None:
-        self._metrics.gauge("backoffs.active", len(self.requested.active(_now_s())))
+        self._metrics.gauge(
+            "backoffs.active", len(self.requested.active_servers(_now_s()))
+        )
 
 
 def _now_s() -> float:
--- a/src/railfold/_internal/forwarding/servers/probes.py
+++ b/src/railfold/_internal/forwarding/servers/probes.py
@@ -143,7 +143,7 @@
     ) -> None:
         now_s = self._loop.time()
         own_tokens = self._router.fleet_load.own_part(entry.server_id).tokens
-        self._router.avoidance.refused(entry.server_id, now_s, own_tokens, load)
+        self._router.avoidance.record_refusal(entry.server_id, now_s, own_tokens, load)
         if not misplaced:
             self._router.record_rejection(entry)
 
--- a/src/railfold/_internal/forwarding/servers/rate_limits.py
+++ b/src/railfold/_internal/forwarding/servers/rate_limits.py
@@ -15,8 +15,8 @@
 
 from railfold._internal.decisions.rate_limits import (
     AdvertisedLimits,
-    AskHolder,
-    Fleet,
+    AskIssuer,
+    KnownEntries,
     LimitChange,
     LimitLapsed,
     NoRateLimit,
@@ -24,7 +24,7 @@
     PermitGranted,
     PermitOutcome,
     PermitSharing,
-    RateLimitNamed,
+    RateLimitAdvertised,
     UnreadableRateLimit,
 )
 from railfold._internal.errors import RateLimitedError
@@ -88,9 +88,9 @@
         self._channel = channel
 
     @property
-    def _fleet(self) -> Fleet:
+    def _fleet(self) -> KnownEntries:
         others = tuple(self._channel.peers) if self._channel is not None else ()
-        return Fleet(self._name, others, self.members)
+        return KnownEntries(self._name, others, self.members)
 
     # What servers say
 
@@ -110,8 +110,8 @@
         change = self._limits.observe(server_id, word, sent_s, now_s)
         self._note(server_id, change, _OWN_WORD)
         due_s = self._announced_s.get(server_id, float("-inf")) + _ANNOUNCE_INTERVAL_S
-        holds = self._limits.per_s(server_id) is not None
-        is_news = isinstance(change, RateLimitNamed | NoRateLimit)
+        holds = self._limits.limit_per_s(server_id) is not None
+        is_news = isinstance(change, RateLimitAdvertised | NoRateLimit)
         if is_news or (holds and now_s >= due_s):
             self._announce(server_id, now_s)
 
@@ -131,8 +131,8 @@
             self._channel.tell(self._notice(server_id, now_s))
 
     def _notice(self, server_id: str, now_s: float) -> RateLimitNotice:
-        per_s = self._limits.per_s(server_id)
-        age_ms = int(self._limits.word_age_s(server_id, now_s) * 1000)
+        per_s = self._limits.limit_per_s(server_id)
+        age_ms = int(self._limits.report_age_s(server_id, now_s) * 1000)
         return RateLimitNotice(server_id, per_s, age_ms)
 
     def record_notice(self, message: RateLimitNotice) -> None:
@@ -140,7 +140,7 @@
         now_s = _now_s()
         given_s = now_s - message.age_ms / 1000.0
         server_id = message.server_id
-        change = self._limits.announced(server_id, message.per_s, given_s)
+        change = self._limits.observe_peer(server_id, message.per_s, given_s)
         self._announced_s[server_id] = max(
             given_s, self._announced_s.get(server_id, given_s)
         )
@@ -150,7 +150,7 @@
         match change:
             case None:
                 return
-            case RateLimitNamed():
+            case RateLimitAdvertised():
                 state, cause = "named", "its answers name a limit"
             case NoRateLimit():
                 state, cause = "ended", "its answers name no limit any more"
@@ -162,7 +162,7 @@
             case UnreadableRateLimit(text=text):
                 state, cause = "unreadable", f"its answers name {text!r}"
                 logging.warning("%s names a limit that is no rate: %r", server_id, text)
-        per_s = self._limits.per_s(server_id)
+        per_s = self._limits.limit_per_s(server_id)
         event = RateLimitChanged(
             server_id,
             state,
@@ -178,18 +178,22 @@
 
     def _own_per_s(self, server_id: str) -> float:
         """Return how many permits a second this entry hands out for a server."""
-        per_s = self._limits.per_s(server_id)
+        per_s = self._limits.limit_per_s(server_id)
         if per_s is None:
             return 0.0
         fleet = self._fleet
-        holders = self._sharing.holders(server_id, per_s, fleet, _now_s())
-        return round(holders.per_s, 3) if fleet.own_name in holders.names else 0.0
+        holders = self._sharing.issuers(server_id, per_s, fleet, _now_s())
+        return (
+            round(holders.permits_per_s, 3) if fleet.own_name in holders.names else 0.0
+        )
 
     def upkeep(self, known_ids: set[str], now_s: float) -> None:
         """Let go of what is over."""
         if not self._limits:
             return
-        for server_id, change in self._limits.lapse(now_s, self.members).items():
+        for server_id, change in self._limits.lapse_unconfirmed(
+            now_s, self.members
+        ).items():
             self._note(server_id, change, _OWN_WORD)
         self._limits.forget(known_ids, now_s)
         self._sharing.forget(set(self._limits.in_force))
@@ -202,18 +206,18 @@
 
     def limited(self, server_ids: Iterable[str]) -> list[str]:
         """Return those servers whose limits are in force."""
-        return [s for s in server_ids if self._limits.per_s(s) is not None]
+        return [s for s in server_ids if self._limits.limit_per_s(s) is not None]
 
     def is_starting_slowly(self, server_id: str, now_s: float) -> bool:
         """Draw whether a server whose limit has just ended is left out once."""
         if not self._limits:
             return False
-        share = self._limits.share(server_id, now_s)
+        share = self._limits.traffic_share(server_id, now_s)
         return share < 1.0 and self._rng.random() >= share
 
     def wait_s(self, server_id: str) -> float:
         """Return when a permit for a server may be had, in seconds from now."""
-        per_s = self._limits.per_s(server_id)
+        per_s = self._limits.limit_per_s(server_id)
         if per_s is None:
             return 0.0
         return self._sharing.wait_s(server_id, per_s, self._fleet, _now_s())
@@ -222,7 +226,7 @@
         """Return why a request is refused that could only go to these servers."""
         self._metrics.count("rate_limits.refused")
         named = sorted(
-            f"{s} takes {self._limits.per_s(s):g} a second, permits here {own:g}"
+            f"{s} takes {self._limits.limit_per_s(s):g} a second, permits here {own:g}"
             for s, own in ((s, self._own_per_s(s)) for s in self.limited(server_ids))
         )
         return RateLimitedError(
@@ -254,18 +258,20 @@
     async def _acquire_one(self, server_id: str, max_wait_s: float) -> PermitOutcome:
         asked: set[str] = set()
         while True:
-            per_s = self._limits.per_s(server_id)
+            per_s = self._limits.limit_per_s(server_id)
             if per_s is None:
                 return PermitGranted()
             fleet = self._fleet
-            step = self._sharing.step(server_id, per_s, fleet, _now_s(), max_wait_s)
+            step = self._sharing.request_permit(
+                server_id, per_s, fleet, _now_s(), max_wait_s
+            )
             match step:
-                case AskHolder(name=name) if name not in asked:
+                case AskIssuer(name=name) if name not in asked:
                     asked.add(name)
                     outcome = await self._ask(server_id, name, max_wait_s)
                     if isinstance(outcome, PermitGranted):
                         return outcome
-                case AskHolder():
+                case AskIssuer():
                     wait_s = self._sharing.wait_s(server_id, per_s, fleet, _now_s())
                     return PermitDenied(wait_s)
                 case PermitGranted() | PermitDenied():
@@ -288,25 +294,25 @@
             outcome = await asyncio.wait_for(answer, _ANSWER_S)
         except TimeoutError:
             self._metrics.count("rate_limits.permits_unanswered")
-            self._sharing.unanswered(server_id, name, _now_s())
+            self._sharing.record_no_answer(server_id, name, _now_s())
             return None
         finally:
             del self._answers[question]
         if isinstance(outcome, PermitDenied):
-            self._sharing.denied(server_id, name, outcome.wait_s, _now_s())
+            self._sharing.record_denial(server_id, name, outcome.wait_s, _now_s())
         return outcome
 
     def permit_asked(self, message: PermitRequest) -> None:
         """Another entry asks this one for a permit."""
         self.record_notice(message.limit)
         server_id = message.limit.server_id
-        per_s = self._limits.per_s(server_id)
+        per_s = self._limits.limit_per_s(server_id)
         if self._channel is None:
             return
         outcome: PermitOutcome = PermitGranted()
         if per_s is not None:
             max_wait_s = message.max_wait_ms / 1000.0
-            outcome = self._sharing.asked(
+            outcome = self._sharing.answer_peer(
                 server_id, per_s, self._fleet, _now_s(), max_wait_s
             )
         granted = isinstance(outcome, PermitGranted)
--- a/src/railfold/_internal/platform/dialect.py
+++ b/src/railfold/_internal/platform/dialect.py
@@ -9,8 +9,8 @@
 from railfold._internal.decisions.load_shedding import RetryAfterHeader
 from railfold._internal.decisions.rate_limits.headers import (
     NoRateLimit,
+    RateLimitAdvertised,
     RateLimitHeader,
-    RateLimitNamed,
     UnreadableRateLimit,
 )
 from railfold._internal.errors import InvalidRequestError
@@ -198,7 +198,7 @@
             case []:
                 return NoRateLimit()
             case [text] if _RATE.fullmatch(text):
-                return RateLimitNamed(float(text))
+                return RateLimitAdvertised(float(text))
             case _:
                 return UnreadableRateLimit(", ".join(values)[:_TEXT_TOLD])
 
--- a/tests/forwarding/test_rate_limits.py
+++ b/tests/forwarding/test_rate_limits.py
@@ -28,7 +28,13 @@
     running,
     until,
 )
-from tests.lib.limits import OBJECTIVE_S, Load, allowed, knows_others, play
+from tests.lib.limits import (
+    OBJECTIVE_S,
+    ClientLoad,
+    allowed_requests,
+    knows_peers,
+    run_limit_scenario,
+)
 
 STREAM, SAFE = "/draft/1", "/tray/1"
 
@@ -41,12 +47,12 @@
 def limit_at(deployment: Deployment, number: int, server: Engine) -> float | None:
     """Return the limit of a server that an entry knows."""
     limits = deployment.entries[number].router.limits
-    return limits._limits.per_s(server.server_id)
+    return limits._limits.limit_per_s(server.server_id)
 
 
 async def cut_entries_from_each_other(deployment: Deployment) -> None:
     """Let no entry hear another one any more, once all know each other."""
-    await until(lambda: all(map(knows_others, deployment.entries)))
+    await until(lambda: all(map(knows_peers, deployment.entries)))
     for entry in deployment.entries:
         channel = entry._peering._channel
         assert channel is not None
@@ -57,25 +63,27 @@
 async def test_one_of_two_first_engines_names_a_limit(entries: int) -> None:
     async for deployment in running(Deployment(entry_count=entries)):
         server = deployment.first_engines[0]
-        load = Load(deployment, STREAM, PER_S)
-        outcome = await play(deployment, load, {server.server_id: "1.4"})
-        assert outcome.most(server) <= allowed(1.4)
-        since_s, until_s = outcome.named_s + 1.0, outcome.ended_s
-        assert outcome.per_s(server, since_s, until_s) >= USED_SHARE * 1.4
-        assert outcome.served_share(outcome.named_s, until_s) >= 0.95
+        load = ClientLoad(deployment, STREAM, PER_S)
+        outcome = await run_limit_scenario(deployment, load, {server.server_id: "1.4"})
+        assert outcome.max_in_window(server) <= allowed_requests(1.4)
+        since_s, until_s = outcome.limits_began_s + 1.0, outcome.limits_ended_s
+        assert outcome.received_per_s(server, since_s, until_s) >= USED_SHARE * 1.4
+        assert outcome.served_share(outcome.limits_began_s, until_s) >= 0.95
 
 
 async def test_both_first_engines_name_one() -> None:
     """What can't be served is refused at once, and told when to come back."""
     async for deployment in running(Deployment(entry_count=3)):
         servers = deployment.first_engines
-        load = Load(deployment, STREAM, PER_S)
-        outcome = await play(deployment, load, {s.server_id: "2.5" for s in servers})
-        since_s, until_s = outcome.named_s + 1.0, outcome.ended_s
+        load = ClientLoad(deployment, STREAM, PER_S)
+        outcome = await run_limit_scenario(
+            deployment, load, {s.server_id: "2.5" for s in servers}
+        )
+        since_s, until_s = outcome.limits_began_s + 1.0, outcome.limits_ended_s
         for server in servers:
-            assert outcome.most(server) <= allowed(2.5)
-            assert outcome.per_s(server, since_s, until_s) >= USED_SHARE * 2.5
-        sent = load.since(since_s, until_s)
+            assert outcome.max_in_window(server) <= allowed_requests(2.5)
+            assert outcome.received_per_s(server, since_s, until_s) >= USED_SHARE * 2.5
+        sent = load.sent_between(since_s, until_s)
         refused = [r for r in sent if r.refused]
         assert all(r.served or r.refused for r in sent)
         assert max(r.ended_s - r.sent_s for r in refused) <= 0.5 * OBJECTIVE_S
@@ -90,34 +98,45 @@
 async def test_one_of_two_plain_servers_names_one() -> None:
     async for deployment in running(Deployment(entry_count=3)):
         server = deployment.plain[0]
-        load = Load(deployment, SAFE, PER_S, rng=random.Random(2))
-        outcome = await play(deployment, load, {server.server_id: "1.4"})
-        assert outcome.most(server) <= allowed(1.4)
-        assert outcome.served_share(outcome.named_s, outcome.ended_s) >= 0.95
+        load = ClientLoad(deployment, SAFE, PER_S, rng=random.Random(2))
+        outcome = await run_limit_scenario(deployment, load, {server.server_id: "1.4"})
+        assert outcome.max_in_window(server) <= allowed_requests(1.4)
+        assert (
+            outcome.served_share(outcome.limits_began_s, outcome.limits_ended_s) >= 0.95
+        )
 
 
 async def test_entries_that_cant_tell_each_other_anything_keep_it_too() -> None:
     async for deployment in running(Deployment(entry_count=5)):
         server = deployment.first_engines[0]
-        load = Load(deployment, STREAM, PER_S)
+        load = ClientLoad(deployment, STREAM, PER_S)
         await cut_entries_from_each_other(deployment)
-        outcome = await play(deployment, load, {server.server_id: "1.4"})
-        assert outcome.most(server) <= allowed(1.4)
-        assert outcome.served_share(outcome.named_s, outcome.ended_s) >= 0.95
+        outcome = await run_limit_scenario(deployment, load, {server.server_id: "1.4"})
+        assert outcome.max_in_window(server) <= allowed_requests(1.4)
+        assert (
+            outcome.served_share(outcome.limits_began_s, outcome.limits_ended_s) >= 0.95
+        )
 
 
 async def test_after_its_end_the_server_is_back_within_six_seconds() -> None:
     async for deployment in running(Deployment(entry_count=3)):
         server = deployment.first_engines[0]
-        load = Load(deployment, STREAM, PER_S)
-        outcome = await play(
-            deployment, load, {server.server_id: "1.4"}, for_s=5.0, after_s=10.0
+        load = ClientLoad(deployment, STREAM, PER_S)
+        outcome = await run_limit_scenario(
+            deployment, load, {server.server_id: "1.4"}, duration_s=5.0, after_s=10.0
         )
-        usual = outcome.per_s(server, outcome.named_s - 2.0, outcome.named_s)
-        back_s = outcome.ended_s + 6.0
-        assert outcome.per_s(server, back_s, back_s + 4.0) >= 0.6 * usual
-        assert outcome.per_s(server, outcome.ended_s, outcome.ended_s + 1.0) < usual
-        assert outcome.served_share(outcome.named_s, back_s + 4.0) >= 0.95
+        usual = outcome.received_per_s(
+            server, outcome.limits_began_s - 2.0, outcome.limits_began_s
+        )
+        back_s = outcome.limits_ended_s + 6.0
+        assert outcome.received_per_s(server, back_s, back_s + 4.0) >= 0.6 * usual
+        assert (
+            outcome.received_per_s(
+                server, outcome.limits_ended_s, outcome.limits_ended_s + 1.0
+            )
+            < usual
+        )
+        assert outcome.served_share(outcome.limits_began_s, back_s + 4.0) >= 0.95
 
 
 async def test_an_entry_that_sends_nothing_hears_it_from_others(
@@ -125,9 +144,11 @@
 ) -> None:
     deployment = two_entries
     server = deployment.first_engines[0]
-    load = Load(deployment, STREAM, PER_S, shares=(1.0, 0.0))
+    load = ClientLoad(deployment, STREAM, PER_S, shares=(1.0, 0.0))
     playing = asyncio.create_task(
-        play(deployment, load, {server.server_id: "1.4"}, for_s=3.0, after_s=3.0)
+        run_limit_scenario(
+            deployment, load, {server.server_id: "1.4"}, duration_s=3.0, after_s=3.0
+        )
     )
     await until(lambda: limit_at(deployment, 1, server) == 1.4)
     await until(lambda: limit_at(deployment, 1, server) is None, 10.0)
--- a/tests/forwarding/test_server_backoff.py
+++ b/tests/forwarding/test_server_backoff.py
@@ -13,7 +13,11 @@
 from railfold._internal.forwarding.servers.engine_calls import stages_of
 from railfold._internal.forwarding.servers.http_client import HttpConnection, connect
 from standins.chaining_engine import LAYERS, Engine
-from tests.lib.backoffs import MAX_DURING, most_during_backoff, play_shedding
+from tests.lib.backoffs import (
+    MAX_REQUESTS_DURING_BACKOFF,
+    max_requests_during_backoff,
+    run_shedding_scenario,
+)
 from tests.lib.forwarding import (
     ZONES,
     Deployment,
@@ -22,7 +26,7 @@
     running,
     until,
 )
-from tests.lib.limits import OBJECTIVE_S, Load, all_known
+from tests.lib.limits import OBJECTIVE_S, ClientLoad, all_know_peers
 
 STREAM, SAFE, UNSAFE = "/draft/1", "/tray/1", "/slip/1"
 ROUTES = (STREAM, SAFE, UNSAFE)
@@ -38,11 +42,14 @@
     """One of two servers that requests of a route begin at sheds load."""
     async for deployment in running(Deployment(entry_count=entries)):
         server = first_servers(deployment, path)[0]
-        load = Load(deployment, path, PER_S, rng=random.Random(3))
-        outcome = await play_shedding(deployment, load, [server], "3")
+        load = ClientLoad(deployment, path, PER_S, rng=random.Random(3))
+        outcome = await run_shedding_scenario(deployment, load, [server], "3")
         assert server.shed
-        assert most_during_backoff(server) <= MAX_DURING
-        assert outcome.served_share(outcome.shed_s, outcome.ended_s) >= 0.95
+        assert max_requests_during_backoff(server) <= MAX_REQUESTS_DURING_BACKOFF
+        assert (
+            outcome.served_share(outcome.shedding_began_s, outcome.shedding_ended_s)
+            >= 0.95
+        )
 
 
 def first_servers(deployment: Deployment, path: str) -> list[Engine]:
@@ -56,18 +63,20 @@
 ) -> None:
     """Clients came back eight times, and each cost the servers a request."""
     servers = first_servers(deployment, path)
-    load = Load(deployment, path, PER_S, rng=random.Random(4))
-    outcome = await play_shedding(deployment, load, servers, "3", for_s=4.0)
+    load = ClientLoad(deployment, path, PER_S, rng=random.Random(4))
+    outcome = await run_shedding_scenario(
+        deployment, load, servers, "3", duration_s=4.0
+    )
     for server in servers:
-        assert most_during_backoff(server) <= MAX_DURING
-    known_s = outcome.shed_s + 0.5
-    refused = load.since(known_s, outcome.ended_s - 1.5)
+        assert max_requests_during_backoff(server) <= MAX_REQUESTS_DURING_BACKOFF
+    known_s = outcome.shedding_began_s + 0.5
+    refused = load.sent_between(known_s, outcome.shedding_ended_s - 1.5)
     replies = [r.reply for r in refused if r.reply is not None]
     assert all(r.refused for r in refused)
     assert max(r.ended_s - r.sent_s for r in refused) <= 0.5 * OBJECTIVE_S
     assert all(b"servers_backing_off" in reply.body for reply in replies)
     back_s = [r.ended_s + float(r.reply.headers["Retry-After"]) for r in refused]
-    assert min(back_s) >= outcome.shed_s + 3.0
+    assert min(back_s) >= outcome.shedding_began_s + 3.0
     assert max(back_s) - min(back_s) >= 0.5
     assert len(refused) > 20
     sends = sum(len(server.shed) for server in servers)
@@ -77,7 +86,7 @@
 async def test_a_client_is_sent_to_another_entry_that_may_send() -> None:
     async for deployment in running(Deployment(entry_count=3)):
         entries = deployment.entries
-        await until(functools.partial(all_known, entries))
+        await until(functools.partial(all_know_peers, entries))
         for server in deployment.plain:
             server.mode, server.retry_after, server.sheds_only = "shed", "5", "e0-"
         assert (await deployment.ask(SAFE, "e0-1")).status == 503
@@ -92,15 +101,15 @@
 async def test_after_its_end_a_server_is_back_within_a_second() -> None:
     async for deployment in running(Deployment(entry_count=1)):
         server = deployment.plain[0]
-        load = Load(deployment, SAFE, PER_S)
-        outcome = await play_shedding(
-            deployment, load, [server], "1.5", for_s=1.0, after_s=5.0
+        load = ClientLoad(deployment, SAFE, PER_S)
+        outcome = await run_shedding_scenario(
+            deployment, load, [server], "1.5", duration_s=1.0, after_s=5.0
         )
         end_s = server.shed[-1].at_s + 1.5
         again_s = [a.at_s for a in server.arrivals if a.at_s > end_s]
         assert again_s[0] <= end_s + 1.0
         back = [at_s for at_s in again_s if at_s >= end_s + 3.0]
-        usual = [a for a in server.arrivals if a.at_s < outcome.shed_s]
+        usual = [a for a in server.arrivals if a.at_s < outcome.shedding_began_s]
         assert len(back) >= 5
         assert len(usual) >= 5
         lines = [
@@ -129,7 +138,7 @@
     (driver,) = router.active
     chosen = driver._destination.server.host  # type: ignore[attr-defined]
     now_s = asyncio.get_running_loop().time()
-    router.backoffs.requested.requested(chosen, 3.0, now_s)
+    router.backoffs.requested.record_retry_after(chosen, 3.0, now_s)
     reply = await asking
     assert reply.status == 200
     (server,) = [s for s in deployment.plain if s.server_id == chosen]
--- a/tests/forwarding/test_server_leaving.py
+++ b/tests/forwarding/test_server_leaving.py
@@ -21,7 +21,7 @@
     take_off_the_list,
     until,
 )
-from tests.lib.limits import Load, all_known, entry_of
+from tests.lib.limits import ClientLoad, all_know_peers, entry_of
 
 STREAM, SAFE, UNSAFE = "/draft/1", "/tray/1", "/slip/1"
 ROUTES = (STREAM, SAFE, UNSAFE)
@@ -40,26 +40,26 @@
     async for deployment in running(Deployment(entry_count=3)):
         servers = deployment.first_engines if path == STREAM else deployment.plain
         server = servers[0]
-        load = Load(deployment, path, PER_S, rng=random.Random(5))
+        load = ClientLoad(deployment, path, PER_S, rng=random.Random(5))
         sending = asyncio.create_task(load.send(6.0))
         await asyncio.sleep(1.0)
         server.leaving = True
         leaving_s = asyncio.get_running_loop().time()
         await sending
-        await load.ended()
+        await load.wait_for_replies()
         assert sends_after_drain(load, server) == []
-        sent = load.since(leaving_s, leaving_s + 6.0)
+        sent = load.sent_between(leaving_s, leaving_s + 6.0)
         assert sum(1 for r in sent if r.served) >= 0.95 * len(sent)
 
 
-def sends_after_drain(load: Load, server: Engine) -> list[str]:
+def sends_after_drain(load: ClientLoad, server: Engine) -> list[str]:
     """Return the requests that reached a leaving server too late."""
     told_s: dict[int, float] = {}
     for request in load.sent:
         said = request.reply is not None and "Server-Leaving" in request.reply.headers
-        if said and request.first_s is not None:
+        if said and request.head_received_s is not None:
             before_s = told_s.get(request.entry, float("inf"))
-            told_s[request.entry] = min(before_s, request.first_s)
+            told_s[request.entry] = min(before_s, request.head_received_s)
     return [
         request.request_id
         for request in load.sent
@@ -123,7 +123,7 @@
     """Only answers to reports tell it, which one entry asks for."""
     deployment = two_entries
     entries = deployment.entries
-    await until(functools.partial(all_known, entries))
+    await until(functools.partial(all_know_peers, entries))
     first = deployment.first_engines[0]
     later = later_engine(deployment, first)
     later.leaving = True
--- a/tests/lib/backoffs.py
+++ b/tests/lib/backoffs.py
@@ -8,15 +8,15 @@
 
 from standins.chaining_engine import Engine
 from tests.lib.forwarding import Deployment
-from tests.lib.limits import Load, entry_of
+from tests.lib.limits import ClientLoad, entry_of
 
 # From so long after a refusal to the end of its Retry-After a server may get so many
 # requests from the entry that it refused.
-EXCUSED_S = 0.5
-MAX_DURING = 2
+GRACE_S = 0.5
+MAX_REQUESTS_DURING_BACKOFF = 2
 
 
-def most_during_backoff(
+def max_requests_during_backoff(
     server: Engine, entry_of: Callable[[str], object] = entry_of
 ) -> int:
     """Return the most requests from one entry within the backoff of one refusal.
@@ -24,60 +24,62 @@
     :param entry_of: returns the entry that a request was sent to; nothing if it doesn't
         count.
     """
-    most = 0
+    max_requests = 0
     arrived = [(entry_of(a.request_id), a.at_s) for a in server.arrivals]
     for refusal in server.shed:
         entry = entry_of(refusal.request_id)
         if entry is None:
             continue
-        first_s = refusal.at_s + EXCUSED_S
+        counted_from_s = refusal.at_s + GRACE_S
         end_s = refusal.at_s + float(refusal.retry_after)
         during = [
-            1 for other, at_s in arrived if other == entry and first_s <= at_s < end_s
+            1
+            for other, at_s in arrived
+            if other == entry and counted_from_s <= at_s < end_s
         ]
-        most = max(most, len(during))
-    return most
+        max_requests = max(max_requests, len(during))
+    return max_requests
 
 
 @dataclass(repr=False)
-class SheddingPlay:
+class SheddingScenarioResult:
     """What came of a load beside servers that shed.
 
-    :param shed_s: when they began to shed.
-    :param ended_s: when they ended it.
+    :param shedding_began_s: when they began to shed.
+    :param shedding_ended_s: when they ended it.
     """
 
-    load: Load
-    shed_s: float
-    ended_s: float
+    load: ClientLoad
+    shedding_began_s: float
+    shedding_ended_s: float
 
     def served_share(self, from_s: float, to_s: float) -> float:
         """Return which share of requests was answered in time between two times."""
-        sent = self.load.since(from_s, to_s)
+        sent = self.load.sent_between(from_s, to_s)
         return sum(1 for r in sent if r.served) / max(1, len(sent))
 
 
-async def play_shedding(
+async def run_shedding_scenario(
     deployment: Deployment,
-    load: Load,
+    load: ClientLoad,
     servers: Sequence[Engine],
     retry_after: str,
     *,
     before_s: float = 1.0,
-    for_s: float = 6.0,
+    duration_s: float = 6.0,
     after_s: float = 0.0,
-) -> SheddingPlay:
+) -> SheddingScenarioResult:
     """Send a load while servers refuse everything with Retry-After for some time."""
     loop = asyncio.get_running_loop()
-    sending = loop.create_task(load.send(before_s + for_s + after_s))
+    sending = loop.create_task(load.send(before_s + duration_s + after_s))
     await asyncio.sleep(before_s)
-    shed_s = loop.time()
+    shedding_began_s = loop.time()
     for server in servers:
         server.mode, server.retry_after = "shed", retry_after
-    await asyncio.sleep(for_s)
-    ended_s = loop.time()
+    await asyncio.sleep(duration_s)
+    shedding_ended_s = loop.time()
     for server in servers:
         server.mode, server.retry_after = "ok", None
     await sending
-    await load.ended()
-    return SheddingPlay(load, shed_s, ended_s)
+    await load.wait_for_replies()
+    return SheddingScenarioResult(load, shedding_began_s, shedding_ended_s)
--- a/tests/lib/room_draws.py
+++ b/tests/lib/room_draws.py
@@ -22,9 +22,12 @@
     WaitingRequests,
     room_wait_limit_s,
 )
+from railfold._internal.decisions.client_retry_after import (
+    RoomShort,
+    client_retry_after_s,
+)
 from railfold._internal.decisions.fleet_demand import DemandKey, FleetDemand
 from railfold._internal.decisions.fleet_load import FleetLoad, LoadPart
-from railfold._internal.decisions.return_time import RoomShort, return_after_s
 
 SERVICE = "llm"
 CHAINS = 3
@@ -377,7 +380,7 @@
         share = entry.shares.served.share(SERVICE, now_s, self._key(ask).priority)
         left_s = ask.first_s + DEADLINE_S - now_s
         cause = RoomShort(share, left_s)
-        back_s = return_after_s(cause, self.rng.random())
+        back_s = client_retry_after_s(cause, self.rng.random())
         self.at(now_s + back_s, lambda at_s: self._arrive(ask, at_s))
 
 
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -231,10 +231,10 @@
 
 def test_services_have_budgets_of_their_own() -> None:
     budgets = RetryBudgets(RetryLimits(slack=1.0))
-    assert [budgets.of("a").spend(0.0) for _ in range(2)] == [True, False]
-    assert budgets.of("b").spend(0.0)
+    assert [budgets.for_service("a").spend(0.0) for _ in range(2)] == [True, False]
+    assert budgets.for_service("b").spend(0.0)
     budgets.set_limits(RetryLimits(slack=2.0))
-    assert budgets.of("a").spend(0.0)
+    assert budgets.for_service("a").spend(0.0)
 
 
 def test_refused_callers_come_back_later_under_load() -> None:
--- a/tests/unit/test_advertised_limits.py
+++ b/tests/unit/test_advertised_limits.py
@@ -8,7 +8,7 @@
     AdvertisedLimits,
     LimitLapsed,
     NoRateLimit,
-    RateLimitNamed,
+    RateLimitAdvertised,
     UnreadableRateLimit,
 )
 
@@ -19,119 +19,123 @@
 def limits() -> AdvertisedLimits:
     """A server has named a limit of 2 a second at 10 s."""
     limits = AdvertisedLimits()
-    assert limits.observe(SERVER, RateLimitNamed(2.0), 9.8, 10.0) == RateLimitNamed(2.0)
+    assert limits.observe(
+        SERVER, RateLimitAdvertised(2.0), 9.8, 10.0
+    ) == RateLimitAdvertised(2.0)
     return limits
 
 
-def test_the_first_answer_that_names_one_counts(limits: AdvertisedLimits) -> None:
-    assert limits.per_s(SERVER) == 2.0
+def test_first_advertised_limit_is_in_force(limits: AdvertisedLimits) -> None:
+    assert limits.limit_per_s(SERVER) == 2.0
     assert limits.in_force == [SERVER]
 
 
-def test_it_falls_and_rises_with_the_newest_word(limits: AdvertisedLimits) -> None:
-    assert limits.observe(SERVER, RateLimitNamed(0.0), 10.1, 10.2) == RateLimitNamed(
-        0.0
-    )
-    assert limits.observe(SERVER, RateLimitNamed(0.0), 10.2, 10.3) is None
-    assert limits.observe(SERVER, RateLimitNamed(5.0), 10.3, 10.4) == RateLimitNamed(
-        5.0
-    )
-    assert limits.per_s(SERVER) == 5.0
+def test_limit_follows_the_latest_answer(limits: AdvertisedLimits) -> None:
+    assert limits.observe(
+        SERVER, RateLimitAdvertised(0.0), 10.1, 10.2
+    ) == RateLimitAdvertised(0.0)
+    assert limits.observe(SERVER, RateLimitAdvertised(0.0), 10.2, 10.3) is None
+    assert limits.observe(
+        SERVER, RateLimitAdvertised(5.0), 10.3, 10.4
+    ) == RateLimitAdvertised(5.0)
+    assert limits.limit_per_s(SERVER) == 5.0
 
 
-def test_an_answer_that_names_none_ends_it(limits: AdvertisedLimits) -> None:
+def test_answer_without_a_limit_ends_the_limit(limits: AdvertisedLimits) -> None:
     assert limits.observe(SERVER, NoRateLimit(), 10.1, 10.2) == NoRateLimit()
-    assert limits.per_s(SERVER) is None
+    assert limits.limit_per_s(SERVER) is None
 
 
-def test_a_long_answer_that_was_asked_for_before_doesnt_end_it(
+def test_answer_to_an_earlier_request_does_not_end_the_limit(
     limits: AdvertisedLimits,
 ) -> None:
     assert limits.observe(SERVER, NoRateLimit(), 9.9, 12.0) is None
-    assert limits.per_s(SERVER) == 2.0
+    assert limits.limit_per_s(SERVER) == 2.0
 
 
-def test_nor_does_one_asked_for_before_its_end_name_it_anew(
+def test_answer_to_an_earlier_request_does_not_restore_an_ended_limit(
     limits: AdvertisedLimits,
 ) -> None:
     limits.observe(SERVER, NoRateLimit(), 10.1, 10.2)
-    assert limits.observe(SERVER, RateLimitNamed(2.0), 10.15, 12.0) is None
-    assert limits.observe(SERVER, RateLimitNamed(2.0), 10.3, 12.0) == RateLimitNamed(
-        2.0
-    )
+    assert limits.observe(SERVER, RateLimitAdvertised(2.0), 10.15, 12.0) is None
+    assert limits.observe(
+        SERVER, RateLimitAdvertised(2.0), 10.3, 12.0
+    ) == RateLimitAdvertised(2.0)
 
 
-def test_what_is_no_rate_changes_nothing_and_is_told_once(
+def test_unreadable_limit_changes_nothing_and_is_reported_once(
     limits: AdvertisedLimits,
 ) -> None:
-    word = UnreadableRateLimit("nan")
-    assert limits.observe(SERVER, word, 10.1, 10.2) == UnreadableRateLimit("nan")
-    assert limits.observe(SERVER, word, 10.2, 10.3) is None
-    assert limits.per_s(SERVER) == 2.0
-    assert limits.observe("i-2", word, 10.2, 10.3) == UnreadableRateLimit("nan")
-    assert limits.per_s("i-2") is None
+    header = UnreadableRateLimit("nan")
+    assert limits.observe(SERVER, header, 10.1, 10.2) == UnreadableRateLimit("nan")
+    assert limits.observe(SERVER, header, 10.2, 10.3) is None
+    assert limits.limit_per_s(SERVER) == 2.0
+    assert limits.observe("i-2", header, 10.2, 10.3) == UnreadableRateLimit("nan")
+    assert limits.limit_per_s("i-2") is None
 
 
-def test_another_incarnation_has_none(limits: AdvertisedLimits) -> None:
-    assert limits.per_s("i-1@6") is None
+def test_limit_does_not_apply_to_another_incarnation(limits: AdvertisedLimits) -> None:
+    assert limits.limit_per_s("i-1@6") is None
     limits.forget({"i-1@6"}, 11.0)
     assert not limits
 
 
-def test_of_others_words_and_own_ones_the_newest_counts(
+def test_newest_report_of_any_entry_applies(
     limits: AdvertisedLimits,
 ) -> None:
-    assert limits.announced(SERVER, None, 9.9) is None
-    assert limits.announced(SERVER, 3.0, 10.5) == RateLimitNamed(3.0)
-    assert limits.announced(SERVER, None, 11.0) == NoRateLimit()
-    assert limits.announced("i-9", None, 11.0) is None
+    assert limits.observe_peer(SERVER, None, 9.9) is None
+    assert limits.observe_peer(SERVER, 3.0, 10.5) == RateLimitAdvertised(3.0)
+    assert limits.observe_peer(SERVER, None, 11.0) == NoRateLimit()
+    assert limits.observe_peer("i-9", None, 11.0) is None
 
 
-def test_a_server_gets_its_usual_share_back_step_by_step(
+def test_traffic_share_grows_gradually_after_a_limit_ends(
     limits: AdvertisedLimits,
 ) -> None:
     limits.observe(SERVER, NoRateLimit(), 20.0, 20.1)
-    shares = [limits.share(SERVER, 20.1 + at_s) for at_s in (0.0, 1.0, 2.0, 6.0)]
+    shares = [
+        limits.traffic_share(SERVER, 20.1 + at_s) for at_s in (0.0, 1.0, 2.0, 6.0)
+    ]
     assert shares == sorted(shares)
     assert shares[0] == 0.0
     assert 0.1 < shares[1] < 0.5
     assert shares[-1] == 1.0
 
 
-def test_what_nobody_confirms_lapses(limits: AdvertisedLimits) -> None:
-    assert limits.lapse(13.0, 1) == {}
-    (lapsed,) = limits.lapse(15.0, 1).values()
+def test_unconfirmed_limit_lapses(limits: AdvertisedLimits) -> None:
+    assert limits.lapse_unconfirmed(13.0, 1) == {}
+    (lapsed,) = limits.lapse_unconfirmed(15.0, 1).values()
     assert isinstance(lapsed, LimitLapsed)
-    assert limits.per_s(SERVER) is None
+    assert limits.limit_per_s(SERVER) is None
 
 
-def test_where_many_could_try_it_lapses_later(limits: AdvertisedLimits) -> None:
+def test_limit_lapses_later_with_more_entries(limits: AdvertisedLimits) -> None:
     """Each of 21 entries that are cut off from each other tries once in 10 s."""
-    assert limits.lapse(15.0, 21) == {}
-    assert limits.lapse(21.0, 21) != {}
-    limits.observe(SERVER, RateLimitNamed(2.0), 30.0, 30.0)
-    assert limits.lapse(59.0, 380) == {}
-    assert limits.lapse(61.0, 380) != {}
+    assert limits.lapse_unconfirmed(15.0, 21) == {}
+    assert limits.lapse_unconfirmed(21.0, 21) != {}
+    limits.observe(SERVER, RateLimitAdvertised(2.0), 30.0, 30.0)
+    assert limits.lapse_unconfirmed(59.0, 380) == {}
+    assert limits.lapse_unconfirmed(61.0, 380) != {}
 
 
-def test_another_entry_that_still_holds_it_names_a_lapsed_one_anew(
+def test_peer_report_restores_a_lapsed_limit(
     limits: AdvertisedLimits,
 ) -> None:
     """Else the one where it lapsed would hand out permits without a bound."""
-    limits.lapse(15.0, 1)
-    assert limits.announced(SERVER, 2.0, 10.0) == RateLimitNamed(2.0)
+    limits.lapse_unconfirmed(15.0, 1)
+    assert limits.observe_peer(SERVER, 2.0, 10.0) == RateLimitAdvertised(2.0)
 
 
-def test_what_is_no_rate_is_told_once_for_as_long_as_its_server_lives() -> None:
+def test_unreadable_limit_is_reported_once_per_incarnation() -> None:
     limits = AdvertisedLimits()
-    word = UnreadableRateLimit("nan")
-    assert limits.observe(SERVER, word, 10.1, 10.2) is not None
+    header = UnreadableRateLimit("nan")
+    assert limits.observe(SERVER, header, 10.1, 10.2) is not None
     limits.forget({SERVER}, 50.0)
-    assert limits.observe(SERVER, word, 50.1, 50.2) is None
-    assert limits.share(SERVER, 50.2) == 1.0
+    assert limits.observe(SERVER, header, 50.1, 50.2) is None
+    assert limits.traffic_share(SERVER, 50.2) == 1.0
 
 
-def test_limits_that_ended_long_ago_are_forgotten(limits: AdvertisedLimits) -> None:
+def test_ended_limits_are_forgotten_after_a_while(limits: AdvertisedLimits) -> None:
     limits.observe(SERVER, NoRateLimit(), 20.0, 20.1)
     limits.forget({SERVER}, 21.0)
     assert limits
@@ -139,8 +143,8 @@
     assert not limits
 
 
-def test_a_wrong_word_of_another_entry_ends_with_the_servers_own_next_one() -> None:
+def test_servers_own_answer_overrides_a_wrong_peer_report() -> None:
     limits = AdvertisedLimits()
-    assert limits.announced("i-2", 0.0, 10.0) == RateLimitNamed(0.0)
+    assert limits.observe_peer("i-2", 0.0, 10.0) == RateLimitAdvertised(0.0)
     assert limits.observe("i-2", NoRateLimit(), 11.0, 11.1) == NoRateLimit()
-    assert limits.announced("i-2", 0.0, 10.5) is None
+    assert limits.observe_peer("i-2", 0.0, 10.5) is None
--- a/tests/unit/test_avoidance.py
+++ b/tests/unit/test_avoidance.py
@@ -5,21 +5,21 @@
 from railfold._internal.decisions.avoidance import Avoidance
 
 
-def test_a_refusal_counts_for_a_moment() -> None:
+def test_server_is_avoided_briefly_after_a_refusal() -> None:
     avoidance = Avoidance()
-    avoidance.refused("i-1", 10.0)
-    assert avoidance.avoided("i-1", 10.2)
-    assert not avoidance.avoided("i-1", 10.3)
-    assert not avoidance.avoided("i-2", 10.0)
+    avoidance.record_refusal("i-1", 10.0)
+    assert avoidance.is_avoided("i-1", 10.2)
+    assert not avoidance.is_avoided("i-1", 10.3)
+    assert not avoidance.is_avoided("i-2", 10.0)
 
 
-def test_it_is_avoided_for_longer_each_time_and_bounded() -> None:
+def test_repeated_refusals_extend_the_avoidance_up_to_a_bound() -> None:
     avoidance = Avoidance()
     now_s, lengths = 10.0, []
     for _ in range(6):
-        avoidance.refused("i-1", now_s)
+        avoidance.record_refusal("i-1", now_s)
         end_s = now_s
-        while avoidance.avoided("i-1", end_s):
+        while avoidance.is_avoided("i-1", end_s):
             end_s += 0.05
         lengths.append(round(end_s - now_s, 1))
         now_s = end_s
@@ -28,48 +28,48 @@
     assert lengths[-1] <= 2.1
 
 
-def test_refusals_of_many_requests_at_once_count_once() -> None:
+def test_simultaneous_refusals_count_once() -> None:
     avoidance = Avoidance()
     for _ in range(20):
-        avoidance.refused("i-1", 10.0)
-    assert not avoidance.avoided("i-1", 10.3)
+        avoidance.record_refusal("i-1", 10.0)
+    assert not avoidance.is_avoided("i-1", 10.3)
 
 
 def test_old_refusals_are_forgotten() -> None:
     avoidance = Avoidance()
     for at_s in (10.0, 11.0, 13.0):
-        avoidance.refused("i-1", at_s)
-    avoidance.refused("i-1", 30.0)
-    assert not avoidance.avoided("i-1", 30.3)
+        avoidance.record_refusal("i-1", at_s)
+    avoidance.record_refusal("i-1", 30.0)
+    assert not avoidance.is_avoided("i-1", 30.3)
     avoidance.forget({"i-2"})
-    assert not avoidance.avoided("i-1", 30.1)
+    assert not avoidance.is_avoided("i-1", 30.1)
 
 
-def test_a_full_server_goes_on_with_as_much_as_it_held() -> None:
+def test_full_server_keeps_the_load_that_it_had_when_it_refused() -> None:
     avoidance = Avoidance()
-    avoidance.refused("i-1", 10.0, load=5000, request=1000)
-    assert avoidance.avoided("i-1", 10.01, load=5000)
-    assert not avoidance.avoided("i-1", 10.01, load=4000), "one has ended there"
+    avoidance.record_refusal("i-1", 10.0, load=5000, request_load=1000)
+    assert avoidance.is_avoided("i-1", 10.01, load=5000)
+    assert not avoidance.is_avoided("i-1", 10.01, load=4000), "one has ended there"
 
 
-def test_it_may_hold_one_more_after_each_interval() -> None:
+def test_allowed_load_grows_by_one_request_per_interval() -> None:
     avoidance = Avoidance()
-    avoidance.refused("i-1", 10.0, load=5000, request=1000)
-    assert not avoidance.avoided("i-1", 10.3, load=5000)
-    assert avoidance.avoided("i-1", 10.3, load=6000)
-    assert not avoidance.avoided("i-1", 10.6, load=6000)
+    avoidance.record_refusal("i-1", 10.0, load=5000, request_load=1000)
+    assert not avoidance.is_avoided("i-1", 10.3, load=5000)
+    assert avoidance.is_avoided("i-1", 10.3, load=6000)
+    assert not avoidance.is_avoided("i-1", 10.6, load=6000)
 
 
-def test_refusals_at_less_load_allow_less() -> None:
+def test_refusal_at_lower_load_lowers_the_allowed_load() -> None:
     avoidance = Avoidance()
-    avoidance.refused("i-1", 10.0, load=5000, request=1000)
-    avoidance.refused("i-1", 10.1, load=2000, request=1000)
-    assert avoidance.avoided("i-1", 10.12, load=3000)
-    assert not avoidance.avoided("i-1", 10.12, load=1000)
+    avoidance.record_refusal("i-1", 10.0, load=5000, request_load=1000)
+    avoidance.record_refusal("i-1", 10.1, load=2000, request_load=1000)
+    assert avoidance.is_avoided("i-1", 10.12, load=3000)
+    assert not avoidance.is_avoided("i-1", 10.12, load=1000)
 
 
-def test_one_that_is_shut_gets_nothing_whatever_it_holds() -> None:
+def test_excluded_server_gets_nothing_at_any_load() -> None:
     avoidance = Avoidance()
     avoidance.avoid("i-1", 10.3)
-    assert avoidance.avoided("i-1", 10.1, load=0)
-    assert not avoidance.avoided("i-1", 10.4, load=0)
+    assert avoidance.is_avoided("i-1", 10.1, load=0)
+    assert not avoidance.is_avoided("i-1", 10.4, load=0)
--- a/tests/unit/test_eligibility.py
+++ b/tests/unit/test_eligibility.py
@@ -8,6 +8,7 @@
 
 from railfold._internal.decisions.avoidance import Avoidance
 from railfold._internal.decisions.eligibility import (
+    EligibilityTerms,
     Full,
     NotServing,
     Paused,
@@ -15,7 +16,6 @@
     Role,
     ServerEligibility,
     SlowStart,
-    Terms,
 )
 from railfold._internal.decisions.engine_directory import EngineDirectory, Registration
 from railfold._internal.decisions.fleet_load import FleetLoad
@@ -24,7 +24,7 @@
 REGISTRATION = Registration("i-1", "drafts", "127.0.0.1:1", "hall-a", 8, False)
 
 
-class Setting:
+class EligibilitySetup:
     """A server and all that may bar it."""
 
     def __init__(self) -> None:
@@ -34,83 +34,92 @@
         self.backoffs = RequestedBackoffs()
         self.fleet_load = FleetLoad(2.0)
         self.permit_wait_s = 0.0
-        self.slow_start = False
+        self.skips_slow_start = False
         self.eligibility = ServerEligibility(
             self.directory,
             self.avoidance,
             self.backoffs,
             self.fleet_load,
             lambda server_id: self.permit_wait_s,
-            lambda server_id, now_s: self.slow_start,
+            lambda server_id, now_s: self.skips_slow_start,
         )
 
-    def bar(self, role: Role, terms: Terms | None = None) -> object:
-        terms = terms or Terms()
+    def reason_for(self, role: Role, terms: EligibilityTerms | None = None) -> object:
+        terms = terms or EligibilityTerms()
         if self.eligibility.allows("i-1", role, 10.0, terms):
             return None
-        return terms.bars["i-1"]
+        return terms.reasons["i-1"]
 
 
 @pytest.fixture
-def setting() -> Setting:
-    return Setting()
+def server_setup() -> EligibilitySetup:
+    return EligibilitySetup()
 
 
 @pytest.mark.parametrize("role", Role)
-def test_one_of_which_nothing_is_known_may_serve(setting: Setting, role: Role) -> None:
-    assert setting.bar(role) is None
+def test_server_is_eligible_by_default(
+    server_setup: EligibilitySetup, role: Role
+) -> None:
+    assert server_setup.reason_for(role) is None
 
 
-def test_a_backoff_bars_direct_sends_only(setting: Setting) -> None:
-    setting.backoffs.requested("i-1", 3.0, 9.0)
-    assert setting.bar(Role.REPLICA) == BackingOff(12.0)
-    assert setting.bar(Role.FIRST_STAGE) == BackingOff(12.0)
-    assert setting.bar(Role.LATER_STAGE) is None
+def test_backoff_excludes_direct_sends_only(server_setup: EligibilitySetup) -> None:
+    server_setup.backoffs.record_retry_after("i-1", 3.0, 9.0)
+    assert server_setup.reason_for(Role.REPLICA) == BackingOff(12.0)
+    assert server_setup.reason_for(Role.FIRST_STAGE) == BackingOff(12.0)
+    assert server_setup.reason_for(Role.LATER_STAGE) is None
 
 
 @pytest.mark.parametrize("role", Role)
-def test_a_permit_that_is_due_later_than_a_request_waits_bars(
-    setting: Setting, role: Role
+def test_server_is_ineligible_if_its_next_permit_comes_too_late(
+    server_setup: EligibilitySetup, role: Role
 ) -> None:
-    setting.permit_wait_s = 0.2
-    assert setting.bar(role) == RateLimited(10.2)
-    assert setting.bar(role, Terms(max_wait_s=0.3)) is None
-    assert setting.bar(role, Terms(ignores_ends=True)) is None
+    server_setup.permit_wait_s = 0.2
+    assert server_setup.reason_for(role) == RateLimited(10.2)
+    assert server_setup.reason_for(role, EligibilityTerms(max_wait_s=0.3)) is None
+    assert (
+        server_setup.reason_for(role, EligibilityTerms(ignores_temporary=True)) is None
+    )
 
 
-def test_slow_start_leaves_a_server_to_those_who_find_no_other(
-    setting: Setting,
+def test_server_in_slow_start_serves_if_no_other_can(
+    server_setup: EligibilitySetup,
 ) -> None:
-    setting.slow_start = True
-    assert setting.bar(Role.REPLICA) == SlowStart()
-    assert setting.bar(Role.REPLICA, Terms(relaxed=True)) is None
+    server_setup.skips_slow_start = True
+    assert server_setup.reason_for(Role.REPLICA) == SlowStart()
+    assert server_setup.reason_for(Role.REPLICA, EligibilityTerms(relaxed=True)) is None
 
 
-def test_an_engine_that_refused_is_paused_as_a_stage(setting: Setting) -> None:
-    setting.avoidance.refused("i-1", 10.0)
-    assert setting.bar(Role.FIRST_STAGE) == Paused()
-    assert setting.bar(Role.LATER_STAGE) == Paused()
+def test_engine_that_refused_is_paused_as_a_stage(
+    server_setup: EligibilitySetup,
+) -> None:
+    server_setup.avoidance.record_refusal("i-1", 10.0)
+    assert server_setup.reason_for(Role.FIRST_STAGE) == Paused()
+    assert server_setup.reason_for(Role.LATER_STAGE) == Paused()
 
 
-def test_right_before_a_send_leaving_suspect_and_backing_off_count(
-    setting: Setting,
+def test_check_before_a_send_rejects_servers_that_became_ineligible(
+    server_setup: EligibilitySetup,
 ) -> None:
-    assert setting.eligibility.bar_of_send("i-1", 10.0) is None
-    setting.backoffs.requested("i-1", 3.0, 9.0)
-    assert setting.eligibility.bar_of_send("i-1", 10.0) == BackingOff(12.0)
-    assert setting.eligibility.bar_of_send("i-1", 12.0) is None
-    setting.directory.suspect("i-1", 12.0)
-    assert setting.eligibility.bar_of_send("i-1", 12.0) == NotServing()
-    setting.directory.cleared("i-1")
-    setting.directory.register(replace(REGISTRATION, draining=True))
-    assert setting.eligibility.bar_of_send("i-1", 12.0) == NotServing()
-    assert setting.eligibility.bar_of_send("i-2", 12.0) == NotServing()
-
-
-def test_a_full_stage_is_asked_only_if_no_other_can_serve(setting: Setting) -> None:
-    setting.fleet_load.rejected("i-1", until_s=10.5)
-    assert setting.bar(Role.FIRST_STAGE) == Full()
-    assert setting.bar(Role.LATER_STAGE) == Full()
-    assert setting.bar(Role.FIRST_STAGE, Terms(relaxed=True)) is None
-    setting.fleet_load.room_freed("i-1")
-    assert setting.bar(Role.FIRST_STAGE) is None
+    assert server_setup.eligibility.reason_against_send("i-1", 10.0) is None
+    server_setup.backoffs.record_retry_after("i-1", 3.0, 9.0)
+    assert server_setup.eligibility.reason_against_send("i-1", 10.0) == BackingOff(12.0)
+    assert server_setup.eligibility.reason_against_send("i-1", 12.0) is None
+    server_setup.directory.suspect("i-1", 12.0)
+    assert server_setup.eligibility.reason_against_send("i-1", 12.0) == NotServing()
+    server_setup.directory.cleared("i-1")
+    server_setup.directory.register(replace(REGISTRATION, draining=True))
+    assert server_setup.eligibility.reason_against_send("i-1", 12.0) == NotServing()
+    assert server_setup.eligibility.reason_against_send("i-2", 12.0) == NotServing()
+
+
+def test_full_stage_serves_only_if_no_other_can(server_setup: EligibilitySetup) -> None:
+    server_setup.fleet_load.rejected("i-1", until_s=10.5)
+    assert server_setup.reason_for(Role.FIRST_STAGE) == Full()
+    assert server_setup.reason_for(Role.LATER_STAGE) == Full()
+    assert (
+        server_setup.reason_for(Role.FIRST_STAGE, EligibilityTerms(relaxed=True))
+        is None
+    )
+    server_setup.fleet_load.room_freed("i-1")
+    assert server_setup.reason_for(Role.FIRST_STAGE) is None
--- a/tests/unit/test_retry_after_header.py
+++ b/tests/unit/test_retry_after_header.py
@@ -16,7 +16,7 @@
 from railfold._internal.platform.dialect import PlatformDialect
 
 
-def head(*values: str, date: str = "") -> ResponseHead:
+def response_head(*values: str, date: str = "") -> ResponseHead:
     headers = [("retry-after", value) for value in values]
     if date:
         headers.append(("Date", date))
@@ -35,37 +35,37 @@
         (["2", "soon"], 2.0),
     ],
 )
-def test_seconds_with_fractions_are_read(values: list[str], delay_s: float) -> None:
-    assert PlatformDialect().retry_after(head(*values)) == RetryAfter(delay_s)
+def test_fractional_seconds_are_read(values: list[str], delay_s: float) -> None:
+    assert PlatformDialect().retry_after(response_head(*values)) == RetryAfter(delay_s)
 
 
 @pytest.mark.parametrize(
     "text", ["", "-1", "+1", "nan", "inf", "1e3", "1_0", "soon", "1" * 13, "\u0663"]
 )
-def test_malformed_values_are_no_delay(text: str) -> None:
-    found = PlatformDialect().retry_after(head(text))
-    assert isinstance(found, UnreadableRetryAfter)
+def test_malformed_value_is_unreadable(text: str) -> None:
+    header = PlatformDialect().retry_after(response_head(text))
+    assert isinstance(header, UnreadableRetryAfter)
 
 
-def test_an_answer_without_the_header_asks_for_nothing() -> None:
-    assert PlatformDialect().retry_after(head()) == NoRetryAfter()
+def test_missing_header_requests_no_backoff() -> None:
+    assert PlatformDialect().retry_after(response_head()) == NoRetryAfter()
 
 
-def test_a_date_is_read_by_the_clock_of_the_server_that_sent_it() -> None:
+def test_date_is_relative_to_the_servers_clock() -> None:
     """Hosts' clocks differ, and jump."""
     answered = formatdate(1_000_000_000, usegmt=True)
     until = formatdate(1_000_000_004, usegmt=True)
-    found = PlatformDialect().retry_after(head(until, date=answered))
-    assert found == RetryAfter(4.0)
+    header = PlatformDialect().retry_after(response_head(until, date=answered))
+    assert header == RetryAfter(4.0)
 
 
-def test_a_date_in_the_past_asks_for_nothing() -> None:
+def test_past_date_requests_no_delay() -> None:
     until = formatdate(1_000_000_000, usegmt=True)
-    assert PlatformDialect().retry_after(head(until)) == RetryAfter(0.0)
+    assert PlatformDialect().retry_after(response_head(until)) == RetryAfter(0.0)
 
 
-def test_a_date_without_one_of_the_answer_is_read_by_the_own_clock() -> None:
+def test_date_is_relative_to_the_local_clock_without_a_date_header() -> None:
     until = formatdate(clock.unix_time_s() + 10.0, usegmt=True)
-    found = PlatformDialect().retry_after(head(until))
-    assert isinstance(found, RetryAfter)
-    assert 8.0 < found.delay_s <= 10.0
+    header = PlatformDialect().retry_after(response_head(until))
+    assert isinstance(header, RetryAfter)
+    assert 8.0 < header.delay_s <= 10.0
