--- a/src/railfold/_internal/decisions/avoidance.py
+++ b/src/railfold/_internal/decisions/avoidance.py
@@ -1,10 +1,10 @@
-"""Limiting what is sent to backend servers that refuse work.
+"""Load limits for backend servers that refuse requests.
 
-One that is full, is leaving or gave layers up refuses what it is sent, and says that
-it wasn't run. Each such refusal costs a retry. A full one goes on serving what it has,
-so that a refusal doesn't close it: from then on it holds no more than it held when it
-refused. A new request goes there when another one has ended, or when some time has
-passed; more time each time it refuses again.
+A server that is full, is leaving or no longer has the requested layers refuses a
+request and states that the request wasn't run. Each refusal costs a retry. A full
+server continues to serve its other requests, so a refusal doesn't exclude the server.
+Instead the server gets no more load than it had when it refused. It gets a new request
+after another one has ended, or after an interval that grows with each further refusal.
 """
 
 from __future__ import annotations
@@ -13,24 +13,26 @@
 
 __all__ = ["Avoidance"]
 
-# The time after which a server that refused is tried with one request more: first,
-# and at most. Engines' memory is freed by a request every few tens of milliseconds,
-# one that is leaving doesn't come back for seconds.
+# First and longest interval after which a server that refused may get one more request.
+# A busy engine finishes a request, and frees its memory, every few tens of
+# milliseconds. A server that is leaving doesn't return for seconds.
 _FIRST_INTERVAL_S = 0.25
 _MAX_INTERVAL_S = 2.0
 
-# Refusals further apart are unrelated: the next one counts as the first.
+# Refusals further apart than this are unrelated: the later one counts as the first.
 _RESET_AFTER_S = 5.0
 
 
 @dataclass(slots=True)
 class _Refusals:
-    """Refusals of one server, and what they allow.
+    """Refusals of one server, and the load that it may have after them.
 
-    :param load: what it held when it refused last.
+    :param count: number of refusals in a row.
+    :param last_refusal_s: when the last of them was counted.
+    :param load: the server's load when it refused.
     :param request_load: the load of the request that it refused.
-    :param interval_s: time after which it may hold one such request more.
-    :param avoided_until_s: until when it gets nothing, whatever it holds.
+    :param interval_s: time after which it may have the load of one more such request.
+    :param avoided_until_s: until when the server gets no requests at any load.
     """
 
     count: int = 0
@@ -41,7 +43,7 @@
     avoided_until_s: float = float("-inf")
 
     def allowed_load(self, now_s: float) -> float:
-        """Return what it may hold now."""
+        """Return the load that the server may have now."""
         age_s = now_s - self.last_refusal_s
         if self.count == 0 or age_s > _RESET_AFTER_S:
             return float("inf")
@@ -49,9 +51,9 @@
 
 
 class Avoidance:
-    """Which backend servers to leave out of new chains now.
+    """Backend servers that new requests should avoid now.
 
-    Loads are this entry's own, in whatever unit the caller counts them.
+    Loads are this entry's own, in any unit that the caller uses consistently.
     """
 
     def __init__(self) -> None:
@@ -60,10 +62,12 @@
     def record_refusal(
         self, server_id: str, now_s: float, load: int = 0, request_load: int = 1
     ) -> None:
-        """It refused work; refusals of many requests at once count once.
+        """Record that a server refused a request.
 
-        :param load: what it holds without the refused request.
-        :param request_load: the load of that request.
+        Refusals within one interval count as one.
+
+        :param load: the server's load without the refused request.
+        :param request_load: the load of the refused request.
         """
         refusals = self._refusals.setdefault(server_id, _Refusals())
         age_s = now_s - refusals.last_refusal_s
@@ -81,18 +85,18 @@
         )
 
     def avoid(self, server_id: str, until_s: float) -> None:
-        """Leave it out until then, whatever it holds."""
+        """Avoid a server at any load until ``until_s``."""
         refusals = self._refusals.setdefault(server_id, _Refusals())
         refusals.avoided_until_s = max(refusals.avoided_until_s, until_s)
 
     def readmit(self, server_id: str) -> None:
-        """It holds other layers now: what was left out for those may get work."""
+        """End :meth:`avoid` for a server, because it has other layers now."""
         refusals = self._refusals.get(server_id)
         if refusals is not None:
             refusals.avoided_until_s = float("-inf")
 
     def is_avoided(self, server_id: str, now_s: float, load: int = 0) -> bool:
-        """Return whether to leave it out now, holding ``load``."""
+        """Return whether to avoid a server that has this load now."""
         refusals = self._refusals.get(server_id)
         if refusals is None:
             return False
@@ -101,6 +105,6 @@
         return load + refusals.request_load > refusals.allowed_load(now_s)
 
     def forget(self, known_ids: set[str]) -> None:
-        """Forget all backend servers but these."""
+        """Forget all backend servers but ``known_ids``."""
         for server_id in set(self._refusals) - known_ids:
             del self._refusals[server_id]
--- a/src/railfold/_internal/decisions/backoff.py
+++ b/src/railfold/_internal/decisions/backoff.py
@@ -1,4 +1,4 @@
-"""Delays between repeated tries."""
+"""Delays between retries."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 
 @dataclass(slots=True)
 class Backoff:
-    """Exponential backoff with full jitter, bounded.
+    """Bounded exponential backoff with jitter.
+
+    Each delay is between a tenth of its upper bound and the whole bound.
 
     :param first_s: upper bound of the first delay.
     :param max_s: upper bound of every delay.
@@ -22,6 +24,6 @@
 
     def delay_s(self, failures: int) -> float:
         """Return the delay after ``failures`` failures in a row (1 or more)."""
-        # The exponent is bounded so that long outages can't overflow it.
+        # The exponent is bounded so that it can't overflow in long outages.
         bound_s = min(self.max_s, self.first_s * 2.0 ** min(failures - 1, 30))
         return self.rng.uniform(0.1 * bound_s, bound_s)
--- a/src/railfold/_internal/decisions/client_retry_after.py
+++ b/src/railfold/_internal/decisions/client_retry_after.py
@@ -1,8 +1,9 @@
-"""When a caller whose request was refused should come back.
+"""Delay after which a client should retry a request, by the cause of its refusal.
 
-Too late is lost service: the balancer leads a new connection to another entry, which
-may serve at once. Too early is a second refusal, and many of them are a herd. So it is
-the cause that decides, and who can do something about it.
+A delay that is too long costs service: the load balancer leads a new connection to
+another entry, which may be able to serve at once. A delay that is too short leads to
+another refusal, and many clients that retry at once are a thundering herd. The delay
+therefore depends on the cause, and on whether another entry can serve the request.
 """
 
 from __future__ import annotations
@@ -22,46 +23,54 @@
     "client_retry_after_s",
 ]
 
-# What another entry serves now: long enough for a new connection, and spread over the
-# time in which one entry's clients come by themselves.
+# Delay if another entry can serve the request now. It is long enough for a new
+# connection and spreads one entry's clients over the time in which its requests usually
+# arrive.
 _OTHER_ENTRY_DELAY_S = 0.05
 
-# An entry that starts knows its first configuration after about so long; on the
-# smallest hosts somewhat later.
+# Time after which a starting entry usually has its first configuration; the smallest
+# hosts take somewhat longer.
 _STARTUP_DELAY_S = 0.25
 
-# Room for one request comes and goes with the end of others, each 0.5 to 2 s long.
+# Delay if there is no capacity. Capacity becomes available as other requests end, which
+# take 0.5 to 2 s each.
 _NO_CAPACITY_DELAY_S = 0.5
 
-# While nobody has a proof, clients are asked back after as long as it has lasted, so
-# that an outage of seconds isn't met by the same clients ten times; and not so late
-# that its end is missed. The same holds while servers take hardly anything.
+# Bounds of the delay while no entry has a proof of its configuration. The delay grows
+# with the duration of the outage, so that the same clients don't retry ten times in an
+# outage of seconds. It is bounded so that they return soon after the end of the outage.
+# The upper bound also applies to servers with very low rate limits.
 _MIN_OUTAGE_DELAY_S = 0.3
 _MAX_OUTAGE_DELAY_S = 1.0
 
-# Where most find room, a refused caller can still be served within its objective.
+# Delay while most requests find room. A refused client can then still be served within
+# its latency objective.
 _ROOM_SHORT_DELAY_S = 0.2
 
-# The part of a caller's time that it is sent away for at most: it needs the rest to be
-# served when it comes back.
+# Longest delay if room is short, as a share of the time until the client's deadline.
+# The client needs the rest of the time to be served when it returns.
 _MAX_TIME_LEFT_SHARE = 0.2
 
-# Servers that shed load take requests again one by one: those who were refused come
-# back over this time, or over this part of the time that they waited.
+# Servers that shed load recover gradually. Clients that were refused because of
+# backoffs return over this time, or over this share of the time until the first backoff
+# ends, whichever is longer.
 _MIN_BACKOFF_SPREAD_S = 0.25
 _BACKOFF_SPREAD_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ProofMissingHere:
-    """The entry can't tell whether credentials hold, while others can."""
+    """The entry can't prove that its configuration is current, but others can.
+
+    Without the proof it doesn't know whether a credential is still valid.
+    """
 
 
 @dataclass(frozen=True, slots=True)
 class ProofMissingEverywhere:
-    """No entry can tell.
+    """No entry can prove that its configuration is current.
 
-    :param lapsed_s: for how long this one can't.
+    :param lapsed_s: how long ago this entry's proof lapsed.
     """
 
     lapsed_s: float
@@ -69,14 +78,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Starting:
-    """The entry doesn't know its first configuration yet."""
+    """The entry is starting and has no configuration yet."""
 
 
 @dataclass(frozen=True, slots=True)
 class ContentOnTrial:
     """Another request with the same content is on trial.
 
-    :param left_s: until the next one may be tried.
+    :param left_s: time until the next one may be tried.
     """
 
     left_s: float
@@ -84,9 +93,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimited:
-    """All servers that could serve it take only so many requests a second.
+    """All servers that can serve the request have rate limits and no permit now.
 
-    :param left_s: until one of them may take the next.
+    :param left_s: time until one of them may have a permit.
     """
 
     left_s: float
@@ -94,10 +103,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServersBackingOff:
-    """All servers that could serve it asked this entry to send nothing for a time.
+    """All servers that can serve the request asked this entry for a backoff.
 
-    :param left_s: until the first of them takes requests again.
-    :param others_can_serve: whether most other entries can send to one of them.
+    :param left_s: time until the first backoff ends.
+    :param others_can_serve: whether most other entries can send to one of the servers.
     """
 
     left_s: float
@@ -106,15 +115,15 @@
 
 @dataclass(frozen=True, slots=True)
 class NoCapacity:
-    """No backend server has room, or no more retries are allowed."""
+    """No backend server has capacity, or no retry is allowed."""
 
 
 @dataclass(frozen=True, slots=True)
 class RoomShort:
-    """Engines have room for a part of the requests that come.
+    """Engines have room for only a part of the arriving requests.
 
-    :param served_share: which part of such requests found room of late, 0 to 1.
-    :param left_s: until the caller gives up.
+    :param served_share: share of similar requests that found room recently, 0 to 1.
+    :param left_s: time until the client's deadline.
     """
 
     served_share: float
@@ -134,10 +143,10 @@
 
 
 def client_retry_after_s(cause: RefusalCause, random_unit: float) -> float:
-    """Return after how many seconds a refused caller should come back.
+    """Return after how many seconds a refused client should retry.
 
-    :param random_unit: a random number from 0 to 1, so that refused callers don't come
-        back together.
+    :param random_unit: a random number from 0 to 1, so that refused clients don't retry
+        together.
     """
     match cause:
         case ProofMissingHere():
@@ -149,8 +158,8 @@
         case ContentOnTrial(left_s=left_s):
             return round(left_s + _OTHER_ENTRY_DELAY_S * (0.5 + random_unit), 2)
         case RateLimited(left_s=left_s):
-            # Not before the next permit, and not all for the same one; nobody knows
-            # how long servers are in need.
+            # Clients don't return before the next permit, nor all for the same one.
+            # The delay is bounded, since nobody knows when the limits will end.
             left_s = min(_MAX_OUTAGE_DELAY_S, max(_OTHER_ENTRY_DELAY_S, left_s))
             return round(left_s * (1.0 + random_unit), 2)
         case ServersBackingOff(others_can_serve=True):
@@ -159,8 +168,9 @@
             spread_s = max(_MIN_BACKOFF_SPREAD_S, left_s * _BACKOFF_SPREAD_SHARE)
             return round(left_s + spread_s * random_unit, 2)
         case RoomShort(served_share=share, left_s=left_s):
-            # Most that come back at once would be refused again, and have no more to
-            # wait: they are spread over a longer time, the fewer are served.
+            # If all returned at once, most would be refused again and have no time for
+            # another retry. The smaller the share that is served, the longer the time
+            # over which they return.
             longest_s = max(_NO_CAPACITY_DELAY_S, _MAX_TIME_LEFT_SHARE * left_s)
             base_s = min(longest_s, _ROOM_SHORT_DELAY_S / max(0.1, share) ** 2)
         case NoCapacity():
--- a/src/railfold/_internal/decisions/eligibility.py
+++ b/src/railfold/_internal/decisions/eligibility.py
@@ -1,7 +1,8 @@
 """Whether a backend server may be sent a request now, and if not, until when.
 
-One decision for plain services and for stages of chains, asked when a server is chosen
-and again right before a request is sent: it may have waited for a connection.
+The same rules apply to plain services and to stages of chains. They are checked when a
+server is chosen, and again right before a request is sent, since the request may have
+waited for a connection in between.
 """
 
 from __future__ import annotations
@@ -34,11 +35,11 @@
 
 
 class Role(Enum):
-    """The part that a backend server takes in a request."""
+    """The role of a backend server in a request."""
 
-    REPLICA = auto()  # Of a plain service.
+    REPLICA = auto()  # Replica of a plain service.
     FIRST_STAGE = auto()
-    LATER_STAGE = auto()  # Reached through the stage before it.
+    LATER_STAGE = auto()  # Gets the request from the stage before it.
 
     @property
     def is_direct(self) -> bool:
@@ -48,29 +49,29 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimited:
-    """No permit of its rate limit is there before ``until_s``."""
+    """No permit under the server's rate limit is available before ``until_s``."""
 
     until_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class NotServing:
-    """It is gone, leaving or suspect."""
+    """The server is unregistered, draining, leaving or suspected."""
 
 
 @dataclass(frozen=True, slots=True)
 class Paused:
-    """It refused work, and holds as much as it held then."""
+    """The server refused a request, and has as much load as it had then."""
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStart:
-    """It gets a part of its usual requests, and this isn't one of them."""
+    """The server is in slow start, and this request isn't in its share."""
 
 
 @dataclass(frozen=True, slots=True)
 class Full:
-    """It rejected a request, of this entry or another one, for want of room."""
+    """The server rejected a request of some entry because it had no room."""
 
 
 IneligibleReason = (
@@ -81,13 +82,13 @@
 
 @dataclass(slots=True)
 class EligibilityTerms:
-    """What one request accepts, and what bars it met.
+    """Terms of one request's search for a server, and the reasons that it met.
 
-    :param max_wait_s: how long it may wait for a permit.
-    :param relaxed: whether servers in slow start, or full ones, serve too, since no
-        others can.
-    :param ignores_temporary: whether bars that end by themselves don't count.
-    :param reasons: the bars met, by server.
+    :param max_wait_s: how long the request may wait for a permit.
+    :param relaxed: whether full servers and servers in slow start are eligible, because
+        no others can serve the request.
+    :param ignores_temporary: whether to ignore reasons that end at a known time.
+    :param reasons: why servers were ineligible, by server id.
     """
 
     max_wait_s: float = 0.0
@@ -97,12 +98,14 @@
 
 
 class ServerEligibility:
-    """The one decision.
+    """Decides whether servers may be sent a request now.
 
-    Times are on the loop's clock.
+    Times are on the event loop's clock.
 
-    :param permit_wait_s: time until a server's next permit; 0 without a limit.
-    :param skips_slow_start: draws whether a server's slow start leaves a request out.
+    :param permit_wait_s: returns the time until a server's next permit; 0 if the server
+        has no rate limit.
+    :param skips_slow_start: returns whether a request skips a server because of the
+        server's slow start; the result is random.
     """
 
     def __init__(
@@ -124,7 +127,7 @@
     def allows(
         self, server_id: str, role: Role, now_s: float, terms: EligibilityTerms
     ) -> bool:
-        """Return whether a server may serve; its bar is added to ``terms`` if not."""
+        """Return whether a server is eligible; if not, add the reason to ``terms``."""
         reason = self._ineligible_reason(server_id, role, now_s, terms)
         if reason is None:
             return True
@@ -148,7 +151,7 @@
     def _relaxable_reason(
         self, server_id: str, role: Role, now_s: float
     ) -> IneligibleReason | None:
-        """Return what bars a server only while others can serve."""
+        """Return a reason that applies only while other servers can serve."""
         if role is not Role.REPLICA and self._fleet_load.is_full(server_id, now_s):
             return Full()
         if self._skips_slow_start(server_id, now_s):
@@ -158,9 +161,10 @@
     def reason_against_send(
         self, server_id: str, now_s: float
     ) -> IneligibleReason | None:
-        """Return what has come up since a server was chosen.
+        """Return why a server that was chosen may not be sent the request any more.
 
-        Its permit is taken by then, and its load counts the request.
+        Rate limit and load aren't checked: the permit is taken by then, and the
+        server's load includes the request.
         """
         entry = self._directory.get(server_id)
         if entry is None or not entry.routable:
--- a/src/railfold/_internal/decisions/load_shedding/__init__.py
+++ b/src/railfold/_internal/decisions/load_shedding/__init__.py
@@ -1,4 +1,4 @@
-"""Backend servers that shed load and say for how long, by Retry-After."""
+"""Backoffs that backend servers request by Retry-After when they shed load."""
 
 from railfold._internal.decisions.load_shedding.blocked_entries import (
     NOTICE_INTERVAL_S,
--- a/src/railfold/_internal/decisions/load_shedding/blocked_entries.py
+++ b/src/railfold/_internal/decisions/load_shedding/blocked_entries.py
@@ -1,7 +1,8 @@
-"""Which entries are barred from all servers of a service.
+"""Entries that are blocked from all backend servers of a service by backoffs.
 
-A server that sheds load answers one entry. A client that this entry has to refuse may
-be served by another entry at once, unless that one is barred too.
+A backoff applies only to the entry that received the Retry-After header. If this entry
+has to refuse a client, another entry may serve the client at once, unless it is blocked
+as well.
 """
 
 from __future__ import annotations
@@ -12,11 +13,12 @@
 
 __all__ = ["NOTICE_INTERVAL_S", "BlockedEntries"]
 
-# A refused client meets another entry by chance. With fewer of them able to serve it is
-# more likely refused again than served.
+# Minimum share of the other entries that must be able to serve. A refused client
+# reaches a random entry: below this share it is more likely to be refused again than
+# served.
 _MIN_SERVING_SHARE = 0.5
 
-# An entry that is barred, and has to refuse clients, tells others so often.
+# Interval at which a blocked entry that refuses clients notifies other entries.
 NOTICE_INTERVAL_S = 0.5
 
 
@@ -29,8 +31,9 @@
 class BlockedEntries:
     """The other entries that can't send to any server of a service now.
 
-    Each tells as many others as a message goes to, drawn by chance. Where entries are
-    few all hear of each; of many, how many notices come tells the share that is barred.
+    A blocked entry notifies up to ``FANOUT`` random entries. If there are no more other
+    entries than that, each of them receives every notice. If there are more, the number
+    of notices received in one interval shows which share of the entries is blocked.
     """
 
     def __init__(self) -> None:
@@ -39,13 +42,13 @@
     def record_notice(
         self, entry: str, service: str, until_s: float, now_s: float
     ) -> None:
-        """Take an entry's notice that it is barred until then."""
+        """Record the notice of an entry that it is blocked until ``until_s``."""
         self._notices[entry, service] = _Notice(until_s, now_s)
 
     def others_can_serve(self, service: str, other_count: int, now_s: float) -> bool:
-        """Return whether a client does better to ask another entry at once.
+        """Return whether a refused client should retry at another entry at once.
 
-        :param other_count: how many other entries there are.
+        :param other_count: number of other entries.
         """
         all_notified = other_count <= FANOUT
         since_s = float("-inf") if all_notified else now_s - NOTICE_INTERVAL_S
@@ -56,7 +59,7 @@
             and notice.until_s > now_s
             and notice.received_s >= since_s
         )
-        # So many notices come within the interval if all are barred.
+        # Number of notices received within the interval if all others are blocked.
         expected_notices = min(other_count, FANOUT)
         return (
             other_count > 0
@@ -64,7 +67,7 @@
         )
 
     def forget(self, now_s: float) -> None:
-        """Forget notices that have run out."""
+        """Forget the notices whose backoffs have ended."""
         live = {
             key: notice
             for key, notice in self._notices.items()
--- a/src/railfold/_internal/decisions/load_shedding/headers.py
+++ b/src/railfold/_internal/decisions/load_shedding/headers.py
@@ -1,4 +1,4 @@
-"""What an answer's Retry-After header asks for."""
+"""Content of the Retry-After header in an answer of a backend server."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RetryAfter:
-    """The server wants no request from this entry for ``delay_s``."""
+    """The server asks this entry to send no request for ``delay_s``."""
 
     delay_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class NoRetryAfter:
-    """The answer asks for nothing."""
+    """The answer has no Retry-After header."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/railfold/_internal/decisions/load_shedding/requested.py
+++ b/src/railfold/_internal/decisions/load_shedding/requested.py
@@ -1,11 +1,13 @@
-"""For how long backend servers want no requests from this entry.
+"""Backoffs that backend servers request from this entry by Retry-After.
 
-A server that sheds load answers 503 and may add Retry-After. That holds for the entry
-that it answers; other entries may send to it. Each such answer counts from its arrival,
-and the longest one holds. Only a new incarnation, which has another id, ends it early.
+A server that sheds load answers 503 and may add a Retry-After header. The backoff
+applies to the entry that receives the answer; other entries may still send to the
+server. Its delay begins when the answer arrives. If several answers request a backoff,
+the latest end applies. Only a new incarnation of the server, which has another id, ends
+a backoff early.
 
-After its end the server is half-open: it gets one request. If that one is served, the
-server's share of requests grows to the usual (slow start).
+After the end of a backoff the server is half-open: it gets one trial request. If the
+server serves it, the server's traffic share grows to the usual one (slow start).
 """
 
 from __future__ import annotations
@@ -22,33 +24,34 @@
     "ServerBackoff",
 ]
 
-# A server that asks for longer is tried again after this time: more is more likely a
-# mistake than a wish, and nothing else would end it.
+# Longest backoff. A longer delay is probably a mistake, and nothing but a new
+# incarnation would end it.
 _MAX_BACKOFF_S = 3600.0
 
-# The first request after the end is waited for this long before another one may go.
+# Time after which another trial request may be sent if the first got no answer.
 _TRIAL_TIMEOUT_S = 1.0
 
-# When others are told to ask again while it is under way: most are served sooner.
+# Time in which most trial requests are served. Requests that are refused while a trial
+# is in flight are told to return after it.
 _TRIAL_TYPICAL_S = 0.2
 
-# How long the share of a server that serves again grows to the usual.
+# Time over which the traffic share of a recovered server grows to the usual one.
 _SLOW_START_S = 2.0
 
-# A backoff that no request followed is forgotten after this time.
+# Time after which an ended backoff is forgotten if no trial request was served.
 _RETENTION_S = 30.0
 
 
 @dataclass(frozen=True, slots=True)
 class BackingOff:
-    """The server wants nothing before ``until_s``."""
+    """The server asked for no request before ``until_s``."""
 
     until_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class HalfOpen:
-    """One request finds out whether it serves again, until about ``until_s``."""
+    """A trial request to the server is in flight, until about ``until_s``."""
 
     until_s: float
 
@@ -58,14 +61,16 @@
 
 @dataclass(slots=True)
 class ServerBackoff:
-    """What one server asked for, and what came of it.
+    """The backoff of one server, and the recovery after it.
 
+    :param started_s: when the answer that started the backoff arrived.
     :param until_s: when the backoff ends.
-    :param retry_after_count: answers that asked for it.
-    :param sends_during: requests that were sent to it before the end.
-    :param trial_request_id: id of the first request after the end, while it is under way.
-    :param recovered_s: when the server was first known to serve again.
-    :param end_reported: whether its end was reported, or that it serves again.
+    :param retry_after_count: number of answers that requested the backoff.
+    :param sends_during: number of requests sent to the server before the end.
+    :param trial_request_id: id of the trial request while it is in flight.
+    :param trial_sent_s: when the last trial request was sent.
+    :param recovered_s: when the server was first known to serve requests again.
+    :param end_reported: whether the end or the recovery has been reported.
     """
 
     started_s: float
@@ -78,11 +83,11 @@
     end_reported: bool = False
 
     def is_active(self, now_s: float) -> bool:
-        """Return whether the server still wants nothing."""
+        """Return whether the backoff hasn't ended yet."""
         return now_s < self.until_s
 
     def ineligible_reason(self, now_s: float) -> BackoffReason | None:
-        """Return what keeps requests from the server now."""
+        """Return why the server may not be sent a request now, if so."""
         if self.is_active(now_s):
             return BackingOff(self.until_s)
         if self.recovered_s is not None or self.trial_request_id is None:
@@ -92,29 +97,29 @@
         return HalfOpen(max(now_s, self.trial_sent_s + _TRIAL_TYPICAL_S))
 
     def is_expired(self, now_s: float) -> bool:
-        """Return whether nothing follows from it any more."""
+        """Return whether the backoff has no effect any more and can be forgotten."""
         if self.recovered_s is not None:
             return now_s - self.recovered_s >= _SLOW_START_S
         return now_s - max(self.until_s, self.trial_sent_s) >= _RETENTION_S
 
 
 class RequestedBackoffs:
-    """The backoffs that servers asked this entry for, by incarnation.
+    """The backoffs that servers requested from this entry, by incarnation.
 
-    Times are on the loop's clock.
+    Times are on the event loop's clock.
     """
 
     def __init__(self) -> None:
         self._backoffs: dict[str, ServerBackoff] = {}
 
     def __bool__(self) -> bool:
-        """Whether any server asked for one of late."""
+        """Whether any backoff is active or still has an effect."""
         return bool(self._backoffs)
 
     def record_retry_after(self, server_id: str, delay_s: float, now_s: float) -> bool:
-        """Take an answer that asks for ``delay_s``; return whether it starts a backoff.
+        """Record a Retry-After header; return whether it starts a backoff.
 
-        One of 0 s asks for nothing.
+        :param delay_s: the requested delay; 0 or less requests no backoff.
         """
         until_s = now_s + min(delay_s, _MAX_BACKOFF_S)
         backoff = self._backoffs.get(server_id)
@@ -128,20 +133,20 @@
         return False
 
     def get(self, server_id: str) -> ServerBackoff | None:
-        """Return what a server asked for last."""
+        """Return the latest backoff of a server, if it isn't forgotten."""
         return self._backoffs.get(server_id)
 
     def ineligible_reason(self, server_id: str, now_s: float) -> BackoffReason | None:
-        """Return what keeps this entry from sending to a server now."""
+        """Return why this entry may not send to a server now, if so."""
         backoff = self._backoffs.get(server_id)
         return backoff.ineligible_reason(now_s) if backoff is not None else None
 
     def active_servers(self, now_s: float) -> list[str]:
-        """Return the servers that want nothing now."""
+        """Return the servers with an active backoff."""
         return [s for s, backoff in self._backoffs.items() if backoff.is_active(now_s)]
 
     def record_send(self, server_id: str, request_id: str, now_s: float) -> None:
-        """Take that a request is sent to a server now."""
+        """Record that a request is being sent to a server."""
         backoff = self._backoffs.get(server_id)
         if backoff is None:
             return
@@ -151,9 +156,9 @@
             backoff.trial_request_id, backoff.trial_sent_s = request_id, now_s
 
     def record_served(self, server_id: str, request_id: str, now_s: float) -> bool:
-        """Take that a server worked on a request; return whether it serves again.
+        """Record that a server served a request; return whether it has recovered.
 
-        Only the request that was sent after the end of the backoff proves that.
+        Only a trial request, sent after the end of the backoff, proves the recovery.
         """
         backoff = self._backoffs.get(server_id)
         if (
@@ -167,20 +172,23 @@
         return True
 
     def record_attempt_end(self, server_id: str, request_id: str) -> None:
-        """Take that a request at a server ended; if unserved, another one may go."""
+        """Record the end of a request; after an unserved trial another may be sent."""
         backoff = self._backoffs.get(server_id)
         if backoff is not None and backoff.trial_request_id == request_id:
             backoff.trial_request_id = None
 
     def traffic_share(self, server_id: str, now_s: float) -> float:
-        """Return which share of its usual requests a server gets."""
+        """Return a server's share of its usual requests, from 0 to 1."""
         backoff = self._backoffs.get(server_id)
         if backoff is None or backoff.recovered_s is None:
             return 1.0
         return slow_start_share(backoff.recovered_s, now_s, _SLOW_START_S)
 
     def take_ended(self, now_s: float) -> dict[str, ServerBackoff]:
-        """Return the backoffs that have ended since the last call."""
+        """Return the backoffs that have ended and weren't reported yet.
+
+        Marks them as reported.
+        """
         ended = {
             server_id: backoff
             for server_id, backoff in self._backoffs.items()
@@ -191,7 +199,7 @@
         return ended
 
     def forget(self, known_ids: set[str], now_s: float) -> None:
-        """Forget servers that are gone, and backoffs that nothing follows from."""
+        """Forget backoffs without any effect, and all servers but ``known_ids``."""
         for server_id, backoff in list(self._backoffs.items()):
             if server_id not in known_ids or backoff.is_expired(now_s):
                 del self._backoffs[server_id]
--- a/src/railfold/_internal/decisions/rate_limits/__init__.py
+++ b/src/railfold/_internal/decisions/rate_limits/__init__.py
@@ -1,4 +1,4 @@
-"""Rates that backend servers name, kept by all entries together."""
+"""Rate limits that backend servers advertise, which all entries together keep."""
 
 from railfold._internal.decisions.rate_limits.advertised import (
     AdvertisedLimits,
--- a/src/railfold/_internal/decisions/rate_limits/advertised.py
+++ b/src/railfold/_internal/decisions/rate_limits/advertised.py
@@ -1,14 +1,17 @@
-"""Which backend servers take only so many requests a second, by their newest word.
-
-A server in need names the rate that it takes from all entries together, in each answer
-for as long as it holds. An answer's word is of some moment between the request's send
-and the answer's head, so that words of requests that were under way at the same time
-can't be put in order: one that was sent before what is known was heard changes nothing.
-Other entries' words count by their age.
-
-A limit that nobody confirms for long lapses: an entry that is cut off from the others
-and has no permit would never hear that it has ended. After its end a server gets its
-usual share back step by step, since all entries come back at the same time.
+"""Rate limits of backend servers, by the latest report about each server.
+
+An overloaded server advertises in each answer the rate of requests that it accepts from
+all entries together, for as long as the limit is in force. Each answer is a report
+about the limit. The server may have decided on it at any time between the send of the
+request and the arrival of the answer's head, so reports of requests that were in flight
+at the same time have no order. The end of a limit, or a limit after an end, is
+therefore ignored if its request was sent before the latest report arrived. Reports of
+other entries are ordered by their age.
+
+A limit lapses if no report confirms it for long: an entry that is cut off from the
+others and gets no permit would never learn that the limit has ended. After the end of a
+limit the server's traffic share grows gradually, since all entries return to the server
+at the same time.
 """
 
 from __future__ import annotations
@@ -29,36 +32,37 @@
     "LimitLapsed",
 ]
 
-# How long after the end of its limit a server's share of new work grows to the usual.
+# Time over which a server's share of new requests grows back after its limit ended.
 _SLOW_START_S = 4.0
 
-# A limit that nobody confirms lapses after so long: with demand each permit confirms
-# it, and what is confirmed is told each second.
+# Bounds of the time after which an unconfirmed limit lapses. While there is demand,
+# each request that gets a permit confirms the limit, and entries report it to each
+# other every second.
 _MIN_LAPSE_S = 4.0
 _MAX_LAPSE_S = 30.0
 
-# A limit of so many requests a second lapses no sooner than several permits may take.
+# A limit doesn't lapse before the time in which it allows this number of permits.
 _MIN_PERMITS_BEFORE_LAPSE = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class LimitLapsed:
-    """Nobody has confirmed a server's limit for long."""
+    """No report has confirmed a server's limit for ``unconfirmed_s``."""
 
     unconfirmed_s: float
 
 
-# What changed: the word that made it known, or that none came.
+# The header that changed what is known of a server, or the lapse of its limit.
 LimitChange = RateLimitHeader | LimitLapsed
 
 
 @dataclass(slots=True)
 class _ServerLimit:
-    """What is known of one server.
+    """The limit of one server.
 
-    :param limit_per_s: the rate that it takes; ``None`` since it names none any more.
-    :param changed_s: when that was first known.
-    :param latest_report_s: when its newest word was given.
+    :param limit_per_s: the limit, in requests a second; ``None`` after its end.
+    :param changed_s: when the limit last changed or ended.
+    :param latest_report_s: when the latest report about it was received.
     """
 
     limit_per_s: float | None
@@ -67,7 +71,7 @@
 
 
 class AdvertisedLimits:
-    """The limits in force, by incarnation of a backend server.
+    """The limits of backend servers, by the ids of their incarnations.
 
     Times are on the monotonic clock.
     """
@@ -77,25 +81,27 @@
         self._unreadable: set[str] = set()
 
     def __bool__(self) -> bool:
-        """Whether anything is known of any server."""
+        """Whether any server has a limit, or had one recently."""
         return bool(self._limits)
 
     @property
     def in_force(self) -> list[str]:
-        """The servers whose limits hold."""
+        """Ids of the servers that have a limit now."""
         return [s for s, limit in self._limits.items() if limit.limit_per_s is not None]
 
     def limit_per_s(self, server_id: str) -> float | None:
-        """Return the rate that a server takes, if it names one."""
+        """Return a server's limit in requests a second; ``None`` if it has none."""
         limit = self._limits.get(server_id)
         return limit.limit_per_s if limit is not None else None
 
     def observe(
         self, server_id: str, header: RateLimitHeader, sent_s: float, now_s: float
     ) -> LimitChange | None:
-        """Take what the head of an answer said, to a request sent at ``sent_s``.
+        """Record the rate limit header of a server's answer.
 
-        :return: the word, if it changes what is known.
+        :param sent_s: when the request was sent.
+        :return: the header if it changed the server's limit, or if it is the first
+            unreadable one of the server; ``None`` otherwise.
         """
         limit = self._limits.get(server_id)
         match header:
@@ -139,10 +145,11 @@
     def observe_peer(
         self, server_id: str, limit_per_s: float | None, reported_s: float
     ) -> LimitChange | None:
-        """Take another entry's word, given to it by the server at ``given_s``.
+        """Record what another entry reports about a server's limit.
 
-        :param limit_per_s: the rate that the server takes; ``None`` if it names none.
-        :return: the word, if it changes what is known.
+        :param limit_per_s: the limit; ``None`` if the server has none any more.
+        :param reported_s: when the other entry received the server's answer.
+        :return: the change of the server's limit; ``None`` if it didn't change.
         """
         limit = self._limits.get(server_id)
         if limit is not None and reported_s < limit.latest_report_s:
@@ -154,12 +161,16 @@
         return self._record_end(limit, reported_s)
 
     def report_age_s(self, server_id: str, now_s: float) -> float:
-        """Return how old a server's newest word is."""
+        """Return the age of the latest report about a server; infinite without one."""
         limit = self._limits.get(server_id)
         return now_s - limit.latest_report_s if limit is not None else float("inf")
 
     def traffic_share(self, server_id: str, now_s: float) -> float:
-        """Return which share of its usual new work a server without a limit gets."""
+        """Return a server's share of its usual new requests, from 0 to 1.
+
+        It is below 1 for some time after the end of a limit. While a limit is in force
+        it is 1, since permits restrict the traffic.
+        """
         limit = self._limits.get(server_id)
         if limit is None or limit.limit_per_s is not None:
             return 1.0
@@ -168,10 +179,11 @@
     def lapse_unconfirmed(
         self, now_s: float, entry_count: int
     ) -> dict[str, LimitLapsed]:
-        """Let limits lapse that nobody confirms; return which.
+        """End the limits that no report has confirmed for long, and return them.
 
-        One that all entries tried at once would get far too much: where nobody hears
-        anybody, each tries as often as its part of the limit allows.
+        The more entries there are, the later a limit lapses. If no entry hears from
+        another one, each ends the limit by itself and sends a request. Up to
+        ``_MAX_LAPSE_S``, the delay keeps the requests of all of them within the limit.
         """
         lapsed: dict[str, LimitLapsed] = {}
         for server_id, limit in self._limits.items():
@@ -179,14 +191,15 @@
                 continue
             unconfirmed_s = now_s - limit.latest_report_s
             if unconfirmed_s > _lapse_delay_s(limit.limit_per_s, entry_count):
-                # The server gave no word: another entry's last one names it anew.
+                # No report ended the limit, so ``latest_report_s`` stays: an equally
+                # recent report of another entry can restore the limit.
                 limit.limit_per_s = None
                 limit.changed_s = now_s
                 lapsed[server_id] = LimitLapsed(unconfirmed_s)
         return lapsed
 
     def forget(self, known_ids: set[str], now_s: float) -> None:
-        """Forget servers that are gone, and limits that ended long ago."""
+        """Forget limits that ended long ago, and all servers but ``known_ids``."""
         self._unreadable &= known_ids
         for server_id, limit in list(self._limits.items()):
             expired = (
--- a/src/railfold/_internal/decisions/rate_limits/headers.py
+++ b/src/railfold/_internal/decisions/rate_limits/headers.py
@@ -1,4 +1,4 @@
-"""What a backend server's answer says of the rate that the server takes."""
+"""Content of the header in which a backend server advertises its rate limit."""
 
 from __future__ import annotations
 
@@ -14,21 +14,24 @@
 
 @dataclass(frozen=True, slots=True)
 class RateLimitAdvertised:
-    """The server takes so many requests a second from all entries together."""
+    """The server advertises a limit for all entries together.
+
+    :param limit_per_s: the limit, in requests a second.
+    """
 
     limit_per_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class NoRateLimit:
-    """The answer names no limit."""
+    """The answer has no rate limit header."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnreadableRateLimit:
-    """The answer names something that is no rate.
+    """The header's value isn't a rate.
 
-    :param text: what it names, shortened.
+    :param text: the value, shortened.
     """
 
     text: str
--- a/src/railfold/_internal/decisions/rate_limits/issuers.py
+++ b/src/railfold/_internal/decisions/rate_limits/issuers.py
@@ -1,10 +1,11 @@
-"""Which entries hand out the permits of a backend server's limit, and how many.
-
-Equal parts of a small limit are of no use: of 1.4 requests a second each of 21 entries
-has one in 15 s, and bursts of one request each add up to more than is allowed. So a few
-entries hold all of it, drawn for each server by rendezvous hashing over the entries'
-list, and whoever wants to send asks one of them. Lists that differ by an entry agree on
-all holders but one.
+"""Selection of the entries that issue the permits of a backend server's rate limit.
+
+A small limit can't be split evenly over all entries: of 1.4 requests a second each of
+21 entries gets one in 15 s, and bursts of one request per entry add up to more than the
+limit allows. Instead a few entries issue all permits of a server, and the others ask
+them for permits. Rendezvous hashing over the list of entries selects the issuers for
+each server. If two entries' lists differ by one entry, their selections differ by at
+most one issuer.
 """
 
 from __future__ import annotations
@@ -15,39 +16,41 @@
 
 __all__ = ["KnownEntries", "PermitIssuers", "permit_issuers"]
 
-# How much of a limit is handed out. A server that is obeyed to the last request leaves
-# nothing for permits of two holders that meet in one window.
+# Share of a limit that is issued. The rest leaves room for permits of several issuers
+# that are used in the same window of time.
 _ISSUED_SHARE = 0.95
 
-# Requests a second where a server takes nothing at all: somebody has to find out when
-# that is over.
+# Permits a second if the limit is 0 or close to it. Some requests must reach the
+# server, since only its answers can tell that the limit has ended.
 _MIN_PERMITS_PER_S = 0.2
 
-# Holders beside one for each request a second, and at least: if one is lost, others go
-# on. More of them would each have a permit too rarely to be asked for it in time.
+# Number of issuers beyond one for each request a second of the limit, and the minimum
+# number of issuers. If one is lost, the others go on. With more issuers, each would
+# have permits so rarely that entries wouldn't ask for them in time.
 _SPARE_ISSUERS = 1
 _MIN_ISSUERS = 2
 
-# Whole permits that may be used at once, all holders together, where each has less
-# than one.
+# Number of permits that all issuers together issue at once, if that leaves each of them
+# at least ``_MIN_BURST``.
 _MAX_TOTAL_BURST = 3.0
 
-# Of one holder. With less than this beyond a whole permit, what isn't taken at once is
-# lost, since whoever wants the next one asks some time after it is there.
+# Minimum burst of one issuer. Entries ask for the next permit some time after it
+# becomes available. With a burst of only one permit, that time would be lost to the
+# rate.
 _MIN_BURST = 1.5
 
-# An entry whose list lacks more than this share of the entries that the store counts
-# can't tell who holds permits.
+# An entry can select issuers only if it lists at least this share of the entries that
+# the store counts.
 _MIN_LISTED_SHARE = 0.75
 
 
 @dataclass(frozen=True, slots=True)
 class KnownEntries:
-    """The entries as one of them knows them.
+    """The entries that one entry knows of.
 
-    :param own_name: this entry's.
-    :param peer_names: the names of the others on its list.
-    :param entry_count: how many entries there are by the store's count.
+    :param own_name: name of the entry itself.
+    :param peer_names: names of the other entries that it knows.
+    :param entry_count: number of all entries, as counted by the store.
     """
 
     own_name: str
@@ -56,17 +59,17 @@
 
     @property
     def can_select_issuers(self) -> bool:
-        """Whether the list is whole enough to tell who holds permits."""
+        """Whether enough entries are known to select the issuers of permits."""
         return 1 + len(self.peer_names) >= _MIN_LISTED_SHARE * self.entry_count
 
 
 @dataclass(frozen=True, slots=True)
 class PermitIssuers:
-    """Who hands out the permits of one server's limit.
+    """The entries that issue the permits of one server's limit.
 
-    :param names: of the entries; none if this entry can't tell.
-    :param permits_per_s: permits a second that each of them hands out.
-    :param burst: how many at once after a pause.
+    :param names: names of the entries; empty if this entry can't select them.
+    :param permits_per_s: rate at which each of them issues permits.
+    :param burst: number of permits that each of them issues at once after a pause.
     """
 
     names: tuple[str, ...]
@@ -77,10 +80,11 @@
 def permit_issuers(
     server_id: str, limit_per_s: float, entries: KnownEntries
 ) -> PermitIssuers:
-    """Return who hands out the permits of a server's limit of ``per_s``.
+    """Return the issuers of the permits of a server's limit.
 
-    An entry whose list can't tell has an equal part where entries are few. Where they
-    are many it leaves the server to those that are in touch with each other.
+    An entry that knows too few others can't select issuers. If the limit has an issuer
+    for each entry, it issues an equal part of the permits itself. Otherwise it gets no
+    permits and leaves the server to the entries that know each other.
     """
     if entries.can_select_issuers:
         ranked = sorted(
--- a/src/railfold/_internal/decisions/rate_limits/permits.py
+++ b/src/railfold/_internal/decisions/rate_limits/permits.py
@@ -1,4 +1,4 @@
-"""Permits to send to a backend server, handed out at a rate."""
+"""Permits to send requests to a backend server, issued at a limited rate."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PermitGranted:
-    """One request may be sent after ``wait_s`` from now."""
+    """One request may be sent ``wait_s`` from now."""
 
     wait_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class PermitDenied:
-    """No permit will be there in time; the next one is after ``wait_s`` from now."""
+    """No permit is available in time; the next one is available in ``wait_s``."""
 
     wait_s: float
 
@@ -25,9 +25,9 @@
 
 
 class PermitSchedule:
-    """Spaces permits evenly (the generic cell rate algorithm).
+    """Issues permits at an even rate (generic cell rate algorithm).
 
-    At a steady rate any window of w seconds holds at most ``burst`` + rate x w permits.
+    At a constant rate any window of w seconds has at most ``burst`` + rate x w permits.
     """
 
     def __init__(self, now_s: float) -> None:
@@ -37,9 +37,9 @@
     def take(
         self, now_s: float, rate_per_s: float, burst: float, max_wait_s: float
     ) -> PermitOutcome:
-        """Take a permit that is there now, or will be within ``max_wait_s``.
+        """Take a permit that is available now or within ``max_wait_s``.
 
-        :param burst: how many may be taken at once after a pause; 1 at least.
+        :param burst: number of permits available at once after a pause; at least 1.
         """
         interval_s = 1.0 / rate_per_s
         self._set_interval(interval_s, now_s)
@@ -51,7 +51,7 @@
         return PermitGranted(wait_s)
 
     def _set_interval(self, interval_s: float, now_s: float) -> None:
-        """Count permits that were taken ahead at the new rate."""
+        """Apply a new rate, also to permits that were taken ahead of time."""
         if self._interval_s is not None and self._next_s > now_s:
             taken_ahead = (self._next_s - now_s) / self._interval_s
             self._next_s = now_s + taken_ahead * interval_s
--- a/src/railfold/_internal/decisions/rate_limits/sharing.py
+++ b/src/railfold/_internal/decisions/rate_limits/sharing.py
@@ -1,8 +1,9 @@
-"""One entry's part in keeping the limits of backend servers with all others.
+"""Permits of one entry for backend servers whose limits all entries share.
 
-Whoever wants to send to a server with a limit needs a permit: of its own if it hands
-out permits for that server, else of one that does. A holder that has none says when the
-next one will be there, later the more entries ask, and isn't asked before.
+An entry needs a permit for each request to a server with a limit. It takes the permit
+from its own schedule if it is an issuer for that server, and asks an issuer otherwise.
+An issuer without a permit answers how long to wait for the next one, longer the more
+entries ask. The entry doesn't ask that issuer again until then.
 """
 
 from __future__ import annotations
@@ -24,25 +25,26 @@
 
 __all__ = ["AskIssuer", "PermitDecision", "PermitSharing"]
 
-# A holder that didn't answer isn't asked again for this time.
+# Time for which an issuer that didn't answer isn't asked again.
 _NO_ANSWER_RETRY_S = 1.0
 
-# What is told of the wait where nobody can be asked: as long as it takes to hear of
-# others, or that the limit has lapsed.
+# Wait in a denial if there is no issuer to ask. It is about the time in which an entry
+# learns of other entries, or a limit lapses.
 _NO_ISSUER_WAIT_S = 1.0
 
-# Of the entries that were told to wait, about so many ask for the next permit.
+# Waits are spread so that about this number of denied entries ask for each permit.
 _REQUESTS_PER_PERMIT = 3.0
 
-# Nobody is told to wait for longer, so that a limit that changes is heard. Where
-# entries are many they wait for so long that a holder isn't asked more often than this.
+# Longest wait that an issuer asks for, so that entries notice changes of the limit
+# soon. With many entries the wait is longer, so that an issuer doesn't get more
+# requests a second than ``_MAX_REQUESTS_PER_S``.
 _MAX_DENIAL_WAIT_S = 1.0
 _MAX_REQUESTS_PER_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
 class AskIssuer:
-    """Ask this entry for a permit."""
+    """The entry ``name`` has to be asked for a permit."""
 
     name: str
 
@@ -52,11 +54,12 @@
 
 @dataclass(slots=True)
 class _ServerPermits:
-    """What this entry hands out for one server, and what it knows of other holders.
+    """Permits that this entry issues for one server, and state of all issuers.
 
-    :param denied_count: how many were told to wait since the last permit.
-    :param retry_at_s: when it is worth to ask each holder again, also this entry itself.
-    :param entries: what ``holders`` was reckoned for, as was ``per_s``.
+    :param denied_count: number of requests denied since the last permit was issued.
+    :param retry_at_s: when each issuer, this entry included, may be asked again.
+    :param entries: the entries among which ``issuers`` were selected.
+    :param limit_per_s: the limit for which ``issuers`` were selected.
     """
 
     schedule: PermitSchedule
@@ -68,11 +71,11 @@
 
 
 class PermitSharing:
-    """Permits for all servers with a limit.
+    """Permits of one entry for all servers with a limit.
 
     Times are on the monotonic clock.
 
-    :param rng: for the choice of a holder, and the spread of waits.
+    :param rng: chooses among issuers and spreads waits.
     """
 
     def __init__(self, rng: random.Random) -> None:
@@ -82,7 +85,7 @@
     def issuers(
         self, server_id: str, limit_per_s: float, entries: KnownEntries, now_s: float
     ) -> PermitIssuers:
-        """Return who hands out permits for a server."""
+        """Return the issuers of permits for a server."""
         permits = self._permits_for(server_id, now_s)
         current = permits.issuers
         if (
@@ -94,7 +97,8 @@
             if permits.limit_per_s != limit_per_s:
                 permits.retry_at_s.clear()
             if permits.issuers is None:
-                # Not all holders' first permits at the same time.
+                # Issuers start at random times, so that their first permits don't
+                # become available together.
                 first_permit_s = now_s + self._rng.random() / current.permits_per_s
                 permits.schedule = PermitSchedule(first_permit_s)
             permits.issuers, permits.limit_per_s, permits.entries = (
@@ -118,10 +122,10 @@
         now_s: float,
         max_wait_s: float,
     ) -> PermitDecision:
-        """Return what comes of this entry's wish to send, or whom to ask for it.
+        """Take a permit for a request of this entry, or return which issuer to ask.
 
         :param limit_per_s: the server's limit.
-        :param max_wait_s: how long the request may wait.
+        :param max_wait_s: how long the request may wait for the permit.
         """
         issuers = self.issuers(server_id, limit_per_s, entries, now_s)
         retry_at_s = self._permits_for(server_id, now_s).retry_at_s
@@ -143,7 +147,7 @@
     def wait_s(
         self, server_id: str, limit_per_s: float, entries: KnownEntries, now_s: float
     ) -> float:
-        """Return when it is worth to wish again, in seconds from now."""
+        """Return in how many seconds an issuer may be asked for a permit."""
         issuers = self.issuers(server_id, limit_per_s, entries, now_s)
         retry_at_s = self._permits_for(server_id, now_s).retry_at_s
         waits_s = [
@@ -159,7 +163,7 @@
         now_s: float,
         max_wait_s: float,
     ) -> PermitOutcome:
-        """Return what another entry gets that asks this one."""
+        """Return the answer to another entry that asks this one for a permit."""
         issuers = self.issuers(server_id, limit_per_s, entries, now_s)
         if entries.own_name not in issuers.names:
             return PermitDenied(_NO_ISSUER_WAIT_S)
@@ -189,16 +193,16 @@
     def record_denial(
         self, server_id: str, issuer: str, wait_s: float, now_s: float
     ) -> None:
-        """A holder has no permit before ``wait_s`` from now."""
+        """Record that an issuer has no permit for the next ``wait_s``."""
         self._permits_for(server_id, now_s).retry_at_s[issuer] = now_s + wait_s
 
     def record_no_answer(self, server_id: str, issuer: str, now_s: float) -> None:
-        """A holder didn't answer."""
+        """Record that an issuer didn't answer."""
         self._permits_for(server_id, now_s).retry_at_s[issuer] = (
             now_s + _NO_ANSWER_RETRY_S
         )
 
     def forget(self, known_ids: set[str]) -> None:
-        """Forget all servers but these."""
+        """Forget all servers but ``known_ids``."""
         for server_id in set(self._permits) - known_ids:
             del self._permits[server_id]
--- a/src/railfold/_internal/decisions/rate_limits/wait_limit.py
+++ b/src/railfold/_internal/decisions/rate_limits/wait_limit.py
@@ -1,23 +1,26 @@
-"""How long a request may wait for a permit, where no server without a limit is left.
+"""Longest wait of a request for a permit if all servers that can serve it have limits.
 
-Permits are scarce then. Who may wait longer is granted one that is further ahead, so
-that begun answers come first, then requests by their rank.
+Permits are scarce then. A request that may wait longer can take a permit that becomes
+available later, so longer waits give precedence: to answers that have begun first, then
+to requests by their rank.
 """
 
 from __future__ import annotations
 
 __all__ = ["permit_wait_limit_s"]
 
-# A client in the middle of its answer leaves after 2 s without an event; pauses count
-# as too long well before.
+# Longest wait for an answer that has begun. Its client gives up after 2 s without an
+# event, and pauses count as too long well before that.
 _BEGUN_ANSWER_WAIT_S = 0.5
 
-# What the most urgent may wait, of their latency objective: the rest is for the first
-# event. Each further rank may wait for a part of what the one before may.
+# Longest wait of the most urgent rank, as a share of the latency objective. The rest of
+# the objective is left for the server's first event. Each further rank may wait for
+# ``_RANK_FACTOR`` times as long as the rank before it.
 _MAX_OBJECTIVE_SHARE = 0.33
 _RANK_FACTOR = 0.6
 
-# So many of all may wait as long as the most urgent, so that no rank starves.
+# Share of all requests that may wait as long as the most urgent, whatever their rank,
+# so that no rank starves.
 _UNRANKED_SHARE = 0.125
 
 
@@ -26,10 +29,11 @@
 ) -> float:
     """Return how long a request may wait for a permit, in seconds.
 
-    :param objective_s: of its route, to the first event or the answer.
+    :param objective_s: latency objective of its route, until the first event or the
+        answer.
     :param rank: 0 is the most urgent.
     :param random_unit: a random number from 0 to 1.
-    :param begun: whether its client has a part of the answer.
+    :param begun: whether its client has received a part of the answer.
     """
     if begun:
         return _BEGUN_ANSWER_WAIT_S
--- a/src/railfold/_internal/decisions/retry_budget.py
+++ b/src/railfold/_internal/decisions/retry_budget.py
@@ -1,4 +1,4 @@
-"""A budget that keeps retries from multiplying an overload."""
+"""Budget that keeps retries from amplifying an overload."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 __all__ = ["RetryBudget", "RetryBudgets", "RetryLimits", "jittered_retry_after_s"]
 
 
-# Of the retries beyond the share of first attempts, this part is kept for answers that
-# have begun. Without a retry such an answer is cut in its middle; a request that
-# hasn't begun is told that it wasn't run, and comes back.
+# Share of ``RetryLimits.slack`` that is reserved for answers that have begun. Without a
+# retry such an answer breaks off. A request whose answer hasn't begun is refused as not
+# run instead, and its client can send it again.
 _RESERVED_FOR_BEGUN = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class RetryLimits:
-    """How many retries are allowed in any window of time.
+    """Number of retries that are allowed in any window of time.
 
-    :param share: retries for each first attempt of the window.
-    :param slack: retries beyond that share.
+    :param share: retries allowed for each first attempt in the window.
+    :param slack: retries allowed in addition.
     :param window_s: length of the window.
     """
 
@@ -29,15 +29,16 @@
 
 
 class RetryBudget:
-    """Allows retries as a share of first attempts, plus a number, in any window.
+    """Allows a share of first attempts, plus a fixed number, as retries in any window.
 
-    Processes that each keep a part of common limits keep them together: in every
-    window their retries add up to no more than their parts do. A bucket that is
-    filled by first attempts would allow the slack once, not in each window.
+    If processes divide common limits among them, they also keep the common limits: in
+    any window their retries add up to no more than the sum of their limits. A token
+    bucket that first attempts fill would allow the slack only once, not in each window.
 
-    :param rounding: added to what is allowed, below 1. Of many processes with small
-        parts each would lose half a retry to whole numbers. Drawn by chance for each,
-        their sum is what the parts add up to.
+    :param rounding: from 0 to below 1, added to the allowed number of retries. If many
+        processes have small limits, rounding down loses half a retry on average for
+        each of them. With a random value for each process, the expected sum of their
+        retries is the sum of their limits.
     """
 
     def __init__(self, limits: RetryLimits, rounding: float = 0.0) -> None:
@@ -47,14 +48,14 @@
         self._retries_s: deque[float] = deque()
 
     def earn(self, now_s: float) -> None:
-        """Count one first attempt."""
+        """Record a first attempt, which adds to the budget."""
         self._first_attempts_s.append(now_s)
         self._drop_expired(now_s)
 
     def allows(self, now_s: float, *, begun: bool = True) -> bool:
-        """Return whether there is a retry to be taken.
+        """Return whether the budget allows a retry now.
 
-        :param begun: whether it is for an answer that its client already reads.
+        :param begun: whether the client has already received a part of the answer.
         """
         self._drop_expired(now_s)
         limits = self.limits
@@ -65,7 +66,7 @@
         return len(self._retries_s) + 1 <= allowed + self._rounding
 
     def spend(self, now_s: float, *, begun: bool = True) -> bool:
-        """Take one retry from the budget; return whether it was there."""
+        """Take one retry from the budget; return whether the budget allowed it."""
         if not self.allows(now_s, begun=begun):
             return False
         self._retries_s.append(now_s)
@@ -79,7 +80,7 @@
 
 
 class RetryBudgets:
-    """A budget for each service, all with the same limits and rounding."""
+    """Retry budgets by service, all with the same limits and rounding."""
 
     def __init__(self, limits: RetryLimits, rounding: float = 0.0) -> None:
         self._limits = limits
@@ -87,24 +88,24 @@
         self._budgets: dict[str, RetryBudget] = {}
 
     def set_limits(self, limits: RetryLimits) -> None:
-        """Change the limits of all."""
+        """Change the limits of all budgets."""
         self._limits = limits
         for budget in self._budgets.values():
             budget.limits = limits
 
     def for_service(self, service: str) -> RetryBudget:
-        """Return a service's budget."""
+        """Return the budget of a service."""
         return self._budgets.setdefault(
             service, RetryBudget(self._limits, self._rounding)
         )
 
 
 def jittered_retry_after_s(load: float, random_unit: float) -> float:
-    """Return when a refused caller should come back, in seconds.
+    """Return after how many seconds a refused client should retry.
 
-    :param load: in-flight requests over live capacity; 1 is full.
-    :param random_unit: a random number from 0 to 1, so that refused callers
-        don't come back together.
+    :param load: requests in flight divided by live capacity; 1 is full.
+    :param random_unit: a random number from 0 to 1, so that refused clients
+        don't retry together.
     """
     base_s = min(30.0, 0.5 * max(1.0, load) ** 2)
     return round(base_s * (0.5 + random_unit), 2)
--- a/src/railfold/_internal/decisions/slow_start.py
+++ b/src/railfold/_internal/decisions/slow_start.py
@@ -1,6 +1,7 @@
-"""Slow start: a server that takes requests again gets its usual share step by step.
+"""Slow start: a server that accepts requests again gets its usual share gradually.
 
-All entries come back to it at about the same time, each with what it kept away.
+All entries return to the server at about the same time, each with the requests that it
+had sent elsewhere meanwhile.
 """
 
 from __future__ import annotations
@@ -9,9 +10,9 @@
 
 
 def slow_start_share(started_s: float, now_s: float, duration_s: float) -> float:
-    """Return which share of its usual requests a server gets now, from 0 to 1.
+    """Return a server's share of its usual requests now, from 0 to 1.
 
-    :param started_s: when it was first known to take requests again.
-    :param duration_s: how long its share grows.
+    :param started_s: when the server was first known to accept requests again.
+    :param duration_s: time over which the share grows from 0 to 1.
     """
     return max(0.0, min(1.0, (now_s - started_s) / duration_s))
--- a/tests/lib/backoffs.py
+++ b/tests/lib/backoffs.py
@@ -1,4 +1,4 @@
-"""Backend servers that shed load with Retry-After, and what they get meanwhile."""
+"""Backend servers that shed load with Retry-After, and the requests that they get."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from tests.lib.forwarding import Deployment
 from tests.lib.limits import ClientLoad, entry_of
 
-# From so long after a refusal to the end of its Retry-After a server may get so many
-# requests from the entry that it refused.
+# A server may get ``MAX_REQUESTS_DURING_BACKOFF`` requests from the entry that it
+# refused, from ``GRACE_S`` after the refusal until the end of its Retry-After.
 GRACE_S = 0.5
 MAX_REQUESTS_DURING_BACKOFF = 2
 
@@ -21,8 +21,8 @@
 ) -> int:
     """Return the most requests from one entry within the backoff of one refusal.
 
-    :param entry_of: returns the entry that a request was sent to; nothing if it doesn't
-        count.
+    :param entry_of: returns the entry that a request was sent to, by the id of the
+        request; ``None`` if the request isn't counted.
     """
     max_requests = 0
     arrived = [(entry_of(a.request_id), a.at_s) for a in server.arrivals]
@@ -43,10 +43,10 @@
 
 @dataclass(repr=False)
 class SheddingScenarioResult:
-    """What came of a load beside servers that shed.
+    """Result of a client load while servers shed load.
 
-    :param shedding_began_s: when they began to shed.
-    :param shedding_ended_s: when they ended it.
+    :param shedding_began_s: when the servers began to shed load.
+    :param shedding_ended_s: when they stopped.
     """
 
     load: ClientLoad
@@ -54,7 +54,7 @@
     shedding_ended_s: float
 
     def served_share(self, from_s: float, to_s: float) -> float:
-        """Return which share of requests was answered in time between two times."""
+        """Return the share of the requests sent between two times that was served."""
         sent = self.load.sent_between(from_s, to_s)
         return sum(1 for r in sent if r.served) / max(1, len(sent))
 
@@ -69,7 +69,13 @@
     duration_s: float = 6.0,
     after_s: float = 0.0,
 ) -> SheddingScenarioResult:
-    """Send a load while servers refuse everything with Retry-After for some time."""
+    """Send a client load while servers refuse all requests for some time.
+
+    :param retry_after: value of the Retry-After header of the refusals.
+    :param before_s: duration of the load before the refusals.
+    :param duration_s: duration of the refusals.
+    :param after_s: duration of the load after the refusals.
+    """
     loop = asyncio.get_running_loop()
     sending = loop.create_task(load.send(before_s + duration_s + after_s))
     await asyncio.sleep(before_s)
--- a/tests/lib/limit_simulation.py
+++ b/tests/lib/limit_simulation.py
@@ -1,8 +1,8 @@
-"""Plays of entries that share a backend server's rate limit, without a network.
+"""Simulation of entries that share a backend server's rate limit, without a network.
 
-Each entry wants to send at times drawn by chance; messages between entries take
-milliseconds and may be lost; entries freeze, start again, and are cut off from the
-others. The server names its limit in all its answers.
+Entries have requests for the server at random times. Messages between entries take
+milliseconds and may be lost. Entries freeze, restart, and are cut off from the others.
+The server advertises its limit in each answer.
 """
 
 from __future__ import annotations
@@ -29,11 +29,13 @@
 
 SERVER = "i-1@1"
 
-# One way between entries, and from the arrival of a request to its answer's head.
+# Delay of a message between entries, and time from the arrival of a request at the
+# server to the arrival of the answer's head at the entry.
 _MESSAGE_DELAY_RANGE_S = (0.0005, 0.005)
 _ANSWER_DELAY_RANGE_S = (0.02, 0.1)
 
-# How long a holder's answer is waited for, and how often the word is told again.
+# Time limit of an issuer's answer, interval of reports to the other entries, and
+# interval of the entries' upkeep.
 _PERMIT_REPLY_TIMEOUT_S = 0.06
 _REPORT_INTERVAL_S = 1.0
 _UPKEEP_INTERVAL_S = 0.25
@@ -41,7 +43,7 @@
 
 @dataclass(frozen=True)
 class Limit:
-    """What a server names from a time on; ``None`` if nothing."""
+    """The limit that the server advertises from a time on; ``None`` for no limit."""
 
     from_s: float
     limit_per_s: float | None
@@ -49,10 +51,12 @@
 
 @dataclass(frozen=True)
 class Outage:
-    """An entry that is away for some time.
+    """A period in which an entry doesn't work as usual.
 
-    :param kind: ``"frozen"``, ``"restarted"`` (it forgets all), ``"cut"`` (no message
-        passes between it and another entry) or ``"gone"`` (dead, on the others' list).
+    :param entry: the number of the entry.
+    :param kind: ``"frozen"``, ``"restarted"`` (it loses its state), ``"cut"`` (no
+        message passes between it and another entry) or ``"gone"`` (it has stopped, but
+        the other entries still list it).
     """
 
     entry: int
@@ -61,18 +65,19 @@
     to_s: float
 
     def applies(self, entry: int, at_s: float, *kinds: str) -> bool:
-        """Return whether it is one of these kinds, and acts on an entry then."""
+        """Return whether an outage of these kinds affects an entry at a time."""
         in_effect = self.entry == entry and self.from_s <= at_s < self.to_s
         return in_effect and self.kind in kinds
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """A play's conditions.
+    """Conditions of a simulation.
 
-    :param demand_per_s: how often all entries together want to send to the server.
-    :param skew: how much more the first entry wants than any other.
-    :param loss_share: the share of messages between entries that get lost.
+    :param entries: number of entries.
+    :param demand_per_s: requests a second for the server, over all entries.
+    :param skew: demand of the first entry in relation to that of each other entry.
+    :param loss_share: share of messages between entries that are lost.
     """
 
     entries: int
@@ -86,7 +91,7 @@
 
 
 class Entry:
-    """One entry of the product's own parts."""
+    """An entry, made of the classes under test."""
 
     def __init__(self, simulation: Simulation, number: int) -> None:
         self.simulation = simulation
@@ -96,7 +101,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """Start anew."""
+        """Lose all state, as in a restart."""
         self.limits = AdvertisedLimits()
         self.sharing = PermitSharing(self.simulation.rng)
         self.report_due_s = float("-inf")
@@ -107,7 +112,7 @@
         return KnownEntries(self.name, names, len(self.simulation.entries))
 
     def request_send(self) -> None:
-        """Have a request that would go to the server."""
+        """Get a client's request for the server, and send it if there is a permit."""
         self._seek_permit(set())
 
     def _seek_permit(self, asked_names: set[str]) -> None:
@@ -160,7 +165,7 @@
         simulation.call_at(simulation.now_s + _PERMIT_REPLY_TIMEOUT_S, on_timeout)
 
     def answer_peer(self, peer: Entry) -> PermitOutcome:
-        """Answer another entry."""
+        """Answer another entry that asks for a permit."""
         self.receive_report(peer.limits.limit_per_s(SERVER), peer.latest_report_s)
         limit_per_s = self.limits.limit_per_s(SERVER)
         if limit_per_s is None:
@@ -171,18 +176,18 @@
 
     @property
     def latest_report_s(self) -> float:
-        """When the newest known word was given."""
+        """When the latest known report about the limit was received."""
         return self.simulation.now_s - self.limits.report_age_s(
             SERVER, self.simulation.now_s
         )
 
     def receive_report(self, limit_per_s: float | None, reported_s: float) -> None:
-        """Take another entry's word."""
+        """Record another entry's report about the limit."""
         self.limits.observe_peer(SERVER, limit_per_s, reported_s)
         self.report_due_s = max(self.report_due_s, reported_s + _REPORT_INTERVAL_S)
 
     def receive_answer(self, advertised_per_s: float | None, sent_s: float) -> None:
-        """Take the server's answer."""
+        """Record an answer of the server, and report its limit to the other entries."""
         simulation = self.simulation
         header = (
             NoRateLimit()
@@ -204,10 +209,10 @@
 
 
 class EqualShareEntry(Entry):
-    """An entry that keeps an equal part of the limit by itself."""
+    """An entry that uses an equal share of the limit without asking other entries."""
 
     def reset(self) -> None:
-        """Start anew."""
+        """Lose all state, as in a restart."""
         super().reset()
         self.schedule = PermitSchedule(self.simulation.now_s)
 
@@ -224,7 +229,7 @@
 
 @dataclass
 class Simulation:
-    """A run of one draw."""
+    """A run of one scenario."""
 
     scenario: Scenario
     entry_type: type[Entry] = Entry
@@ -236,17 +241,17 @@
     _sequence: itertools.count[int] = field(default_factory=itertools.count)
 
     def __post_init__(self) -> None:
-        """Make the entries."""
+        """Create the entries."""
         self.rng = random.Random(self.scenario.seed)
         self.entries = [self.entry_type(self, n) for n in range(self.scenario.entries)]
         self.by_name = {entry.name: entry for entry in self.entries}
 
     def call_at(self, at_s: float, action: Callable[[], None]) -> None:
-        """Do something later."""
+        """Schedule an action."""
         heapq.heappush(self._events, (at_s, next(self._sequence), action))
 
     def run(self) -> Simulation:
-        """Play to the end."""
+        """Run the scenario to its end."""
         scenario = self.scenario
         weights = [scenario.skew, *[1.0] * (scenario.entries - 1)]
         at_s = 0.0
@@ -256,8 +261,9 @@
             self.demand_times_s.append(at_s)
             (entry,) = self.rng.choices(self.entries, weights)
             self.call_at(
-                at_s, lambda entry=entry: self._run_if_up(entry, entry.request_send)
-            )  # type: ignore[misc]
+                at_s,
+                lambda entry=entry: self._run_if_up(entry, entry.request_send),  # type: ignore[misc]
+            )
         for outage in scenario.outages:
             if outage.kind == "restarted":
                 self.call_at(outage.to_s, self.entries[outage.entry].reset)
@@ -295,7 +301,7 @@
     def deliver(
         self, sender: Entry, receiver: Entry, action: Callable[[], None]
     ) -> None:
-        """Let something happen at another entry once a message has reached it."""
+        """Send a message that causes an action at its receiver, unless it is lost."""
         self.message_count += 1
         cut = self._is_in_outage(sender, "cut") or self._is_in_outage(receiver, "cut")
         if cut or self.rng.random() < self.scenario.loss_share:
@@ -310,13 +316,13 @@
         limit_per_s: float | None,
         reported_s: float,
     ) -> None:
-        """Tell another entry a word."""
+        """Send a report about the limit from one entry to another."""
         self.deliver(
             sender, receiver, lambda: receiver.receive_report(limit_per_s, reported_s)
         )
 
     def limit_at(self, at_s: float) -> float | None:
-        """Return what the server names at a time."""
+        """Return the limit that the server advertises at a time."""
         advertised_per_s = None
         for limit in self.scenario.limits:
             if limit.from_s <= at_s:
@@ -324,7 +330,7 @@
         return advertised_per_s
 
     def send(self, entry: Entry) -> None:
-        """Let a request reach the server, and its answer the entry."""
+        """Send a request of an entry to the server, and schedule its answer."""
         self.arrivals.append((self.now_s, entry.number))
         advertised_per_s, sent_s = self.limit_at(self.now_s), self.now_s
         answer_s = self.now_s + self.rng.uniform(*_ANSWER_DELAY_RANGE_S)
@@ -335,7 +341,7 @@
             ),
         )
 
-    # What came of it
+    # Results
 
     def _is_excused(self, entry: int, at_s: float) -> bool:
         return any(
@@ -344,7 +350,7 @@
         )
 
     def max_excess(self) -> float:
-        """Return by how many requests the fullest window is over what is allowed."""
+        """Return by how many requests the fullest window exceeds what is allowed."""
         first_limit_s = min(limit.from_s for limit in self.scenario.limits)
         counted = [
             at_s
@@ -366,7 +372,7 @@
         return worst
 
     def _highest_limit(self, from_s: float, to_s: float) -> float:
-        """Return the highest limit of a window."""
+        """Return the highest limit that was advertised in or right before a window."""
         limits_so_far = [
             limit.limit_per_s for limit in self.scenario.limits if limit.from_s <= to_s
         ]
@@ -383,11 +389,11 @@
         return max([*inside, *before[-1:], *([] if limits_so_far else [0.0])])
 
     def sent_share(self, from_s: float, to_s: float) -> float:
-        """Return which share of the wishes to send between two times led to one."""
+        """Return the share of the requests between two times that were sent."""
         demands = sum(1 for at_s in self.demand_times_s if from_s <= at_s < to_s)
         return self.received_per_s(from_s, to_s) * (to_s - from_s) / demands
 
     def received_per_s(self, from_s: float, to_s: float) -> float:
-        """Return how many requests a second the server got between two times."""
+        """Return the rate at which the server got requests between two times."""
         received = sum(1 for at_s, _ in self.arrivals if from_s <= at_s < to_s)
         return received / (to_s - from_s)
--- a/tests/lib/limits.py
+++ b/tests/lib/limits.py
@@ -1,4 +1,4 @@
-"""Clients of a deployment in which backend servers name rate limits."""
+"""Clients of a deployment in which backend servers advertise rate limits."""
 
 from __future__ import annotations
 
@@ -10,33 +10,36 @@
 from standins.chaining_engine import Engine
 from tests.lib.forwarding import Deployment, Reply, until
 
-# In any window of this length a server may get so many times what its limit allows, and
-# so many requests more, from entries that it had told so long before each of them.
+# In any window of ``WINDOW_S`` a server with a limit may get ``ALLOWED_FACTOR`` times
+# the requests that the limit allows, and ``ALLOWED_EXTRA`` more. Only requests of
+# entries that received the limit at least ``NOTIFIED_BEFORE_S`` earlier are counted.
 WINDOW_S = 4.0
 ALLOWED_FACTOR = 1.5
 ALLOWED_EXTRA = 5
 NOTIFIED_BEFORE_S = 0.5
 
-# Windows that end before this time after a limit was first named don't count.
+# Windows that end earlier than this after a limit was first advertised aren't checked.
 SETTLING_S = 3.0
 
-# Of the route's configuration in the tests' deployments.
+# Latency objective of the routes in the tests' deployments.
 OBJECTIVE_S = 0.5
 
 _READ_TIMEOUT_S = 3.0
 
 
 def allowed_requests(limit_per_s: float) -> float:
-    """Return how many requests a server with this limit may get in a window."""
+    """Return how many requests a server with a limit may get in a window."""
     return ALLOWED_FACTOR * limit_per_s * WINDOW_S + ALLOWED_EXTRA
 
 
 @dataclass
 class SentRequest:
-    """A client's request and what came of it.
+    """A client's request and its answer.
 
-    :param entry: the number of the entry that it was sent to.
-    :param head_received_s: when its answer's head came, if it did.
+    :param entry: number of the entry that the request was sent to.
+    :param head_received_s: when the head of the answer arrived, if it did.
+    :param reply: the whole answer, if it arrived.
+    :param ended_s: when the client received the end of the answer or gave up.
     """
 
     request_id: str
@@ -48,7 +51,7 @@
 
     @property
     def served(self) -> bool:
-        """Whether it was answered in time."""
+        """Whether the request was served within the latency objective."""
         if self.head_received_s is None or self.reply is None:
             return False
         in_time = self.head_received_s - self.sent_s <= OBJECTIVE_S
@@ -56,15 +59,15 @@
 
     @property
     def refused(self) -> bool:
-        """Whether its client was told to come back."""
+        """Whether the request was refused with status 503."""
         return self.reply is not None and self.reply.status == 503
 
 
 @dataclass(repr=False)
 class ClientLoad:
-    """Clients that each send one request, to entries drawn by chance.
+    """Clients that each send one request to a random entry.
 
-    :param shares: what share of them each entry gets, in parts of their sum.
+    :param shares: relative shares of the requests by entry; equal shares by default.
     """
 
     deployment: Deployment
@@ -76,7 +79,7 @@
     _tasks: list[asyncio.Task[None]] = field(default_factory=list)
 
     async def send(self, duration_s: float) -> None:
-        """Send for so long, at times drawn by chance."""
+        """Send requests at random times for ``duration_s``."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + duration_s
         due_s = loop.time()
@@ -91,7 +94,7 @@
             self._tasks.append(loop.create_task(self._send(request)))
 
     async def wait_for_replies(self) -> None:
-        """Wait for all answers."""
+        """Wait until all requests have been answered or given up."""
         await asyncio.gather(*self._tasks)
 
     async def _send(self, request: SentRequest) -> None:
@@ -99,7 +102,7 @@
         connection = await self.deployment.connect(request.entry)
         try:
             async with asyncio.timeout(_READ_TIMEOUT_S):
-                # Contents differ: none is held against another.
+                # Contents differ, so that no request is quarantined because of another.
                 body = request.request_id.encode()
                 await connection.send(
                     self.path, request.request_id, events=10, body=body
@@ -121,7 +124,10 @@
 def first_notified_s(
     load: ClientLoad, server: Engine, from_s: float
 ) -> dict[int, float]:
-    """Return when each entry first passed on an answer of a server with a limit."""
+    """Return when each entry first passed on an answer with a server's limit.
+
+    Entries that did so before ``from_s`` are left out.
+    """
     arrived_ids = {arrival.request_id for arrival in server.arrivals}
     notified_s: dict[int, float] = {}
     for request in load.sent:
@@ -141,9 +147,9 @@
 def max_requests_in_window(
     load: ClientLoad, server: Engine, limits_began_s: float, until_s: float
 ) -> int:
-    """Return the most requests that a server got in a window that counts.
+    """Return the largest number of counted requests in any checked window.
 
-    :param limits_began_s: when it first named its limit.
+    :param limits_began_s: when the server first advertised its limit.
     :param until_s: when it last did.
     """
     notified_s = first_notified_s(load, server, limits_began_s)
@@ -165,16 +171,16 @@
 
 
 def entry_of(request_id: str) -> int:
-    """Return the number of the entry that a request of a load was sent to."""
+    """Return the number of the entry that a client's request was sent to."""
     return int(request_id.split("-")[0].removeprefix("e"))
 
 
 @dataclass(repr=False)
 class LimitScenarioResult:
-    """What came of a load beside limits.
+    """Result of a client load while servers advertised limits.
 
-    :param limits_began_s: when the limits were first named.
-    :param limits_ended_s: when they were last named.
+    :param limits_began_s: when the servers first advertised their limits.
+    :param limits_ended_s: when they last did.
     """
 
     load: ClientLoad
@@ -182,18 +188,18 @@
     limits_ended_s: float
 
     def max_in_window(self, server: Engine) -> int:
-        """Return the most requests that a server got in a window that counts."""
+        """Return the largest number of counted requests in any checked window."""
         return max_requests_in_window(
             self.load, server, self.limits_began_s, self.limits_ended_s
         )
 
     def received_per_s(self, server: Engine, from_s: float, to_s: float) -> float:
-        """Return how many requests a second a server got between two times."""
+        """Return the rate at which a server got requests between two times."""
         received = sum(1 for a in server.arrivals if from_s <= a.at_s < to_s)
         return received / (to_s - from_s)
 
     def served_share(self, from_s: float, to_s: float) -> float:
-        """Return which share of requests was answered in time between two times."""
+        """Return the share of the requests sent between two times that was served."""
         sent = self.load.sent_between(from_s, to_s)
         return sum(1 for r in sent if r.served) / max(1, len(sent))
 
@@ -207,9 +213,12 @@
     duration_s: float = 8.0,
     after_s: float = 0.0,
 ) -> LimitScenarioResult:
-    """Send a load while servers name limits for some time.
+    """Send a client load while servers advertise limits for some time.
 
-    :param limits: what servers name, by their ids.
+    :param limits: the texts that servers advertise, by server id.
+    :param before_s: duration of the load before the limits.
+    :param duration_s: duration of the limits.
+    :param after_s: duration of the load after the limits.
     """
     await until(lambda: all_know_peers(deployment.entries))
     loop = asyncio.get_running_loop()
@@ -229,7 +238,7 @@
 
 
 def knows_peers(entry: object) -> bool:
-    """Return whether an entry and the others can tell each other anything."""
+    """Return whether an entry can exchange messages with all other entries."""
     gauges = entry.metrics.gauges  # type: ignore[attr-defined]
     recognizes = entry.recognizes_requests  # type: ignore[attr-defined]
     members = gauges.get("entries")
@@ -237,5 +246,5 @@
 
 
 def all_know_peers(entries: Sequence[object]) -> bool:
-    """Return whether all entries can tell each other anything."""
+    """Return whether all entries can exchange messages with each other."""
     return all(map(knows_peers, entries))
--- a/tests/lib/shedding_simulation.py
+++ b/tests/lib/shedding_simulation.py
@@ -1,8 +1,8 @@
-"""Drawn plays of servers that shed load with Retry-After, without processes.
+"""Simulation of servers that shed load with Retry-After, without processes.
 
-Time passes in steps. Servers take what their rate allows and queue a little; those in
-need refuse a part of what they get, with Retry-After. Entries decide with the product's
-own state of backoffs; clients come back once.
+Servers serve requests at a fixed rate and have a short queue. Overloaded servers refuse
+a share of their requests with Retry-After. Entries choose servers by means of the
+backoff classes under test. Clients retry a refused request once.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 OVERLOAD_PERIOD_S = (2.0, 8.0)
 DURATION_S = 14.0
 
-# A server refuses what would wait for longer than this.
+# A server refuses requests that would wait in its queue for longer than this.
 MAX_QUEUE_S = 0.2
 
 MAX_ATTEMPTS = 3
@@ -33,12 +33,16 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """One situation.
-
-    :param load: requests, in parts of what the servers that aren't in need can serve.
-    :param overloaded_count: servers in need.
-    :param refused_share: which part of its requests a server in need refuses.
-    :param shared: whether an entry's backoff holds for all entries.
+    """Conditions of a simulation.
+
+    :param entries: number of entries.
+    :param load: rate of requests, as a share of the rate that the servers that aren't
+        overloaded can serve.
+    :param servers: number of servers.
+    :param overloaded_count: number of overloaded servers among them.
+    :param refused_share: share of its requests that an overloaded server refuses.
+    :param shared: whether a backoff of one entry applies to all entries.
+    :param rate_per_s: rate of requests that one server can serve.
     """
 
     entries: int
@@ -53,9 +57,12 @@
 
 @dataclass
 class Outcome:
-    """What clients and servers saw from the first need to a second after its end.
+    """Result of a simulation; clients are counted that began during the overload.
 
-    :param max_during_backoff: most requests of one entry to one server within a backoff.
+    :param max_during_backoff: largest number of requests from one entry to one server
+        within a backoff.
+    :param first_served_s: when an overloaded server first served a request after the
+        overload.
     """
 
     client_count: int = 0
@@ -67,7 +74,7 @@
 
     @property
     def served_share(self) -> float:
-        """Which part of clients was served in time."""
+        """Share of the clients that were served within the latency objective."""
         return self.served_count / max(1, self.client_count)
 
 
@@ -120,7 +127,7 @@
         return self.outcome
 
     def handle(self, arrival: _Arrival) -> _Arrival | None:
-        """Serve a request, or return its client's next one."""
+        """Handle a request; return the client's retry if there is one."""
         counted = OVERLOAD_PERIOD_S[0] <= arrival.first_sent_s < OVERLOAD_PERIOD_S[1]
         if counted and arrival.return_count == 0:
             self.outcome.client_count += 1
@@ -138,7 +145,7 @@
     def attempt(
         self, entry: int, arrival: _Arrival
     ) -> tuple[float | None, RefusalCause]:
-        """Return when a request is served, or why it isn't."""
+        """Return when a request is served, or ``None`` and the cause of its refusal."""
         now_s, tried_ids = arrival.at_s, set[str]()
         backoffs = self.backoffs[0 if self.scenario.shared else entry]
         request_id = f"{arrival.number}-{arrival.return_count}"
@@ -214,5 +221,5 @@
 
 
 def run(scenario: Scenario) -> Outcome:
-    """Run a play."""
+    """Run the simulation of a scenario."""
     return _Simulation(scenario).run()
--- a/tests/unit/test_advertised_limits.py
+++ b/tests/unit/test_advertised_limits.py
@@ -1,4 +1,8 @@
-"""Which rate limit of a backend server holds, by its newest word."""
+"""Rate limits that backend servers advertise: which limit an entry keeps to.
+
+Answers arrive out of order and reports of other entries arrive late. An entry that
+applied them in the order of arrival would keep an ended limit or drop one in force.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
 
 @pytest.fixture
 def limits() -> AdvertisedLimits:
-    """A server has named a limit of 2 a second at 10 s."""
+    """Return limits with 2 requests a second, advertised by a server at 10 s."""
     limits = AdvertisedLimits()
     assert limits.observe(
         SERVER, RateLimitAdvertised(2.0), 9.8, 10.0
@@ -49,6 +53,7 @@
 def test_answer_to_an_earlier_request_does_not_end_the_limit(
     limits: AdvertisedLimits,
 ) -> None:
+    """The request was sent before the limit was known, and its answer took long."""
     assert limits.observe(SERVER, NoRateLimit(), 9.9, 12.0) is None
     assert limits.limit_per_s(SERVER) == 2.0
 
@@ -56,6 +61,7 @@
 def test_answer_to_an_earlier_request_does_not_restore_an_ended_limit(
     limits: AdvertisedLimits,
 ) -> None:
+    """The request was sent before the end of the limit, and its answer took long."""
     limits.observe(SERVER, NoRateLimit(), 10.1, 10.2)
     assert limits.observe(SERVER, RateLimitAdvertised(2.0), 10.15, 12.0) is None
     assert limits.observe(
@@ -66,6 +72,7 @@
 def test_unreadable_limit_changes_nothing_and_is_reported_once(
     limits: AdvertisedLimits,
 ) -> None:
+    """A malformed header must not end a limit, nor fill the log."""
     header = UnreadableRateLimit("nan")
     assert limits.observe(SERVER, header, 10.1, 10.2) == UnreadableRateLimit("nan")
     assert limits.observe(SERVER, header, 10.2, 10.3) is None
@@ -92,6 +99,7 @@
 def test_traffic_share_grows_gradually_after_a_limit_ends(
     limits: AdvertisedLimits,
 ) -> None:
+    """All entries return to the server together and must not overload it again."""
     limits.observe(SERVER, NoRateLimit(), 20.0, 20.1)
     shares = [
         limits.traffic_share(SERVER, 20.1 + at_s) for at_s in (0.0, 1.0, 2.0, 6.0)
@@ -103,6 +111,7 @@
 
 
 def test_unconfirmed_limit_lapses(limits: AdvertisedLimits) -> None:
+    """An entry that is cut off and gets no permits can't learn that a limit ended."""
     assert limits.lapse_unconfirmed(13.0, 1) == {}
     (lapsed,) = limits.lapse_unconfirmed(15.0, 1).values()
     assert isinstance(lapsed, LimitLapsed)
@@ -110,7 +119,11 @@
 
 
 def test_limit_lapses_later_with_more_entries(limits: AdvertisedLimits) -> None:
-    """Each of 21 entries that are cut off from each other tries once in 10 s."""
+    """Many entries that are cut off from each other don't exceed the limit.
+
+    Each of them sends a request when the limit lapses. With 21 entries and a limit of 2
+    a second, each entry may send one request in 10 s.
+    """
     assert limits.lapse_unconfirmed(15.0, 21) == {}
     assert limits.lapse_unconfirmed(21.0, 21) != {}
     limits.observe(SERVER, RateLimitAdvertised(2.0), 30.0, 30.0)
@@ -121,7 +134,7 @@
 def test_peer_report_restores_a_lapsed_limit(
     limits: AdvertisedLimits,
 ) -> None:
-    """Else the one where it lapsed would hand out permits without a bound."""
+    """An issuer at which the limit has lapsed doesn't issue unlimited permits."""
     limits.lapse_unconfirmed(15.0, 1)
     assert limits.observe_peer(SERVER, 2.0, 10.0) == RateLimitAdvertised(2.0)
 
--- a/tests/unit/test_avoidance.py
+++ b/tests/unit/test_avoidance.py
@@ -1,4 +1,8 @@
-"""Backend servers that refuse work get none for a while."""
+"""Backend servers that refuse requests get less load for a while.
+
+Each request to a server that is still full costs a retry. A server that got nothing
+after a refusal would stand idle as soon as its other requests had ended.
+"""
 
 from __future__ import annotations
 
@@ -49,7 +53,9 @@
     avoidance = Avoidance()
     avoidance.record_refusal("i-1", 10.0, load=5000, request_load=1000)
     assert avoidance.is_avoided("i-1", 10.01, load=5000)
-    assert not avoidance.is_avoided("i-1", 10.01, load=4000), "one has ended there"
+    assert not avoidance.is_avoided("i-1", 10.01, load=4000), (
+        "one request has ended there"
+    )
 
 
 def test_allowed_load_grows_by_one_request_per_interval() -> None:
--- a/tests/unit/test_client_retry_after.py
+++ b/tests/unit/test_client_retry_after.py
@@ -1,4 +1,8 @@
-"""When refused callers come back, and whom they meet then."""
+"""Delays after which refused clients return, by the cause of the refusal.
+
+Clients that return too early or all together are refused again. Clients that return too
+late miss their latency objective although a server could have served them.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +31,7 @@
 
 
 def test_clients_retry_soon_if_another_entry_serves() -> None:
-    """They came back after 0.25 to 0.75 s, most of them late for 0.5 s."""
+    """Delays of 0.25 to 0.75 s make most clients miss their objective of 0.5 s."""
     assert sorted_delays_s(ProofMissingHere())[-1] <= 0.2 * OBJECTIVE_S
 
 
@@ -48,7 +52,7 @@
 
 @pytest.mark.parametrize("cause", [NoCapacity(), ProofMissingEverywhere(2.0)])
 def test_clients_refused_together_do_not_return_together(cause: RefusalCause) -> None:
-    """400 that are refused at once meet room for one in five within each 50 ms."""
+    """400 clients are refused at once; there is room for one in five within 50 ms."""
     delays_s = sorted_delays_s(cause)
     for first in range(20):
         since_s = first * 0.05
@@ -73,13 +77,16 @@
 
 
 def test_delay_for_a_distant_permit_is_bounded() -> None:
-    """They may be well by then; 17 s were told where one request in 5 s is taken."""
+    """The limit may end before the permit is available.
+
+    Without the bound, a limit of one request in 5 s causes a delay of 17 s.
+    """
     assert sorted_delays_s(RateLimited(30.0))[-1] <= 2.0
 
 
 @pytest.mark.parametrize("left_s", [0.1, 1.0, 3.0])
 def test_clients_return_after_the_first_backoff_ends(left_s: float) -> None:
-    """They came back after 0.25 to 0.75 s, eight times within 3 s."""
+    """Delays of 0.25 to 0.75 s make a client return eight times within 3 s."""
     delays_s = sorted_delays_s(ServersBackingOff(left_s, others_can_serve=False))
     assert delays_s[0] >= left_s
     assert delays_s[-1] - delays_s[0] >= 0.2
--- a/tests/unit/test_eligibility.py
+++ b/tests/unit/test_eligibility.py
@@ -1,4 +1,7 @@
-"""Which backend servers may be sent a request now, by the part that they would take."""
+"""Eligibility of backend servers for a request, by their role in it.
+
+A request that is sent to an ineligible server is refused or lost and costs a retry.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +28,7 @@
 
 
 class EligibilitySetup:
-    """A server and all that may bar it."""
+    """A server, and all state that may make it ineligible."""
 
     def __init__(self) -> None:
         self.directory = EngineDirectory()
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -1,4 +1,8 @@
-"""Permits to send to a server with a rate limit: who hands them out, and to whom."""
+"""Permits to send requests to a server with a rate limit: issuers and their answers.
+
+The permits of all issuers together must stay within the limit, while most of the limit
+remains usable.
+"""
 
 from __future__ import annotations
 
@@ -73,10 +77,11 @@
 
 
 @pytest.mark.parametrize("entries", [1, 2, 3, 5, 21, 68, 380])
-@pytest.mark.parametrize("per_s", [0.0, 0.3, 1.4, 2.5, 10.0, 200.0])
+@pytest.mark.parametrize("limit_per_s", [0.0, 0.3, 1.4, 2.5, 10.0, 200.0])
 def test_all_issuers_together_stay_within_the_limit(
     entries: int, limit_per_s: float
 ) -> None:
+    """One more issuer than selected is allowed for, since entries' lists may differ."""
     issuers = permit_issuers(SERVER, limit_per_s, known_entries(entries))
     per_issuer = int(issuers.burst + issuers.permits_per_s * WINDOW_S)
     surplus = min(1, entries - len(issuers.names))
@@ -103,6 +108,7 @@
 
 
 def test_entry_with_an_incomplete_list_issues_nothing_among_many() -> None:
+    """Many entries that are cut off would otherwise each issue permits of the limit."""
     assert permit_issuers(SERVER, 1.4, known_entries(1, entry_count=21)).names == ()
     assert permit_issuers(SERVER, 1.4, known_entries(1, entry_count=3)).names == (
         "entry-0",
@@ -114,7 +120,7 @@
 
 @pytest.fixture
 def asker() -> tuple[PermitSharing, KnownEntries]:
-    """An entry that doesn't hold permits of the server."""
+    """Return the state of an entry that is no issuer for the server."""
     issuers = permit_issuers(SERVER, 1.4, known_entries(21)).names
     own_number = next(n for n in range(21) if f"entry-{n}" not in issuers)
     return PermitSharing(random.Random(1)), known_entries(21, own_number)
@@ -123,6 +129,7 @@
 def test_issuer_that_denied_is_not_asked_before_its_next_permit(
     asker: tuple[PermitSharing, KnownEntries],
 ) -> None:
+    """Repeated requests for permits would load the issuers without any benefit."""
     sharing, entries = asker
     asked_names = set()
     while isinstance(
@@ -134,7 +141,7 @@
     assert decision == PermitDenied(pytest.approx(1.5))
     assert asked_names == set(permit_issuers(SERVER, 1.4, entries).names)
     assert isinstance(sharing.request_permit(SERVER, 1.4, entries, 6.6, 0.0), AskIssuer)
-    # Who can wait asks now, and another limit is another matter.
+    # An entry whose request can wait asks now, as does one that knows another limit.
     assert isinstance(sharing.request_permit(SERVER, 1.4, entries, 5.0, 1.6), AskIssuer)
     assert isinstance(sharing.request_permit(SERVER, 2.0, entries, 5.0, 0.0), AskIssuer)
 
@@ -167,7 +174,7 @@
 
 
 def test_urgent_requests_get_more_permits_without_starving_others() -> None:
-    """Two ranks of 5 a second each want one server that takes 2."""
+    """Two ranks with 5 requests a second each share a server with a limit of 2."""
     rng, schedule = random.Random(3), PermitSchedule(0.0)
     granted = [0, 0]
     for tick in range(2000):
--- a/tests/unit/test_rate_limit_header.py
+++ b/tests/unit/test_rate_limit_header.py
@@ -1,4 +1,8 @@
-"""What the head of an answer says of the rate that its server takes."""
+"""Values of the rate limit header that backend servers may send.
+
+A malformed value that was read as a limit, or as the end of one, would change the
+traffic to the server.
+"""
 
 from __future__ import annotations
 
--- a/tests/unit/test_rate_limit_simulation.py
+++ b/tests/unit/test_rate_limit_simulation.py
@@ -1,8 +1,9 @@
-"""Entries that share a server's rate limit keep it together, and make use of it.
+"""Entries that share a server's rate limit stay within it and use most of it.
 
-The bounds are the aim's: in no window of 4 s more than one and a half times what the
-limit allows and five more, and with demand 0.7 of it is used. Of equal parts, which
-entries keep alone, the plays tell why they don't do.
+In no window of 4 s may the server get more than 1.5 times the requests that the limit
+allows and 5 more. Under demand at least 0.7 of the limit must be used. Two tests show
+why equal shares of the limit, which entries use without asking each other, don't
+satisfy these bounds.
 """
 
 from __future__ import annotations
@@ -55,7 +56,7 @@
 
 
 def test_equal_shares_exceed_a_limit_that_few_entries_know() -> None:
-    """Each of 380 entries sends once before it hears by itself."""
+    """Each of 380 entries sends a request before its first answer tells the limit."""
     scenario = Scenario(380, (Limit(LIMIT_FROM_S, 1.4),), 12.0)
     assert (
         Simulation(scenario, EqualShareEntry).run().received_per_s(4.0, 14.0) > 2 * 1.4
@@ -78,7 +79,7 @@
     limits = (Limit(LIMIT_FROM_S, 1.4), Limit(10.0, None))
     simulation = Simulation(Scenario(entries, limits, 24.0, duration_s=22.0)).run()
     assert simulation.sent_share(16.0, 22.0) >= 0.95
-    # Not all at once either.
+    # The traffic must not return at once either.
     assert simulation.sent_share(10.0, 11.0) <= 0.4
     assert simulation.sent_share(11.0, 12.0) <= 0.7
 
@@ -94,7 +95,7 @@
 
 @st.composite
 def scenarios(draw: st.DrawFn) -> Scenario:
-    """Limits that change or end, uneven demand, lost messages, entries away."""
+    """Return scenarios of changing limits, uneven demand, lost messages and outages."""
     entries = draw(st.sampled_from([1, 2, 3, 5, 8, 21, 68]))
     limits = [Limit(LIMIT_FROM_S, draw(limit_rates))]
     if draw(st.booleans()):
@@ -128,7 +129,11 @@
 
 @pytest.mark.parametrize("entries", [1, 3, 8, 21])
 def test_permits_of_all_issuers_stay_within_the_limit(entries: int) -> None:
-    """Eight entries sent 2.03 a second in the 8 s from the limit's naming on."""
+    """Permits of several issuers must not add up to more than the limit.
+
+    The failure: eight entries send 2.03 requests a second in the first 8 s of a limit
+    of 1.4 a second.
+    """
     for seed in range(20):
         limits = (Limit(4.0, 1.4),)
         scenario = Scenario(
@@ -136,5 +141,5 @@
         )
         simulation = Simulation(scenario).run()
         assert simulation.received_per_s(16.0, 40.0) <= 1.4
-        # Beside bursts, what was sent before the first answer that names it.
+        # Includes bursts and what was sent before the first answer with the limit.
         assert simulation.received_per_s(5.0, 13.0) <= 1.5 * 1.4
--- a/tests/unit/test_requested_backoffs.py
+++ b/tests/unit/test_requested_backoffs.py
@@ -1,4 +1,8 @@
-"""When an entry may send to a backend server that asked for a backoff."""
+"""Backoffs that backend servers request: when an entry may send to the server again.
+
+A request that is sent before the end of a backoff adds to the load of a server that is
+shedding load.
+"""
 
 from __future__ import annotations
 
@@ -40,7 +44,7 @@
 
 
 def test_request_served_during_a_backoff_does_not_end_it() -> None:
-    """A request that was under way before proves nothing."""
+    """A request that was already in flight doesn't prove that the server recovered."""
     backoffs = backoffs_after_request()
     assert not backoffs.record_served("i-1", "r-0", 11.0)
     assert backoffs.ineligible_reason("i-1", 11.0) == BackingOff(13.0)
@@ -66,7 +70,7 @@
     assert backoffs.ineligible_reason("i-1", 13.15) is None
     backoffs.record_send("i-1", "r-2", 13.2)
     assert backoffs.ineligible_reason("i-1", 14.3) is None, (
-        "a silent one doesn't bar others for long"
+        "an unanswered trial excludes others only briefly"
     )
 
 
@@ -115,7 +119,7 @@
 def test_no_event_order_allows_a_request_during_a_backoff(
     steps: list[tuple[str, float, float]],
 ) -> None:
-    """Any order of answers, sends and ends, also after long pauses of the process."""
+    """Answers, sends and ends come in any order, also after pauses of the process."""
     backoffs = RequestedBackoffs()
     now_s, ends_s, in_flight_ids = 0.0, list[float](), list[str]()
     for number, (step, pause_s, delay_s) in enumerate(steps):
@@ -136,6 +140,7 @@
 
 
 def test_clients_are_redirected_while_most_other_entries_can_serve() -> None:
+    """A client should retry elsewhere at once unless most other entries are blocked."""
     blocked = BlockedEntries()
     assert blocked.others_can_serve("records", 3, 0.0)
     blocked.record_notice("entry-2", "records", 3.0, 0.0)
@@ -151,7 +156,10 @@
 def test_sampled_notices_show_the_blocked_share_of_many_entries(
     blocked_share: float, can_serve: bool
 ) -> None:
-    """Each that is barred tells eight; all to all would be megabytes a second."""
+    """Each blocked entry notifies eight others.
+
+    Notices from all entries to all others would take megabytes a second.
+    """
     rng = random.Random(1)
     names = [f"entry-{n}" for n in range(380)]
     views = {name: BlockedEntries() for name in names}
--- a/tests/unit/test_retry_after_header.py
+++ b/tests/unit/test_retry_after_header.py
@@ -1,4 +1,7 @@
-"""Values of Retry-After that backend servers may send."""
+"""Values of Retry-After that backend servers may send.
+
+A value that is misread ends a backoff too early, or excludes a server for too long.
+"""
 
 from __future__ import annotations
 
@@ -52,7 +55,7 @@
 
 
 def test_date_is_relative_to_the_servers_clock() -> None:
-    """Hosts' clocks differ, and jump."""
+    """The clocks of hosts differ and jump."""
     answered = formatdate(1_000_000_000, usegmt=True)
     until = formatdate(1_000_000_004, usegmt=True)
     header = PlatformDialect().retry_after(response_head(until, date=answered))
--- a/tests/unit/test_shedding_simulation.py
+++ b/tests/unit/test_shedding_simulation.py
@@ -1,4 +1,8 @@
-"""What clients get while servers shed load with Retry-After, over many entries."""
+"""Share of clients that is served while servers shed load, with many entries.
+
+Backoffs must keep requests away from overloaded servers without reducing what the other
+servers serve.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +35,7 @@
 def test_shedding_server_does_not_reduce_what_the_others_serve(
     entries: int, load: float
 ) -> None:
-    """The load that moves to them must not make them refuse more than they have to."""
+    """The load that moves to the other servers must not cause avoidable refusals."""
     beside_overloaded = mean_served_share(
         Scenario(entries, load, servers=3, overloaded_count=1)
     )
@@ -46,7 +50,7 @@
 def test_backoffs_per_entry_serve_more_than_shared_backoffs(
     entries: int, refused_share: float
 ) -> None:
-    """A server that refuses a part of its requests would get none at all."""
+    """A server that refuses some requests would get none if entries shared backoffs."""
     scenario = Scenario(
         entries, 1.0, servers=2, overloaded_count=2, refused_share=refused_share
     )
