--- a/src/railfold/_internal/decisions/placement/spread.py
+++ b/src/railfold/_internal/decisions/placement/spread.py
@@ -1,8 +1,8 @@
-"""Spreading a model's layers over the engines of a failure domain, in an order.
+"""Spreads of a model's layers over the engines of a failure domain.
 
-More memory for requests lets more of them run at a time, and leaves fewer layers to
-the fast engines, so that each request stays longer. The throughput tells which room is
-best: it is reckoned for each number of requests that is worth a look.
+If engines keep memory for more requests, more of them run at a time, but the fast
+engines hold fewer layers and each request takes longer. Spreads are therefore computed
+for several numbers of requests and compared by their throughput.
 """
 
 from __future__ import annotations
@@ -11,27 +11,28 @@
 from dataclasses import dataclass
 
 from railfold._internal.core import LayerRange
-from railfold._internal.decisions.placement.rooms import EngineRoom, max_layers
+from railfold._internal.decisions.placement.engines import EnginePlacement, max_layers
 from railfold._internal.decisions.placement.throughput import (
-    room_levels,
+    concurrency_levels,
     stage_residence_s,
 )
 from railfold._internal.decisions.routing_table import EngineModel
 
 __all__ = ["Spread", "best_spread", "spreads"]
 
-# Of spreads whose throughput is within this part of the best one's the fastest is
-# taken: the reckoning is no finer, and requests that stay less long are lost less.
-_ABOUT_BEST = 0.95
+# Of the spreads with at least this share of the best throughput, the one with the
+# shortest residence is used: the estimate isn't more accurate, and an engine that is
+# lost takes fewer requests along if they stay for less time.
+_NEAR_BEST_SHARE = 0.95
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Each layer of a model on one engine.
+    """A placement of each layer of a model on one engine.
 
-    :param layers: by engine; engines that aren't needed are left out.
-    :param requests: how many requests in flight each of the engines has room for.
-    :param residence_s: how long a request then stays.
+    :param layers: the layers by server id, without engines that get none.
+    :param requests: how many requests in flight each of the engines has memory for.
+    :param residence_s: how long a typical request runs with so many in flight.
     """
 
     layers: Mapping[str, LayerRange]
@@ -40,34 +41,39 @@
 
     @property
     def throughput_rps(self) -> float:
-        """How many requests a second the chain serves."""
+        """Requests a second that the chain serves."""
         return self.requests / self.residence_s
 
 
-def best_spread(engines: Sequence[EngineRoom], model: EngineModel) -> Spread | None:
-    """Return the spread that serves the most; nothing if the layers don't fit.
+def best_spread(
+    engines: Sequence[EnginePlacement], model: EngineModel
+) -> Spread | None:
+    """Return the spread with the best throughput and a short residence.
 
-    :param engines: in the order in which they take layers.
+    :param engines: the engines in the order of their layers.
+    :returns: ``None`` if the layers don't fit.
     """
-    found = list(spreads(engines, model))
-    if not found:
+    candidates = list(spreads(engines, model))
+    if not candidates:
         return None
-    most_rps = max(spread.throughput_rps for spread in found)
-    about_best = [s for s in found if s.throughput_rps >= _ABOUT_BEST * most_rps]
-    return min(about_best, key=lambda spread: spread.residence_s)
+    best_rps = max(spread.throughput_rps for spread in candidates)
+    near_best = [
+        s for s in candidates if s.throughput_rps >= _NEAR_BEST_SHARE * best_rps
+    ]
+    return min(near_best, key=lambda spread: spread.residence_s)
 
 
-def spreads(engines: Sequence[EngineRoom], model: EngineModel) -> Iterable[Spread]:
-    """Yield a spread for each number of requests in flight that is worth a look."""
-    for requests in room_levels(model):
-        most = [max_layers(e.accelerator, model, requests) for e in engines]
-        if sum(most) >= model.layer_count:
-            yield _spread(engines, most, model, requests)
+def spreads(engines: Sequence[EnginePlacement], model: EngineModel) -> Iterable[Spread]:
+    """Yield a spread for each concurrency level that leaves memory for all layers."""
+    for requests in concurrency_levels(model):
+        layer_limits = [max_layers(e.accelerator, model, requests) for e in engines]
+        if sum(layer_limits) >= model.layer_count:
+            yield _spread(engines, layer_limits, model, requests)
 
 
 def _spread(
-    engines: Sequence[EngineRoom],
-    most: Sequence[int],
+    engines: Sequence[EnginePlacement],
+    layer_limits: Sequence[int],
     model: EngineModel,
     requests: float,
 ) -> Spread:
@@ -75,7 +81,7 @@
     residence_s = 0.0
     first = 0
     for engine, size in zip(
-        engines, _sizes(engines, most, model.layer_count), strict=True
+        engines, _sizes(engines, layer_limits, model.layer_count), strict=True
     ):
         if size == 0:
             continue
@@ -86,20 +92,23 @@
 
 
 def _sizes(
-    engines: Sequence[EngineRoom], most: Sequence[int], layer_count: int
+    engines: Sequence[EnginePlacement], layer_limits: Sequence[int], layer_count: int
 ) -> list[int]:
-    """Return how many layers each engine runs; the fastest run their most.
+    """Return how many layers each engine runs, as many as possible on the fastest.
 
-    Few engines that are full make a shorter chain than many that aren't. Of equal
-    ones those come first that hold layers already.
+    A chain of few full engines has fewer stages than one of many engines with memory to
+    spare. Of equally fast engines, those that hold layers come first.
     """
     sizes = [0] * len(engines)
-    left = layer_count
+    remaining = layer_count
     by_speed = sorted(
         range(len(engines)),
-        key=lambda i: (engines[i].accelerator.step_factor, engines[i].held is None),
+        key=lambda i: (
+            engines[i].accelerator.step_factor,
+            engines[i].held_layers is None,
+        ),
     )
     for i in by_speed:
-        sizes[i] = min(most[i], left)
-        left -= sizes[i]
+        sizes[i] = min(layer_limits[i], remaining)
+        remaining -= sizes[i]
     return sizes
