--- a/src/railfold/_internal/decisions/chain_activity.py
+++ b/src/railfold/_internal/decisions/chain_activity.py
@@ -30,11 +30,11 @@
 
 # A stream that got an event within this time, or two of its chain's usual pauses,
 # shows that the hosts it runs through are well: two to three events.
-_MOVING_S = 0.06
-_MOVING_FACTOR = 2.0
+_ACTIVE_S = 0.06
+_ACTIVE_FACTOR = 2.0
 
 # Fewer streams that pause together prove too little.
-_MIN_STREAMS = 2
+_MIN_STALLED_STREAMS = 2
 
 # The event loop's own delay that makes a pause prove nothing.
 _MAX_LOOP_DELAY_S = 0.03
@@ -42,24 +42,24 @@
 # Weight of one pause in the mean, and how soon a chain that nobody uses any more
 # is believed to be as fast as its accelerators again.
 _PAUSE_WEIGHT = 0.05
-_FORGET_S = 4.0
+_SLOWNESS_DECAY_S = 4.0
 
 # Weight of one wait for a first event: an entry sees one every two seconds on a
 # chain of the grown sites, and a chain fills up within a second.
-_WAIT_WEIGHT = 0.4
+_FIRST_EVENT_WAIT_WEIGHT = 0.4
 
 # A slowness beyond this changes no choice.
-_MOST_SLOWNESS = 20.0
+_MAX_SLOWNESS = 20.0
 
 
 @dataclass(slots=True)
-class _Chain:
+class _ChainState:
     streams: int = 0
     last_event_s: float = 0.0
 
 
 @dataclass(slots=True)
-class _Pace:
+class _HostPace:
     """Mean pause, the same over the expected one, and when it was last seen.
 
     :param wait_s: mean wait for a first event, and when one was last seen.
@@ -67,7 +67,7 @@
 
     slowness: float = 1.0
     pause_s: float = 0.0
-    seen_s: float = 0.0
+    pause_seen_s: float = 0.0
     wait_s: float = 0.0
     wait_seen_s: float = 0.0
 
@@ -76,17 +76,17 @@
     """When each chain's streams last moved, at one entry."""
 
     def __init__(self) -> None:
-        self._chains: dict[ChainKey, _Chain] = {}
-        self._paces: dict[str, _Pace] = {}
+        self._chains: dict[ChainKey, _ChainState] = {}
+        self._paces: dict[str, _HostPace] = {}
 
-    def flowing(self, key: ChainKey, now_s: float) -> None:
+    def stream_started(self, key: ChainKey, now_s: float) -> None:
         """A stream over the chain got its first event."""
-        chain = self._chains.setdefault(key, _Chain())
+        chain = self._chains.setdefault(key, _ChainState())
         chain.streams += 1
         chain.last_event_s = now_s
 
-    def moved(
-        self, key: ChainKey, now_s: float, pause_s: float, expected_s: float
+    def event_received(
+        self, key: ChainKey, now_s: float, pause_s: float, expected_pause_s: float
     ) -> None:
         """A stream over the chain got an event.
 
@@ -96,26 +96,30 @@
         chain = self._chains.get(key)
         if chain is not None:
             chain.last_event_s = now_s
-        pace = self._paces.setdefault(key[0], _Pace())
-        slowness = min(pause_s / expected_s, _MOST_SLOWNESS)
+        pace = self._paces.setdefault(key[0], _HostPace())
+        slowness = min(pause_s / expected_pause_s, _MAX_SLOWNESS)
         pace.slowness += _PAUSE_WEIGHT * (slowness - pace.slowness)
         pace.pause_s += _PAUSE_WEIGHT * (pause_s - pace.pause_s)
-        pace.seen_s = now_s
+        pace.pause_seen_s = now_s
 
-    def begun(self, first_host: str, now_s: float, wait_s: float) -> None:
+    def first_event_received(
+        self, first_host: str, now_s: float, wait_s: float
+    ) -> None:
         """A request got its first event, ``wait_s`` after it was sent."""
-        pace = self._paces.setdefault(first_host, _Pace())
-        pace.wait_s += _WAIT_WEIGHT * (wait_s - pace.wait_s)
+        pace = self._paces.setdefault(first_host, _HostPace())
+        pace.wait_s += _FIRST_EVENT_WAIT_WEIGHT * (wait_s - pace.wait_s)
         pace.wait_seen_s = now_s
 
-    def waiting(self, first_host: str, now_s: float, wait_s: float) -> None:
+    def first_event_pending(self, first_host: str, now_s: float, wait_s: float) -> None:
         """A request has waited for its first event for ``wait_s`` until now."""
-        pace = self._paces.setdefault(first_host, _Pace())
+        pace = self._paces.setdefault(first_host, _HostPace())
         if wait_s > pace.wait_s:
             pace.wait_s = wait_s
             pace.wait_seen_s = now_s
 
-    def slowness(self, first_host: str, now_s: float, bearable_s: float) -> float:
+    def slowness(
+        self, first_host: str, now_s: float, acceptable_wait_s: float
+    ) -> float:
         """Return how slow chains that begin at a host are; 1 is as expected.
 
         :param bearable_s: the wait for a first event from which on a chain counts
@@ -124,36 +128,42 @@
         pace = self._paces.get(first_host)
         if pace is None:
             return 1.0
-        by_pauses = _faded(pace.slowness, now_s - pace.seen_s)
-        waits = min(pace.wait_s / bearable_s, _MOST_SLOWNESS)
-        return max(by_pauses, _faded(waits, now_s - pace.wait_seen_s))
+        pause_slowness = _decayed_slowness(pace.slowness, now_s - pace.pause_seen_s)
+        wait_slowness = min(pace.wait_s / acceptable_wait_s, _MAX_SLOWNESS)
+        return max(
+            pause_slowness, _decayed_slowness(wait_slowness, now_s - pace.wait_seen_s)
+        )
 
-    def moved_since(self, at_s: float) -> set[str]:
+    def active_hosts_since(self, at_s: float) -> set[str]:
         """Return the hosts that a stream which moved since then, or just before, uses.
 
         Those are well.
         """
-        since_s = at_s - _MOVING_S
-        moved = [key for key, c in self._chains.items() if c.last_event_s > since_s]
-        return {host for key in moved for host in key}
+        since_s = at_s - _ACTIVE_S
+        active_keys = [
+            key for key, c in self._chains.items() if c.last_event_s > since_s
+        ]
+        return {host for key in active_keys for host in key}
 
-    def late_chains(self, ratio: float, now_s: float) -> list[ChainKey]:
+    def slow_chains(self, min_ratio: float, now_s: float) -> list[ChainKey]:
         """Return chains with streams whose pauses are longer than expected.
 
         :param ratio: by how many times.
         """
-        return [key for key in self._chains if self._pause_ratio(key, now_s) >= ratio]
+        return [
+            key for key in self._chains if self._pause_ratio(key, now_s) >= min_ratio
+        ]
 
     def _pause_ratio(self, key: ChainKey, now_s: float) -> float:
         pace = self._pace(key)
-        return _faded(pace.slowness, now_s - pace.seen_s)
+        return _decayed_slowness(pace.slowness, now_s - pace.pause_seen_s)
 
-    def forget(self, known_hosts: set[str]) -> None:
+    def retain_hosts(self, known_hosts: set[str]) -> None:
         """Forget all hosts but these."""
         for host in set(self._paces) - known_hosts:
             del self._paces[host]
 
-    def ended(self, key: ChainKey) -> None:
+    def stream_ended(self, key: ChainKey) -> None:
         """A stream over the chain that had got events ended."""
         chain = self._chains.get(key)
         if chain is None:
@@ -162,7 +172,7 @@
         if chain.streams <= 0:
             del self._chains[key]
 
-    def suspects(
+    def suspect_hosts(
         self, key: ChainKey, now_s: float, loop_delay_s: float
     ) -> tuple[str, ...]:
         """Return the hosts of a chain that no moving stream runs through.
@@ -171,32 +181,34 @@
         """
         if loop_delay_s > _MAX_LOOP_DELAY_S:
             return ()
-        limit_s = max(_MOVING_S, _MOVING_FACTOR * self._pace(key).pause_s)
-        moving: set[str] = set()
+        limit_s = max(_ACTIVE_S, _ACTIVE_FACTOR * self._pace(key).pause_s)
+        active: set[str] = set()
         for other, chain in self._chains.items():
             if now_s - chain.last_event_s < limit_s:
-                moving.update(other)
-        return tuple(host for host in key if host not in moving)
+                active.update(other)
+        return tuple(host for host in key if host not in active)
 
-    def stalled(self, key: ChainKey, now_s: float, loop_delay_s: float) -> bool:
+    def is_stalled(self, key: ChainKey, now_s: float, loop_delay_s: float) -> bool:
         """Return whether the chain surely stands still, and others don't."""
-        suspects = set(self.suspects(key, now_s, loop_delay_s))
+        suspects = set(self.suspect_hosts(key, now_s, loop_delay_s))
         if not suspects:
             return False
-        through = [c for k, c in self._chains.items() if not suspects.isdisjoint(k)]
-        if sum(chain.streams for chain in through) < _MIN_STREAMS:
+        suspect_chains = [
+            c for k, c in self._chains.items() if not suspects.isdisjoint(k)
+        ]
+        if sum(chain.streams for chain in suspect_chains) < _MIN_STALLED_STREAMS:
             return False
         stall_s = max(_STALL_S, _STALL_FACTOR * self._pace(key).pause_s)
-        if any(now_s - chain.last_event_s < stall_s for chain in through):
+        if any(now_s - chain.last_event_s < stall_s for chain in suspect_chains):
             return False
-        others = [c for k, c in self._chains.items() if suspects.isdisjoint(k)]
-        moving = [c for c in others if now_s - c.last_event_s < _STALL_S]
-        return bool(moving) and 2 * len(moving) >= len(others)
+        other_chains = [c for k, c in self._chains.items() if suspects.isdisjoint(k)]
+        active = [c for c in other_chains if now_s - c.last_event_s < _STALL_S]
+        return bool(active) and 2 * len(active) >= len(other_chains)
 
-    def _pace(self, key: ChainKey) -> _Pace:
-        return self._paces.get(key[0], _Pace())
+    def _pace(self, key: ChainKey) -> _HostPace:
+        return self._paces.get(key[0], _HostPace())
 
 
-def _faded(slowness: float, age_s: float) -> float:
+def _decayed_slowness(slowness: float, age_s: float) -> float:
     """Return what is left of a slowness that was seen some time ago."""
-    return 1.0 + (max(1.0, slowness) - 1.0) * math.exp(-age_s / _FORGET_S)
+    return 1.0 + (max(1.0, slowness) - 1.0) * math.exp(-age_s / _SLOWNESS_DECAY_S)
--- a/src/railfold/_internal/decisions/chain_choice.py
+++ b/src/railfold/_internal/decisions/chain_choice.py
@@ -18,19 +18,19 @@
 __all__ = [
     "ChainOption",
     "RatedChain",
-    "blindness",
+    "choose_for_risky_request",
     "choose_option",
-    "choose_rated",
-    "choose_sparing",
+    "choose_rated_chain",
+    "load_uncertainty",
 ]
 
 # Of so many chains that are drawn the best is taken. Two spread the load well and miss
 # the better ones often; with more, entries with the same news send to the same chain.
-_DRAWN = 3
+_SAMPLED_CHAINS = 3
 
 # How many times as likely an entry that sees nothing stays with an engine that a kept
 # connection leads to. Entries have several such engines, so that a slow one loses.
-_STAYING = 4.0
+_CONNECTED_WEIGHT = 4.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,10 +47,10 @@
     """
 
     cost: float
-    room: float
+    capacity: float
     connected: bool
-    sure: bool = True
-    first_replaceable: bool = False
+    confirmed: bool = True
+    first_engine_replaceable: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -65,40 +65,44 @@
 
     cost: float
     throughput_rps: float
-    has_room: bool
-    in_time: bool
+    has_capacity: bool
+    meets_objectives: bool
 
 
-def choose_rated(chains: Sequence[RatedChain], entries: int, rng: random.Random) -> int:
+def choose_rated_chain(
+    chains: Sequence[RatedChain], entries: int, rng: random.Random
+) -> int:
     """Return the index of the chain to take.
 
     The best of a few, drawn by what each can serve: all entries know about the same,
     and would otherwise send to the same chain until the news of it is there.
     """
-    preferred = [i for i, chain in enumerate(chains) if chain.has_room]
-    candidates = preferred or list(range(len(chains)))
-    in_time = [i for i in candidates if chains[i].in_time]
-    candidates = in_time or candidates
+    with_capacity = [i for i, chain in enumerate(chains) if chain.has_capacity]
+    candidates = with_capacity or list(range(len(chains)))
+    meeting_objectives = [i for i in candidates if chains[i].meets_objectives]
+    candidates = meeting_objectives or candidates
     if entries > 1:
 
-        def draw(index: int) -> float:
+        def sampling_key(index: int) -> float:
             rate = max(1e-6, chains[index].throughput_rps)
             return math.log(max(1e-12, rng.random())) / rate
 
-        candidates = sorted(candidates, key=draw, reverse=True)[:_DRAWN]
+        candidates = sorted(candidates, key=sampling_key, reverse=True)[
+            :_SAMPLED_CHAINS
+        ]
     return min(candidates, key=lambda index: chains[index].cost)
 
 
-def blindness(rooms: Sequence[float], entries: int) -> float:
+def load_uncertainty(capacities: Sequence[float], entries: int) -> float:
     """Return how little an entry knows of the load, from 0 to 1.
 
     1 if every entry could fill a chain together with the others by one request each,
     before any of them sees it.
     """
-    if not rooms:
+    if not capacities:
         return 0.0
-    mean_room = max(1.0, sum(rooms) / len(rooms))
-    return min(1.0, (entries - 1) / mean_room)
+    mean_capacity = max(1.0, sum(capacities) / len(capacities))
+    return min(1.0, (entries - 1) / mean_capacity)
 
 
 def choose_option(
@@ -111,30 +115,38 @@
     aren't sure are left out if that leaves half of them, so that the load of the others
     is doubled at most.
     """
-    sure = [index for index, option in enumerate(options) if option.sure]
-    candidates = sure if 2 * len(sure) >= len(options) else range(len(options))
-    blind = blindness([option.room for option in options], entries)
+    confirmed = [index for index, option in enumerate(options) if option.confirmed]
+    candidates = (
+        confirmed if 2 * len(confirmed) >= len(options) else range(len(options))
+    )
+    uncertainty = load_uncertainty([option.capacity for option in options], entries)
 
-    def key(index: int) -> float:
+    def sort_key(index: int) -> float:
         option = options[index]
-        weight = max(1.0, option.room) * (_STAYING if option.connected else 1.0)
+        weight = max(1.0, option.capacity) * (
+            _CONNECTED_WEIGHT if option.connected else 1.0
+        )
         # The least of such keys is a draw in proportion to weights (Gumbel's trick).
-        chance = -math.log(-math.log(max(1e-12, rng.random())) + 1e-12)
-        return math.log(max(1e-9, option.cost)) - blind * (math.log(weight) + chance)
+        gumbel_noise = -math.log(-math.log(max(1e-12, rng.random())) + 1e-12)
+        return math.log(max(1e-9, option.cost)) - uncertainty * (
+            math.log(weight) + gumbel_noise
+        )
 
-    return min(candidates, key=key)
+    return min(candidates, key=sort_key)
 
 
-def choose_sparing(options: Sequence[ChainOption]) -> int | None:
+def choose_for_risky_request(options: Sequence[ChainOption]) -> int | None:
     """Return the index of the chain that a request takes which may end its engine.
 
     One whose first engine others can replace; else the one with the least room; none if
     it is the last one, so that the others are still served: a request that has ended
     two engines would else take the first engine of the last failure domain too.
     """
-    replaceable = [i for i, option in enumerate(options) if option.first_replaceable]
+    replaceable = [
+        i for i, option in enumerate(options) if option.first_engine_replaceable
+    ]
     if replaceable:
         return min(replaceable, key=lambda index: options[index].cost)
     if len(options) < 2:
         return None
-    return min(range(len(options)), key=lambda index: options[index].room)
+    return min(range(len(options)), key=lambda index: options[index].capacity)
--- a/src/railfold/_internal/decisions/chain_costs.py
+++ b/src/railfold/_internal/decisions/chain_costs.py
@@ -16,12 +16,18 @@
 import random
 from dataclasses import dataclass
 
-from railfold._internal.decisions.chain_prediction import StageState, read_s
+from railfold._internal.decisions.chain_prediction import StageState, stage_prefill_s
 from railfold._internal.decisions.placement import stage_token_s
 from railfold._internal.decisions.planner import Replica
 from railfold._internal.decisions.routing_table import EngineModel
 
-__all__ = ["Candidate", "RequestNeeds", "candidate", "news_spread", "scarcity"]
+__all__ = [
+    "RequestNeeds",
+    "StageCandidate",
+    "rate_candidate",
+    "scarcity",
+    "unseen_occupancy",
+]
 
 # What time counts beside room: a chain that uses up a whole objective costs as much
 # more than an immediate one as a server that is a third full costs more than an idle
@@ -33,15 +39,15 @@
 _RISKY_OCCUPANCY = 0.85
 
 # Scarcity grows linearly beyond this, so that full servers can be told apart.
-_MOST_CURVED = 0.95
+_LINEAR_FROM_OCCUPANCY = 0.95
 
 # The share of all requests that may go to one server before the news of it is there:
 # entries draw among several chains.
-_TOGETHER = 0.3
+_UNSEEN_REQUEST_SHARE = 0.3
 
 # A route whose objective is loose leaves the fastest accelerators to tighter ones
 # unless they have far more room.
-_LOOSE_WEIGHT = 0.5
+_SLACK_WEIGHT = 0.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,7 +64,7 @@
     answer_tokens: int
     objective_s: float
     allowed_pause_s: float
-    looseness: float = 0.0
+    objective_slack: float = 0.0
 
     @property
     def total_tokens(self) -> int:
@@ -67,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Candidate:
+class StageCandidate:
     """A replica with what it costs to run some of its layers.
 
     :param risk: of a rejection, however few layers it runs.
@@ -81,12 +87,12 @@
 
     replica: Replica
     state: StageState
-    risk: float
-    share_per_layer: float
-    stage_s: float
+    rejection_risk: float
+    objective_cost_per_layer: float
+    overhead_s: float
     layer_s: float
-    room_per_layer: float
-    has_room: bool
+    scarcity_per_layer: float
+    has_capacity: bool
 
 
 def _occupancy(state: StageState, needs: RequestNeeds, max_sequences: int) -> float:
@@ -101,15 +107,17 @@
     return max(tokens, (state.load.sequences + 1.0) / max_sequences)
 
 
-def scarcity(occupied: float) -> float:
+def scarcity(occupancy: float) -> float:
     """Return the cost of room: what an M/M/1 queue adds at this utilization."""
-    if occupied <= _MOST_CURVED:
-        return occupied / (1.0 - occupied)
-    slope = 1.0 / (1.0 - _MOST_CURVED) ** 2
-    return scarcity(_MOST_CURVED) + slope * (occupied - _MOST_CURVED)
+    if occupancy <= _LINEAR_FROM_OCCUPANCY:
+        return occupancy / (1.0 - occupancy)
+    slope = 1.0 / (1.0 - _LINEAR_FROM_OCCUPANCY) ** 2
+    return scarcity(_LINEAR_FROM_OCCUPANCY) + slope * (
+        occupancy - _LINEAR_FROM_OCCUPANCY
+    )
 
 
-def news_spread(
+def unseen_occupancy(
     state: StageState, model: EngineModel, entries: int, arriving_rps: float
 ) -> float:
     """Return which share of a server may have been taken unseen.
@@ -117,20 +125,22 @@
     By entries whose parts aren't known, one request each, and by what has arrived
     everywhere since the oldest part that counts, as far as it may have gone there.
     """
-    unseen = (entries - 1) * (1.0 - state.load.known_share)
-    unseen += arriving_rps * state.load.age_s
-    room = state.capacity_tokens / model.mean_tokens
-    return min(1.0, _TOGETHER * unseen / max(1.0, room))
+    unseen_requests = (entries - 1) * (1.0 - state.load.known_share)
+    unseen_requests += arriving_rps * state.load.age_s
+    capacity_requests = state.capacity_tokens / model.mean_tokens
+    return min(
+        1.0, _UNSEEN_REQUEST_SHARE * unseen_requests / max(1.0, capacity_requests)
+    )
 
 
-def candidate(
+def rate_candidate(
     replica: Replica,
     state: StageState,
     model: EngineModel,
     needs: RequestNeeds,
-    spread: float,
+    unseen_share: float,
     rng: random.Random,
-) -> Candidate:
+) -> StageCandidate:
     """Return a replica with its costs.
 
     :param state: of all layers of the replica.
@@ -139,31 +149,39 @@
         all choose the same server.
     """
     is_first = replica.stage.layers.first == 0
-    occupied = _occupancy(state, needs, model.max_sequences if is_first else 0)
-    reckoned = occupied + spread * rng.expovariate(1.0)
-    risk = max(0.0, (reckoned - _RISKY_OCCUPANCY) / (1.0 - _RISKY_OCCUPANCY))
+    occupancy = _occupancy(state, needs, model.max_sequences if is_first else 0)
+    assumed_occupancy = occupancy + unseen_share * rng.expovariate(1.0)
+    rejection_risk = max(
+        0.0, (assumed_occupancy - _RISKY_OCCUPANCY) / (1.0 - _RISKY_OCCUPANCY)
+    )
     accelerator = state.accelerator
-    slowest = max(kind.step_factor for kind in model.accelerators.values())
-    rarity = max(0.0, 1.0 - accelerator.step_factor / slowest)
-    prompts = needs.prompt_tokens / max(1, model.mean_tokens - model.answer_tokens)
-    own_kind_s = (
+    slowest_factor = max(kind.step_factor for kind in model.accelerators.values())
+    relative_speed = max(0.0, 1.0 - accelerator.step_factor / slowest_factor)
+    relative_prompt_length = needs.prompt_tokens / max(
+        1, model.mean_tokens - model.answer_tokens
+    )
+    same_kind_chain_s = (
         accelerator.step_factor * model.step_s * max(1, needs.answer_tokens)
-        + accelerator.prefill_factor * model.prompt_s * prompts
+        + accelerator.prefill_factor * model.prompt_s * relative_prompt_length
     )
     token_s = stage_token_s(accelerator, model, state.layers, state.load.sequences)
     delay_s = stage_token_s(accelerator, model, 0, 0.0)
-    reading_s = read_s(state, model, needs.prompt_tokens)
+    prefill_s = stage_prefill_s(state, model, needs.prompt_tokens)
     pause_s = model.tokens_per_event * token_s
-    used = (reading_s + pause_s) / needs.objective_s + pause_s / needs.allowed_pause_s
-    running_s = reading_s + needs.answer_tokens * (token_s - delay_s)
-    return Candidate(
+    objective_share = (
+        prefill_s + pause_s
+    ) / needs.objective_s + pause_s / needs.allowed_pause_s
+    compute_s = prefill_s + needs.answer_tokens * (token_s - delay_s)
+    return StageCandidate(
         replica,
         state,
-        risk=risk,
-        share_per_layer=_TIME_WEIGHT * used / state.layers
-        + _LOOSE_WEIGHT * needs.looseness * rarity / model.layer_count,
-        stage_s=needs.answer_tokens * delay_s,
-        layer_s=running_s / state.layers,
-        room_per_layer=scarcity(reckoned) / own_kind_s / model.layer_count,
-        has_room=occupied <= 1.0,
+        rejection_risk=rejection_risk,
+        objective_cost_per_layer=_TIME_WEIGHT * objective_share / state.layers
+        + _SLACK_WEIGHT * needs.objective_slack * relative_speed / model.layer_count,
+        overhead_s=needs.answer_tokens * delay_s,
+        layer_s=compute_s / state.layers,
+        scarcity_per_layer=scarcity(assumed_occupancy)
+        / same_kind_chain_s
+        / model.layer_count,
+        has_capacity=occupancy <= 1.0,
     )
--- a/src/railfold/_internal/decisions/chain_prediction.py
+++ b/src/railfold/_internal/decisions/chain_prediction.py
@@ -14,7 +14,7 @@
 from railfold._internal.decisions.placement import stage_token_s
 from railfold._internal.decisions.routing_table import Accelerator, EngineModel
 
-__all__ = ["ChainPrediction", "StageState", "predict_chain", "read_s"]
+__all__ = ["ChainPrediction", "StageState", "predict_chain", "stage_prefill_s"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -46,7 +46,7 @@
     first_event_s: float
     pause_s: float
     finish_s: float
-    room_tokens: float
+    free_tokens: float
 
 
 def predict_chain(
@@ -59,20 +59,20 @@
     token_s = sum(
         stage_token_s(s.accelerator, model, s.layers, s.load.sequences) for s in stages
     )
-    reading_s = sum(read_s(stage, model, prompt_tokens) for stage in stages)
+    prefill_s = sum(stage_prefill_s(stage, model, prompt_tokens) for stage in stages)
     pause_s = model.tokens_per_event * token_s
     return ChainPrediction(
-        first_event_s=reading_s + pause_s,
+        first_event_s=prefill_s + pause_s,
         pause_s=pause_s,
-        finish_s=reading_s + answer_tokens * token_s,
-        room_tokens=min(s.capacity_tokens - s.load.tokens for s in stages),
+        finish_s=prefill_s + answer_tokens * token_s,
+        free_tokens=min(s.capacity_tokens - s.load.tokens for s in stages),
     )
 
 
-def read_s(stage: StageState, model: EngineModel, prompt_tokens: int) -> float:
+def stage_prefill_s(stage: StageState, model: EngineModel, prompt_tokens: int) -> float:
     """Return how long a stage takes to read what waits there and one prompt more."""
-    usual_tokens = max(1, model.mean_tokens - model.answer_tokens)
-    usual_s = stage.accelerator.prefill_factor * model.prompt_s
-    share = stage.layers / model.layer_count
-    waiting = stage.load.unread_tokens + prompt_tokens
-    return share * usual_s * waiting / usual_tokens
+    typical_prompt_tokens = max(1, model.mean_tokens - model.answer_tokens)
+    typical_prefill_s = stage.accelerator.prefill_factor * model.prompt_s
+    layer_share = stage.layers / model.layer_count
+    pending_tokens = stage.load.unread_tokens + prompt_tokens
+    return layer_share * typical_prefill_s * pending_tokens / typical_prompt_tokens
--- a/src/railfold/_internal/decisions/chain_search.py
+++ b/src/railfold/_internal/decisions/chain_search.py
@@ -20,7 +20,7 @@
 from typing import NamedTuple
 
 from railfold._internal.core import Chain, LayerRange, Stage
-from railfold._internal.decisions.chain_costs import Candidate
+from railfold._internal.decisions.chain_costs import StageCandidate
 from railfold._internal.decisions.chain_prediction import StageState
 from railfold._internal.decisions.coverage import uncovered
 
@@ -37,10 +37,10 @@
 
 # Where no domain lacks layers, a chain without a crossing that costs less than this is
 # kept: crossing costs as much where servers are half full.
-_WORTH_CROSSING = 1.0
+_MIN_COST_FOR_CROSSING = 1.0
 
 # Kinds of accelerators are looked at up to so many, evenly over their speeds.
-_MOST_SEARCHES = 4
+_MAX_SEARCHES = 4
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,48 +52,62 @@
     """
 
     cost: float
-    used: tuple[tuple[Candidate, LayerRange], ...]
+    stage_candidates: tuple[tuple[StageCandidate, LayerRange], ...]
 
     @property
     def chain(self) -> Chain:
         """The chain's stages."""
-        return Chain(tuple(_stage(found, layers) for found, layers in self.used))
+        return Chain(
+            tuple(
+                _build_stage(candidate, layers)
+                for candidate, layers in self.stage_candidates
+            )
+        )
 
     @property
     def duration_s(self) -> float:
         """How long the request takes there."""
-        return sum(c.stage_s + c.layer_s * len(layers) for c, layers in self.used)
+        return sum(
+            c.overhead_s + c.layer_s * len(layers)
+            for c, layers in self.stage_candidates
+        )
 
     @property
     def capacity_tokens(self) -> int:
         """The memory of its smallest stage."""
-        return min(found.state.capacity_tokens for found, _ in self.used)
+        return min(
+            candidate.state.capacity_tokens for candidate, _ in self.stage_candidates
+        )
 
     @property
-    def has_room(self) -> bool:
+    def has_capacity(self) -> bool:
         """Whether the request is predicted to fit at each stage."""
-        return all(found.has_room for found, _ in self.used)
+        return all(candidate.has_capacity for candidate, _ in self.stage_candidates)
 
     @property
-    def states(self) -> list[StageState]:
+    def stage_states(self) -> list[StageState]:
         """Its stages as they are known, with the layers that the chain runs."""
-        return [replace(c.state, layers=len(layers)) for c, layers in self.used]
+        return [
+            replace(c.state, layers=len(layers)) for c, layers in self.stage_candidates
+        ]
 
     @property
     def domains(self) -> tuple[str, ...]:
         """The failure domain of each stage."""
-        return tuple(found.replica.failure_domain for found, _ in self.used)
+        return tuple(
+            candidate.replica.failure_domain for candidate, _ in self.stage_candidates
+        )
 
 
 @dataclass(frozen=True, slots=True)
 class _Prices:
     """What a second of a chain and a unit of room count in one search."""
 
-    second: float
-    room: float
+    per_second: float
+    per_scarcity: float
 
 
-class _Priced(NamedTuple):
+class _PricedCandidate(NamedTuple):
     """A candidate with its costs in one search.
 
     :param end: the layer after its last one.
@@ -102,7 +116,7 @@
     first: int
     end: int
     domain: str
-    found: Candidate
+    candidate: StageCandidate
     stage_cost: float
     layer_cost: float
 
@@ -112,13 +126,13 @@
     """The cheapest way to some layer; ``before`` is without its last stage."""
 
     cost: float
-    last: Candidate
-    entered: int
-    before: _Path | None
+    last: StageCandidate
+    entry_layer: int
+    previous: _Path | None
 
 
 @dataclass(slots=True)
-class _Arrived:
+class _PathsToLayer:
     """Paths that end right before a layer.
 
     :param home: paths that never left the home domain.
@@ -138,7 +152,7 @@
 
 
 def search_all_chains(
-    candidates: Sequence[Candidate],
+    candidates: Sequence[StageCandidate],
     layer_count: int,
     home: str,
     crossing_cost: CrossingCost,
@@ -148,33 +162,41 @@
     Only servers that are predicted to have room lend or borrow: whether the others are
     tried is the decision of their own domain.
     """
-    domains = {found.replica.failure_domain for found in candidates}
-    whole = [d for d in domains if _covers(candidates, layer_count, d)]
-    in_whole = [c for c in candidates if c.replica.failure_domain in whole]
-    within = search_chains(in_whole, layer_count, home, None)
-    is_whole = len(whole) == len(domains)
-    if is_whole and within and within[0].cost < _WORTH_CROSSING:
-        return within
+    domains = {candidate.replica.failure_domain for candidate in candidates}
+    complete_domains = [d for d in domains if _covers(candidates, layer_count, d)]
+    in_complete_domains = [
+        c for c in candidates if c.replica.failure_domain in complete_domains
+    ]
+    single_domain = search_chains(in_complete_domains, layer_count, home, None)
+    all_complete = len(complete_domains) == len(domains)
+    if (
+        all_complete
+        and single_domain
+        and single_domain[0].cost < _MIN_COST_FOR_CROSSING
+    ):
+        return single_domain
     if all(crossing_cost(home, domain) == math.inf for domain in domains - {home}):
-        return within
-    with_room = [found for found in candidates if found.has_room]
-    across = search_chains(with_room, layer_count, home, crossing_cost)
-    borrowing = [found for found in across if crossings(found.domains)]
-    return sorted((*within, *borrowing), key=lambda found: found.cost)
+        return single_domain
+    with_capacity = [candidate for candidate in candidates if candidate.has_capacity]
+    multi_domain = search_chains(with_capacity, layer_count, home, crossing_cost)
+    borrowing = [found for found in multi_domain if crossings(found.domains)]
+    return sorted((*single_domain, *borrowing), key=lambda found: found.cost)
 
 
-def _covers(candidates: Iterable[Candidate], layer_count: int, domain: str) -> bool:
+def _covers(
+    candidates: Iterable[StageCandidate], layer_count: int, domain: str
+) -> bool:
     """Return whether a failure domain holds all layers."""
     ranges = (
-        found.replica.stage.layers
-        for found in candidates
-        if found.replica.failure_domain == domain
+        candidate.replica.stage.layers
+        for candidate in candidates
+        if candidate.replica.failure_domain == domain
     )
     return not uncovered(ranges, layer_count)
 
 
 def search_chains(
-    candidates: Iterable[Candidate],
+    candidates: Iterable[StageCandidate],
     layer_count: int,
     home: str,
     crossing_cost: CrossingCost | None,
@@ -184,78 +206,88 @@
     :param home: failure domain that a chain may make an excursion from.
     :param crossing_cost: without it chains stay in one domain, whichever it is.
     """
-    listed = [c for c in candidates if c.replica.stage.layers.last < layer_count]
+    usable = [c for c in candidates if c.replica.stage.layers.last < layer_count]
     chains: dict[tuple[str, ...], FoundChain] = {}
-    for prices in _prices(listed, layer_count):
-        for path in _search(listed, layer_count, home, crossing_cost, prices):
-            found = _found(path, crossing_cost)
+    for prices in _prices(usable, layer_count):
+        for path in _search(usable, layer_count, home, crossing_cost, prices):
+            found = _build_chain(path, crossing_cost)
             chains.setdefault(found.chain.hosts, found)
     return sorted(chains.values(), key=lambda found: found.cost)
 
 
-def _prices(candidates: Sequence[Candidate], layer_count: int) -> list[_Prices]:
+def _prices(candidates: Sequence[StageCandidate], layer_count: int) -> list[_Prices]:
     """Return the prices of chains of each kind of accelerator alone."""
-    kinds: dict[float, list[Candidate]] = {}
-    for found in candidates:
-        kinds.setdefault(found.state.accelerator.step_factor, []).append(found)
-    speeds = sorted(kinds)
-    if len(speeds) > _MOST_SEARCHES:
-        step = (len(speeds) - 1) / (_MOST_SEARCHES - 1)
-        speeds = [speeds[round(step * n)] for n in range(_MOST_SEARCHES)]
+    kinds: dict[float, list[StageCandidate]] = {}
+    for candidate in candidates:
+        kinds.setdefault(candidate.state.accelerator.step_factor, []).append(candidate)
+    step_factors = sorted(kinds)
+    if len(step_factors) > _MAX_SEARCHES:
+        stride = (len(step_factors) - 1) / (_MAX_SEARCHES - 1)
+        step_factors = [step_factors[round(stride * n)] for n in range(_MAX_SEARCHES)]
     prices = []
-    for speed in speeds:
-        members = kinds[speed]
-        second = sum(c.layer_s for c in members) / len(members) * layer_count
-        room = sum(c.room_per_layer for c in members) / len(members) * layer_count
-        prices.append(_Prices(second=room, room=second))
+    for step_factor in step_factors:
+        members = kinds[step_factor]
+        chain_s = sum(c.layer_s for c in members) / len(members) * layer_count
+        chain_scarcity = (
+            sum(c.scarcity_per_layer for c in members) / len(members) * layer_count
+        )
+        prices.append(_Prices(per_second=chain_scarcity, per_scarcity=chain_s))
     return prices
 
 
 def _search(
-    candidates: Iterable[Candidate],
+    candidates: Iterable[StageCandidate],
     layer_count: int,
     home: str,
     crossing_cost: CrossingCost | None,
     prices: _Prices,
 ) -> list[_Path]:
     """Return the cheapest path of each way of getting there."""
-    places = _cheapest_of_each_place(candidates, prices)
-    arrived = [_Arrived(None, {}, None) for _ in range(layer_count + 1)]
+    priced_candidates = _cheapest_per_range_and_domain(candidates, prices)
+    paths_by_layer = [_PathsToLayer(None, {}, None) for _ in range(layer_count + 1)]
     for layer in range(layer_count):
-        here = arrived[layer]
-        if layer and not (here.home or here.away or here.returned):
+        paths_here = paths_by_layer[layer]
+        if layer and not (paths_here.home or paths_here.away or paths_here.returned):
             continue
-        return_cost, returning = _cheapest_return(here, home, crossing_cost)
-        ways_out: dict[str, tuple[float, _Path | None]] = {}
-        for first, end, domain, found, stage_cost, layer_cost in places:
+        return_cost, returning = _cheapest_return(paths_here, home, crossing_cost)
+        exits: dict[str, tuple[float, _Path | None]] = {}
+        for first, end, domain, candidate, stage_cost, layer_cost in priced_candidates:
             if not first <= layer < end:
                 continue
             cost = stage_cost + layer_cost * (end - layer)
-            there = arrived[end]
+            paths_at_end = paths_by_layer[end]
             if domain != home:
-                way = ways_out.get(domain)
-                if way is None:
-                    way = _cheapest_way_out(here, home, domain, crossing_cost, layer)
-                    ways_out[domain] = way
-                total = way[0] + cost
-                known = there.away.get(domain)
-                if total < (known.cost if known else math.inf):
-                    there.away[domain] = _Path(total, found, layer, way[1])
+                exit_path = exits.get(domain)
+                if exit_path is None:
+                    exit_path = _cheapest_exit(
+                        paths_here, home, domain, crossing_cost, layer
+                    )
+                    exits[domain] = exit_path
+                total = exit_path[0] + cost
+                cheapest_known = paths_at_end.away.get(domain)
+                if total < (cheapest_known.cost if cheapest_known else math.inf):
+                    paths_at_end.away[domain] = _Path(
+                        total, candidate, layer, exit_path[1]
+                    )
                 continue
-            if layer == 0 or here.home is not None:
-                total = cost + (here.home.cost if here.home is not None else 0.0)
-                if there.home is None or total < there.home.cost:
-                    there.home = _Path(total, found, layer, here.home)
+            if layer == 0 or paths_here.home is not None:
+                total = cost + (
+                    paths_here.home.cost if paths_here.home is not None else 0.0
+                )
+                if paths_at_end.home is None or total < paths_at_end.home.cost:
+                    paths_at_end.home = _Path(total, candidate, layer, paths_here.home)
             total = return_cost + cost
-            if total < (there.returned.cost if there.returned else math.inf):
-                there.returned = _Path(total, found, layer, returning)
-    end_paths = arrived[layer_count]
-    found_paths = (end_paths.home, end_paths.returned, *end_paths.away.values())
-    return [path for path in found_paths if path is not None]
+            if total < (
+                paths_at_end.returned.cost if paths_at_end.returned else math.inf
+            ):
+                paths_at_end.returned = _Path(total, candidate, layer, returning)
+    end_paths = paths_by_layer[layer_count]
+    complete_paths = (end_paths.home, end_paths.returned, *end_paths.away.values())
+    return [path for path in complete_paths if path is not None]
 
 
-def _cheapest_way_out(
-    here: _Arrived,
+def _cheapest_exit(
+    paths_here: _PathsToLayer,
     home: str,
     domain: str,
     crossing_cost: CrossingCost | None,
@@ -265,59 +297,59 @@
     if layer == 0:
         return 0.0, None
     best: tuple[float, _Path | None] = (math.inf, None)
-    stayed = here.away.get(domain)
-    if stayed is not None:
-        best = (stayed.cost, stayed)
-    if here.home is not None and crossing_cost is not None:
-        cost = here.home.cost + crossing_cost(home, domain)
+    path_in_domain = paths_here.away.get(domain)
+    if path_in_domain is not None:
+        best = (path_in_domain.cost, path_in_domain)
+    if paths_here.home is not None and crossing_cost is not None:
+        cost = paths_here.home.cost + crossing_cost(home, domain)
         if cost < best[0]:
-            best = (cost, here.home)
+            best = (cost, paths_here.home)
     return best
 
 
 def _cheapest_return(
-    here: _Arrived, home: str, crossing_cost: CrossingCost | None
+    paths_here: _PathsToLayer, home: str, crossing_cost: CrossingCost | None
 ) -> tuple[float, _Path | None]:
     """Return the cheapest path that left home which a stage there may go on from."""
     best: tuple[float, _Path | None] = (math.inf, None)
-    if here.returned is not None:
-        best = (here.returned.cost, here.returned)
+    if paths_here.returned is not None:
+        best = (paths_here.returned.cost, paths_here.returned)
     if crossing_cost is not None:
-        for domain, path in here.away.items():
+        for domain, path in paths_here.away.items():
             cost = path.cost + crossing_cost(domain, home)
             if cost < best[0]:
                 best = (cost, path)
     return best
 
 
-def _cheapest_of_each_place(
-    candidates: Iterable[Candidate], prices: _Prices
-) -> list[_Priced]:
+def _cheapest_per_range_and_domain(
+    candidates: Iterable[StageCandidate], prices: _Prices
+) -> list[_PricedCandidate]:
     """Return the candidates that a chain may go over.
 
     What a path costs beyond its stages depends only on their places, so that of the
     candidates of one range in one failure domain the cheapest is enough.
     """
-    cheapest: dict[tuple[int, int, str], tuple[float, _Priced]] = {}
-    for found in candidates:
-        layers = found.replica.stage.layers
-        stage_cost = found.risk + prices.second * found.stage_s
+    cheapest: dict[tuple[int, int, str], tuple[float, _PricedCandidate]] = {}
+    for candidate in candidates:
+        layers = candidate.replica.stage.layers
+        stage_cost = candidate.rejection_risk + prices.per_second * candidate.overhead_s
         layer_cost = (
-            found.share_per_layer
-            + prices.second * found.layer_s
-            + prices.room * found.room_per_layer
+            candidate.objective_cost_per_layer
+            + prices.per_second * candidate.layer_s
+            + prices.per_scarcity * candidate.scarcity_per_layer
         )
-        whole = stage_cost + layer_cost * len(layers)
-        place = (layers.first, layers.last, found.replica.failure_domain)
-        known = cheapest.get(place)
-        if known is None or whole < known[0]:
-            cheapest[place] = (
-                whole,
-                _Priced(
+        total_cost = stage_cost + layer_cost * len(layers)
+        range_and_domain = (layers.first, layers.last, candidate.replica.failure_domain)
+        cheapest_known = cheapest.get(range_and_domain)
+        if cheapest_known is None or total_cost < cheapest_known[0]:
+            cheapest[range_and_domain] = (
+                total_cost,
+                _PricedCandidate(
                     layers.first,
                     layers.last + 1,
-                    found.replica.failure_domain,
-                    found,
+                    candidate.replica.failure_domain,
+                    candidate,
                     stage_cost,
                     layer_cost,
                 ),
@@ -325,26 +357,31 @@
     return [priced for _, priced in cheapest.values()]
 
 
-def _found(path: _Path, crossing_cost: CrossingCost | None) -> FoundChain:
-    used: list[tuple[Candidate, LayerRange]] = []
-    at: _Path | None = path
-    while at is not None:
-        layers = LayerRange(at.entered, at.last.replica.stage.layers.last)
-        used.append((at.last, layers))
-        at = at.before
-    used.reverse()
-    chain_s = FoundChain(0.0, tuple(used)).duration_s
-    room = sum(c.room_per_layer * len(layers) for c, layers in used)
-    cost = sum(c.risk + c.share_per_layer * len(layers) for c, layers in used)
-    cost += chain_s * room
+def _build_chain(path: _Path, crossing_cost: CrossingCost | None) -> FoundChain:
+    stage_candidates: list[tuple[StageCandidate, LayerRange]] = []
+    node: _Path | None = path
+    while node is not None:
+        layers = LayerRange(node.entry_layer, node.last.replica.stage.layers.last)
+        stage_candidates.append((node.last, layers))
+        node = node.previous
+    stage_candidates.reverse()
+    chain_s = FoundChain(0.0, tuple(stage_candidates)).duration_s
+    chain_scarcity = sum(
+        c.scarcity_per_layer * len(layers) for c, layers in stage_candidates
+    )
+    cost = sum(
+        c.rejection_risk + c.objective_cost_per_layer * len(layers)
+        for c, layers in stage_candidates
+    )
+    cost += chain_s * chain_scarcity
     if crossing_cost is not None:
-        domains = [c.replica.failure_domain for c, _ in used]
+        domains = [c.replica.failure_domain for c, _ in stage_candidates]
         cost += sum(crossing_cost(*pair) for pair in crossings(domains))
-    return FoundChain(cost, tuple(used))
+    return FoundChain(cost, tuple(stage_candidates))
 
 
-def _stage(found: Candidate, layers: LayerRange) -> Stage:
-    stage = found.replica.stage
+def _build_stage(candidate: StageCandidate, layers: LayerRange) -> Stage:
+    stage = candidate.replica.stage
     if layers == stage.layers:
         return stage
     return Stage(stage.host, stage.address, stage.incarnation, layers)
--- a/src/railfold/_internal/decisions/checkpoints.py
+++ b/src/railfold/_internal/decisions/checkpoints.py
@@ -22,24 +22,24 @@
     every_records: int
     max_age_s: float
     records: int = 0
-    _since_s: float | None = None
+    _first_record_s: float | None = None
 
     def record_seen(self, now_s: float) -> None:
         """A change was folded."""
         self.records += 1
-        if self._since_s is None:
-            self._since_s = now_s
+        if self._first_record_s is None:
+            self._first_record_s = now_s
 
     def checkpoint_seen(self) -> None:
         """Somebody's checkpoint of the present state stands in the log."""
         self.records = 0
-        self._since_s = None
+        self._first_record_s = None
 
     def due(self, now_s: float) -> bool:
         """Return whether a checkpoint is due."""
-        if self._since_s is None:
+        if self._first_record_s is None:
             return False
         return (
             self.records >= self.every_records
-            or now_s - self._since_s >= self.max_age_s
+            or now_s - self._first_record_s >= self.max_age_s
         )
--- a/src/railfold/_internal/decisions/configuration.py
+++ b/src/railfold/_internal/decisions/configuration.py
@@ -44,7 +44,7 @@
     "validate_body",
 ]
 
-_AUDIT_KEPT = 2000
+_MAX_AUDIT_ENTRIES = 2000
 
 
 @dataclass(frozen=True, slots=True)
@@ -165,8 +165,8 @@
 
 
 def _fault_text(fault: Mapping[str, Any]) -> str:
-    place = ".".join(str(part) for part in fault["loc"])
-    return f"{place}: {fault['msg']}" if place else str(fault["msg"])
+    location = ".".join(str(part) for part in fault["loc"])
+    return f"{location}: {fault['msg']}" if location else str(fault["msg"])
 
 
 @dataclass(slots=True)
@@ -183,7 +183,9 @@
     workspaces: dict[str, Workspace] = field(default_factory=dict)
     pipelines: dict[str, Pipeline] = field(default_factory=dict)
     services: dict[str, Service] = field(default_factory=dict)
-    audit: deque[AuditEntry] = field(default_factory=lambda: deque(maxlen=_AUDIT_KEPT))
+    audit: deque[AuditEntry] = field(
+        default_factory=lambda: deque(maxlen=_MAX_AUDIT_ENTRIES)
+    )
 
     def fold(
         self, offset: int, appended_s: float, record: ConfigurationRecord
@@ -197,9 +199,9 @@
         self.next_offset = offset + 1
         match record:
             case ChangeRecord():
-                entry = self._change(offset, appended_s, record)
+                entry = self._apply_change(offset, appended_s, record)
             case CheckpointRecord():
-                return self._checkpoint(offset, appended_s, record)
+                return self._compare_checkpoint(offset, appended_s, record)
         self.audit.append(entry)
         return entry
 
@@ -207,14 +209,14 @@
         """Pass over a record that can't be read."""
         self.next_offset = max(self.next_offset, offset + 1)
 
-    def _change(
+    def _apply_change(
         self, offset: int, appended_s: float, record: ChangeRecord
     ) -> AuditEntry:
         target = ObjectId(record.kind, record.name)
         stored = self.objects.get(target)
         current = stored.version if stored else 0
 
-        def entry(
+        def audit_entry(
             verdict: AuditVerdict, to_version: int, reasons: tuple[str, ...] = ()
         ) -> AuditEntry:
             return AuditEntry(
@@ -232,15 +234,17 @@
         if record.base_version != current:
             winner = stored.operator if stored else "nobody (the object is gone)"
             reason = f"{target} is at version {current}, last changed by {winner}"
-            return entry(AuditVerdict.CONFLICT, current, (reason,))
+            return audit_entry(AuditVerdict.CONFLICT, current, (reason,))
         try:
-            self._accept(target, record, offset + 1)
+            self._apply_to_object(target, record, offset + 1)
         except ConfigurationRefusedError as error:
-            return entry(AuditVerdict.REFUSED, current, tuple(error.faults))
+            return audit_entry(AuditVerdict.REFUSED, current, tuple(error.faults))
         self.version = offset + 1
-        return entry(AuditVerdict.ACCEPTED, self.version)
+        return audit_entry(AuditVerdict.ACCEPTED, self.version)
 
-    def _accept(self, target: ObjectId, record: ChangeRecord, version: int) -> None:
+    def _apply_to_object(
+        self, target: ObjectId, record: ChangeRecord, version: int
+    ) -> None:
         if record.body is None:
             self._check_deletion(target)
             self.objects.pop(target, None)
@@ -294,9 +298,9 @@
         name = target.name
         match model:
             case WorkspaceModel():
-                self.workspaces[name] = _workspace(name, model)
+                self.workspaces[name] = _build_workspace(name, model)
             case PipelineModel():
-                self.pipelines[name] = _pipeline(name, model)
+                self.pipelines[name] = _build_pipeline(name, model)
             case ServiceModel():
                 self.services[name] = Service(name, list(model.hosts))
 
@@ -309,7 +313,7 @@
             case "service":
                 self.services.pop(target.name, None)
 
-    def _checkpoint(
+    def _compare_checkpoint(
         self, offset: int, appended_s: float, record: CheckpointRecord
     ) -> AuditEntry | None:
         # A checkpoint never changes a state that was folded from records; it
@@ -364,19 +368,19 @@
         """
         if (state["version"], next_offset) <= (self.version, self.next_offset):
             return False
-        fresh = Configuration()
+        restored = Configuration()
         order = {"pipeline": 0, "service": 1, "workspace": 2}
         for item in sorted(state["objects"], key=lambda o: order.get(o["kind"], 3)):
             target = ObjectId(item["kind"], item["name"])
             model = validate_body(target.kind, target.name, item["body"])
-            fresh.objects[target] = StoredObject(
+            restored.objects[target] = StoredObject(
                 item["version"], item["operator"], item["body"]
             )
-            fresh._set_view(target, model)
-        self.objects = fresh.objects
-        self.workspaces = fresh.workspaces
-        self.pipelines = fresh.pipelines
-        self.services = fresh.services
+            restored._set_view(target, model)
+        self.objects = restored.objects
+        self.workspaces = restored.workspaces
+        self.pipelines = restored.pipelines
+        self.services = restored.services
         self.version = state["version"]
         self.next_offset = max(self.next_offset, next_offset)
         return True
@@ -387,7 +391,7 @@
     return hashlib.blake2b(encoded_state, digest_size=16).hexdigest()
 
 
-def _workspace(name: str, model: WorkspaceModel) -> Workspace:
+def _build_workspace(name: str, model: WorkspaceModel) -> Workspace:
     return Workspace(
         name,
         frozenset(model.credentials_sha256),
@@ -399,7 +403,7 @@
     )
 
 
-def _pipeline(name: str, model: PipelineModel) -> Pipeline:
+def _build_pipeline(name: str, model: PipelineModel) -> Pipeline:
     placements = {
         placement.host: LayerRange(placement.first_layer, placement.last_layer)
         for placement in model.placements
--- a/src/railfold/_internal/decisions/engine_directory.py
+++ b/src/railfold/_internal/decisions/engine_directory.py
@@ -25,20 +25,20 @@
     "DirectoryEntry",
     "EngineDirectory",
     "Registration",
-    "RegistrationTaken",
+    "RegistrationResult",
 ]
 
 # Of a service's servers so many may be left out of new work while it isn't known
 # whether they left or their registrations lapsed with the store: the others' load rises
 # by half at most. Where more are missing, the store has lost them.
-_MISSING_SHARE = 1.0 / 3.0
+_MAX_MISSING_SHARE = 1.0 / 3.0
 
 # Stands in a stage for the start of a backend server that doesn't tell it.
 UNKNOWN_INCARNATION = 0
 
 # Of so many servers that left the start is kept, so that an older registration that is
 # read late doesn't bring one back. Reads under way are some seconds old at most.
-_DEPARTED_KEPT = 4096
+_MAX_DEPARTED = 4096
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
     registration: Registration
     slowness: float = 1.0
     suspect_since_s: float | None = None
-    says_leaving: bool = False
+    announced_leaving: bool = False
     removal_due_s: float | None = None
 
     def stage(self, layers: LayerRange) -> Stage:
@@ -106,14 +106,14 @@
         incarnation = UNKNOWN_INCARNATION if started_at_ms is None else started_at_ms
         return Stage(self.server_id, self.registration.address, incarnation, layers)
 
-    def is_another(self, started_at_ms: int | None) -> bool:
+    def is_other_incarnation(self, started_at_ms: int | None) -> bool:
         """Return whether somebody who started then is surely another incarnation."""
-        return _differ(self.registration.started_at_ms, started_at_ms)
+        return _starts_differ(self.registration.started_at_ms, started_at_ms)
 
     @property
     def draining(self) -> bool:
         """Whether it takes no new work before its end."""
-        return self.registration.draining or self.says_leaving
+        return self.registration.draining or self.announced_leaving
 
     @property
     def routable(self) -> bool:
@@ -121,13 +121,13 @@
         return self.suspect_since_s is None and not self.draining
 
     @property
-    def missing(self) -> bool:
+    def removal_pending(self) -> bool:
         """Whether its registration was removed, or lapsed while the store was out."""
         return self.removal_due_s is not None
 
 
 @dataclass(frozen=True, slots=True)
-class RegistrationTaken:
+class RegistrationResult:
     """What became of a registration.
 
     :param entry: the incarnation that it tells of; none if it is outdated.
@@ -151,9 +151,9 @@
         self._departed_started_at_ms: dict[str, int] = {}
         # Kept beyond their entries: a registration that lapsed may return unchanged.
         self._leaving_ids: OrderedDict[str, None] = OrderedDict()
-        self._left_ids: OrderedDict[str, None] = OrderedDict()
-        self._returned_s: float | None = None
-        self._departed: deque[DirectoryEntry] = deque(maxlen=_DEPARTED_KEPT)
+        self._departed_ids: OrderedDict[str, None] = OrderedDict()
+        self._recovered_s: float | None = None
+        self._departed: deque[DirectoryEntry] = deque(maxlen=_MAX_DEPARTED)
 
     def __iter__(self) -> Iterator[DirectoryEntry]:
         return iter(self._entries.values())
@@ -162,19 +162,19 @@
         """Return an incarnation's entry."""
         return self._entries.get(server_id)
 
-    def registered_as(self, registered_id: str) -> DirectoryEntry | None:
+    def get_by_registered_id(self, registered_id: str) -> DirectoryEntry | None:
         """Return the backend server that is registered under an id."""
         return self._by_registered_id.get(registered_id)
 
-    def at(self, address: str) -> DirectoryEntry | None:
+    def get_by_address(self, address: str) -> DirectoryEntry | None:
         """Return the backend server that is registered at an address."""
         return self._by_address.get(address)
 
-    def store_returned(self, now_s: float) -> None:
+    def store_recovered(self, now_s: float) -> None:
         """The store answers again after an outage."""
-        self._returned_s = now_s
+        self._recovered_s = now_s
 
-    def register(self, registration: Registration) -> RegistrationTaken:
+    def register(self, registration: Registration) -> RegistrationResult:
         """Take a registration, new or renewed.
 
         A new incarnation under an id or at an address ends the one that was there: a
@@ -182,20 +182,22 @@
         what is known under its id was read late, and changes nothing. Starts of
         different ids aren't compared: their clocks may differ.
         """
-        known = self.registered_as(registration.registered_id)
-        in_place = self.at(registration.address)
+        known = self.get_by_registered_id(registration.registered_id)
+        at_address = self.get_by_address(registration.address)
         if self._is_outdated(registration, known):
-            return RegistrationTaken(None)
-        if known is not None and not known.is_another(registration.started_at_ms):
+            return RegistrationResult(None)
+        if known is not None and not known.is_other_incarnation(
+            registration.started_at_ms
+        ):
             entry = known
         else:
             entry = DirectoryEntry(registration.server_id, registration)
-        in_its_place = {e.server_id: e for e in (known, in_place) if e is not None}
-        ended = [e for e in in_its_place.values() if e is not entry]
+        replaced = {e.server_id: e for e in (known, at_address) if e is not None}
+        ended = [e for e in replaced.values() if e is not entry]
         for predecessor in ended:
-            self._depart(predecessor)
-        self._take(entry, registration)
-        return RegistrationTaken(entry, tuple(e.server_id for e in ended))
+            self._remove_entry(predecessor)
+        self._index_registration(entry, registration)
+        return RegistrationResult(entry, tuple(e.server_id for e in ended))
 
     def _is_outdated(
         self, registration: Registration, known: DirectoryEntry | None
@@ -203,9 +205,13 @@
         started_at_ms = registration.started_at_ms
         departed_ms = self._departed_started_at_ms.get(registration.registered_id)
         known_ms = known.registration.started_at_ms if known is not None else None
-        return _before(started_at_ms, departed_ms) or _before(started_at_ms, known_ms)
+        return _starts_before(started_at_ms, departed_ms) or _starts_before(
+            started_at_ms, known_ms
+        )
 
-    def _take(self, entry: DirectoryEntry, registration: Registration) -> None:
+    def _index_registration(
+        self, entry: DirectoryEntry, registration: Registration
+    ) -> None:
         """Let an entry say what was registered last."""
         if self._by_address.get(entry.registration.address) is entry:
             del self._by_address[entry.registration.address]
@@ -214,19 +220,19 @@
             started_at_ms = entry.registration.started_at_ms
             registration = replace(registration, started_at_ms=started_at_ms)
         entry.registration = registration
-        entry.says_leaving = entry.server_id in self._leaving_ids
+        entry.announced_leaving = entry.server_id in self._leaving_ids
         entry.removal_due_s = None
         self._entries[entry.server_id] = entry
         self._by_registered_id[registration.registered_id] = entry
         self._by_address[registration.address] = entry
 
-    def _depart(self, entry: DirectoryEntry) -> None:
+    def _remove_entry(self, entry: DirectoryEntry) -> None:
         registration = entry.registration
         self._departed.append(entry)
-        self._left_ids.pop(entry.server_id, None)
-        self._left_ids[entry.server_id] = None
-        if len(self._left_ids) > _DEPARTED_KEPT:
-            self._left_ids.popitem(last=False)
+        self._departed_ids.pop(entry.server_id, None)
+        self._departed_ids[entry.server_id] = None
+        if len(self._departed_ids) > _MAX_DEPARTED:
+            self._departed_ids.popitem(last=False)
         self._entries.pop(entry.server_id, None)
         if self._by_registered_id.get(registration.registered_id) is entry:
             del self._by_registered_id[registration.registered_id]
@@ -236,15 +242,17 @@
             departed = self._departed_started_at_ms
             departed.pop(registration.registered_id, None)
             departed[registration.registered_id] = registration.started_at_ms
-            if len(departed) > _DEPARTED_KEPT:
+            if len(departed) > _MAX_DEPARTED:
                 del departed[next(iter(departed))]
 
     def has_left(self, registration: Registration) -> bool:
         """Return whether this incarnation was seen to leave."""
-        known = self.registered_as(registration.registered_id)
-        if known is not None and not known.is_another(registration.started_at_ms):
+        known = self.get_by_registered_id(registration.registered_id)
+        if known is not None and not known.is_other_incarnation(
+            registration.started_at_ms
+        ):
             return known.draining
-        return registration.server_id in self._left_ids
+        return registration.server_id in self._departed_ids
 
     def mark_leaving(self, server_id: str) -> bool:
         """Take that an incarnation's answers say that it leaves; return if that is new.
@@ -254,14 +262,14 @@
         if server_id in self._leaving_ids:
             return False
         self._leaving_ids[server_id] = None
-        if len(self._leaving_ids) > _DEPARTED_KEPT:
+        if len(self._leaving_ids) > _MAX_DEPARTED:
             self._leaving_ids.popitem(last=False)
         entry = self._entries.get(server_id)
         if entry is not None:
-            entry.says_leaving = True
+            entry.announced_leaving = True
         return True
 
-    def take_departed(self) -> list[DirectoryEntry]:
+    def pop_departed(self) -> list[DirectoryEntry]:
         """Return those that have left since the last call, as they were known."""
         departed = list(self._departed)
         self._departed.clear()
@@ -269,14 +277,14 @@
 
     def remove(self, registered_id: str, now_s: float) -> None:
         """Take the removal of a registration."""
-        entry = self.registered_as(registered_id)
+        entry = self.get_by_registered_id(registered_id)
         if entry is None:
             return
         due_s = now_s
-        if self._returned_s is not None:
-            due_s = max(now_s, self._returned_s + RETURN_S)
+        if self._recovered_s is not None:
+            due_s = max(now_s, self._recovered_s + RETURN_S)
         if due_s <= now_s:
-            self._depart(entry)
+            self._remove_entry(entry)
         elif entry.removal_due_s is None:
             entry.removal_due_s = due_s
 
@@ -286,9 +294,9 @@
         Unlike a removal after an outage of the store it counts at once: somebody wrote
         it, nothing lapsed.
         """
-        entry = self.registered_as(registered_id)
+        entry = self.get_by_registered_id(registered_id)
         if entry is not None:
-            self._depart(entry)
+            self._remove_entry(entry)
 
     def expire(self, now_s: float) -> list[str]:
         """Drop entries whose removal has come to count; return their ids."""
@@ -298,10 +306,10 @@
             if entry.removal_due_s is not None and entry.removal_due_s <= now_s
         ]
         for entry in due:
-            self._depart(entry)
+            self._remove_entry(entry)
         return [entry.server_id for entry in due]
 
-    def suspect(self, server_id: str, now_s: float) -> bool:
+    def mark_suspect(self, server_id: str, now_s: float) -> bool:
         """Give it no new work; return whether it got any before."""
         entry = self._entries.get(server_id)
         if entry is None or entry.suspect_since_s is not None:
@@ -309,17 +317,17 @@
         entry.suspect_since_s = now_s
         return True
 
-    def cleared(self, server_id: str) -> None:
+    def clear_suspicion(self, server_id: str) -> None:
         """A probe found it well."""
         entry = self._entries.get(server_id)
         if entry is not None:
             entry.suspect_since_s = None
 
-    def of_service(self, service: str) -> list[DirectoryEntry]:
+    def servers_of(self, service: str) -> list[DirectoryEntry]:
         """Return a service's backend servers."""
         return [e for e in self._entries.values() if e.registration.service == service]
 
-    def doubtful(self, service: str) -> frozenset[str]:
+    def possibly_departed(self, service: str) -> frozenset[str]:
         """Return those servers that new work should avoid since they may have left.
 
         One entry alone may have been without the store, and then a server that is
@@ -327,14 +335,14 @@
         If the store was out for all, most registrations have lapsed, and none of them
         is avoided.
         """
-        routable = [e for e in self.of_service(service) if e.routable]
-        missing = [e for e in routable if e.missing]
-        if len(missing) > max(1.0, _MISSING_SHARE * len(routable)):
+        routable = [e for e in self.servers_of(service) if e.routable]
+        missing = [e for e in routable if e.removal_pending]
+        if len(missing) > max(1.0, _MAX_MISSING_SHARE * len(routable)):
             return frozenset()
         return frozenset(e.server_id for e in missing)
 
     def replicas(
-        self, service: str, region: str, load_of: Callable[[str], ServerLoad]
+        self, service: str, region: str, get_load: Callable[[str], ServerLoad]
     ) -> list[Replica]:
         """Return a plain service's backend servers that may get new work.
 
@@ -345,11 +353,11 @@
                 e.stage(LayerRange(0, 0)),
                 e.registration.failure_domain,
                 region,
-                in_flight=load_of(e.server_id).own_sequences,
+                in_flight=get_load(e.server_id).own_sequences,
                 capacity=max(1, e.registration.slots),
                 step_ms=1.0,
             )
-            for e in self.of_service(service)
+            for e in self.servers_of(service)
             if e.routable
         ]
 
@@ -358,7 +366,7 @@
         service: str,
         model: EngineModel,
         region: str,
-        load_of: Callable[[str], ServerLoad],
+        get_load: Callable[[str], ServerLoad],
         entries: int,
     ) -> list[Replica]:
         """Return a model's backend servers that hold layers and may get work.
@@ -370,7 +378,7 @@
         :param entries: how many entries there are.
         """
         found = []
-        for entry in self.of_service(service):
+        for entry in self.servers_of(service):
             registration = entry.registration
             layers = registration.layers
             accelerator = model.accelerators.get(registration.accelerator)
@@ -378,14 +386,14 @@
                 continue
             if registration.model != model.name or not model.has_layers(layers):
                 continue
-            capacity = max(1, model.state_tokens(accelerator, len(layers)))
+            capacity = max(1, model.capacity_tokens(accelerator, len(layers)))
             found.append(
                 Replica(
                     entry.stage(layers),
                     registration.failure_domain,
                     region,
-                    in_flight=_reckoned_load(
-                        load_of(entry.server_id), entries, capacity
+                    in_flight=_estimated_load(
+                        get_load(entry.server_id), entries, capacity
                     ),
                     capacity=capacity,
                     step_ms=accelerator.step_factor * len(layers) * entry.slowness,
@@ -394,7 +402,7 @@
         return found
 
 
-def _reckoned_load(load: ServerLoad, entries: int, capacity: int) -> int:
+def _estimated_load(load: ServerLoad, entries: int, capacity: int) -> int:
     """Return the load of all entries as far as it may count against a capacity.
 
     Others are taken to have sent where this entry did. Their announced load is the same
@@ -407,11 +415,11 @@
     return min(load.own_tokens * entries, capacity - 1)
 
 
-def _differ(one_ms: int | None, other_ms: int | None) -> bool:
+def _starts_differ(first_ms: int | None, second_ms: int | None) -> bool:
     """Return whether two starts are known, and aren't the same."""
-    return one_ms is not None and other_ms is not None and one_ms != other_ms
+    return first_ms is not None and second_ms is not None and first_ms != second_ms
 
 
-def _before(one_ms: int | None, other_ms: int | None) -> bool:
+def _starts_before(first_ms: int | None, second_ms: int | None) -> bool:
     """Return whether two starts are known, and the first was before the other."""
-    return one_ms is not None and other_ms is not None and one_ms < other_ms
+    return first_ms is not None and second_ms is not None and first_ms < second_ms
--- a/src/railfold/_internal/decisions/event_cursor.py
+++ b/src/railfold/_internal/decisions/event_cursor.py
@@ -24,7 +24,7 @@
     def __init__(self, last_id: int | None = None) -> None:
         self._last_id = last_id
         self._partial = b""
-        self._resumed = False
+        self._dropping_repeated = False
         self.events = 0
 
     @property
@@ -32,10 +32,10 @@
         """The id of the last event that was passed on."""
         return self._last_id
 
-    def resumed(self) -> None:
+    def resume(self) -> None:
         """Another attempt continues the answer."""
         self._partial = b""
-        self._resumed = True
+        self._dropping_repeated = True
 
     @property
     def partial(self) -> bool:
@@ -46,31 +46,31 @@
         """Take bytes as they arrive; return the whole events among them."""
         data = self._partial + data if self._partial else data
         end = _end_of_last_event(data)
-        whole, self._partial = data[:end], data[end:]
-        if not whole:
-            return whole
-        if self._resumed:
-            whole = self._without_repeated(whole)
-        ids = _EVENT_ID.findall(whole)
+        complete, self._partial = data[:end], data[end:]
+        if not complete:
+            return complete
+        if self._dropping_repeated:
+            complete = self._drop_repeated(complete)
+        ids = _EVENT_ID.findall(complete)
         if ids:
             self._last_id = int(ids[-1])
             self.events += len(ids)
-        return whole
+        return complete
 
-    def _without_repeated(self, whole: bytes) -> bytes:
+    def _drop_repeated(self, complete: bytes) -> bytes:
         """Drop events that the client already has from a new attempt's start."""
         start = 0
-        while start < len(whole):
-            match = _EVENT_END.search(whole, start)
-            end = match.end() if match else len(whole)
-            found = _EVENT_ID.search(whole, start, end)
+        while start < len(complete):
+            match = _EVENT_END.search(complete, start)
+            end = match.end() if match else len(complete)
+            found = _EVENT_ID.search(complete, start, end)
             if found is None or self._last_id is None:
                 break
             if int(found.group(1)) > self._last_id:
-                self._resumed = False
+                self._dropping_repeated = False
                 break
             start = end
-        return whole[start:]
+        return complete[start:]
 
 
 def _end_of_last_event(data: bytes) -> int:
--- a/src/railfold/_internal/decisions/freshness.py
+++ b/src/railfold/_internal/decisions/freshness.py
@@ -19,33 +19,33 @@
     """
 
     duration_s: float
-    _renewed_s: float | None = None
-    _counts_from_s: float = float("-inf")
+    _renewed_at_s: float | None = None
+    _ignored_before_s: float = float("-inf")
 
-    def hold_off(self, until_s: float) -> None:
+    def ignore_sent_before(self, until_s: float) -> None:
         """Calls that are sent before then prove nothing: the store may lack something.
 
         What was proved before holds for the rest of its time.
         """
-        self._counts_from_s = max(self._counts_from_s, until_s)
+        self._ignored_before_s = max(self._ignored_before_s, until_s)
 
     def revoke(self) -> None:
         """What was taken for a proof isn't one."""
-        self._renewed_s = None
+        self._renewed_at_s = None
 
     def renew(self, sent_s: float) -> None:
         """A call that was sent at ``sent_s`` got a sound answer."""
-        if sent_s < self._counts_from_s:
+        if sent_s < self._ignored_before_s:
             return
-        if self._renewed_s is None or sent_s > self._renewed_s:
-            self._renewed_s = sent_s
+        if self._renewed_at_s is None or sent_s > self._renewed_at_s:
+            self._renewed_at_s = sent_s
 
     def valid(self, now_s: float) -> bool:
         """Return whether the lease holds."""
-        return self._renewed_s is not None and self.age_s(now_s) < self.duration_s
+        return self._renewed_at_s is not None and self.age_s(now_s) < self.duration_s
 
     def age_s(self, now_s: float) -> float:
         """Return how old the newest proof is; infinite if there is none."""
-        if self._renewed_s is None:
+        if self._renewed_at_s is None:
             return float("inf")
-        return now_s - self._renewed_s
+        return now_s - self._renewed_at_s
--- a/src/railfold/_internal/decisions/held_memory.py
+++ b/src/railfold/_internal/decisions/memory_quota.py
@@ -12,10 +12,10 @@
 
 from collections import Counter
 
-__all__ = ["HeldMemory", "Holding"]
+__all__ = ["MemoryQuota", "MemoryReservation"]
 
 
-class HeldMemory:
+class MemoryQuota:
     """Bytes that are held, by workspace.
 
     :param limit_bytes: for all workspaces together.
@@ -23,7 +23,7 @@
 
     def __init__(self, limit_bytes: int) -> None:
         self.limit_bytes = limit_bytes
-        self._held_bytes: Counter[str] = Counter()
+        self._reserved_bytes: Counter[str] = Counter()
         self._total_bytes = 0
 
     @property
@@ -31,33 +31,33 @@
         """All that is held."""
         return self._total_bytes
 
-    def of(self, workspace: str) -> int:
+    def reserved_bytes(self, workspace: str) -> int:
         """Return what is held for a workspace."""
-        return self._held_bytes[workspace]
+        return self._reserved_bytes[workspace]
 
     def fits(self, workspace: str, size_bytes: int) -> bool:
         """Return whether a workspace may hold so much more."""
         free_bytes = self.limit_bytes - self._total_bytes
-        return self._held_bytes[workspace] + size_bytes <= free_bytes
+        return self._reserved_bytes[workspace] + size_bytes <= free_bytes
 
     def add(self, workspace: str, size_bytes: int) -> None:
         """Count bytes that are held, whether they fit or not."""
-        self._held_bytes[workspace] += size_bytes
+        self._reserved_bytes[workspace] += size_bytes
         self._total_bytes += size_bytes
 
     def subtract(self, workspace: str, size_bytes: int) -> None:
         """Count bytes that aren't held any more."""
-        self._held_bytes[workspace] -= size_bytes
+        self._reserved_bytes[workspace] -= size_bytes
         self._total_bytes -= size_bytes
-        if self._held_bytes[workspace] <= 0:
-            del self._held_bytes[workspace]
+        if self._reserved_bytes[workspace] <= 0:
+            del self._reserved_bytes[workspace]
 
 
-class Holding:
+class MemoryReservation:
     """What is held for one request of a workspace."""
 
-    def __init__(self, memory: HeldMemory, workspace: str) -> None:
-        self._memory = memory
+    def __init__(self, quota: MemoryQuota, workspace: str) -> None:
+        self._quota = quota
         self._workspace = workspace
         self._size_bytes = 0
 
@@ -66,24 +66,24 @@
         """What is held for it now."""
         return self._size_bytes
 
-    def take(self, size_bytes: int) -> bool:
+    def try_reserve(self, size_bytes: int) -> bool:
         """Hold so much more, if the workspace may; return whether it may."""
-        if not self._memory.fits(self._workspace, size_bytes):
+        if not self._quota.fits(self._workspace, size_bytes):
             return False
-        self.take_anyway(size_bytes)
+        self.reserve_unchecked(size_bytes)
         return True
 
-    def take_anyway(self, size_bytes: int) -> None:
+    def reserve_unchecked(self, size_bytes: int) -> None:
         """Hold bytes that are there already."""
-        self._memory.add(self._workspace, size_bytes)
+        self._quota.add(self._workspace, size_bytes)
         self._size_bytes += size_bytes
 
-    def give_back(self, size_bytes: int) -> None:
+    def release_bytes(self, size_bytes: int) -> None:
         """Hold so much less; nothing more once all was released."""
         size_bytes = max(0, min(size_bytes, self._size_bytes))
-        self._memory.subtract(self._workspace, size_bytes)
+        self._quota.subtract(self._workspace, size_bytes)
         self._size_bytes -= size_bytes
 
     def release(self) -> None:
         """Hold nothing any more."""
-        self.give_back(self._size_bytes)
+        self.release_bytes(self._size_bytes)
--- a/src/railfold/_internal/decisions/planner.py
+++ b/src/railfold/_internal/decisions/planner.py
@@ -53,8 +53,8 @@
     stage = replica.stage
     layers = LayerRange(stage.layers.first + 1, stage.layers.last)
     step_ms = replica.step_ms * len(layers) / len(stage.layers)
-    later = Stage(stage.host, stage.address, stage.incarnation, layers)
-    return replace(replica, stage=later, step_ms=step_ms)
+    stage_without_first = Stage(stage.host, stage.address, stage.incarnation, layers)
+    return replace(replica, stage=stage_without_first, step_ms=step_ms)
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,9 +78,9 @@
     def between(self, one: Replica, other: Replica) -> float:
         """Return the latency from one replica to another."""
         key = (one.failure_domain, other.failure_domain)
-        known = self.pairs_ms.get(key)
-        if known is not None:
-            return known
+        cheapest_known = self.pairs_ms.get(key)
+        if cheapest_known is not None:
+            return cheapest_known
         if one.region != other.region:
             return self.other_region_ms
         if one.failure_domain != other.failure_domain:
@@ -121,22 +121,24 @@
         all layers.
     """
     usable = [r for r in replicas if r.stage.host not in exclude and not r.full]
-    cheapest = _cheapest_of_each_place(usable, frozenset(prefer), weights, rng)
-    candidates = _by_layer(cheapest, partial)
+    cheapest = _cheapest_per_range_and_domain(usable, frozenset(prefer), weights, rng)
+    candidates = _group_by_entry_layer(cheapest, partial)
     paths: dict[int, dict[str, _Path]] = {0: {"": _Path(0.0, ())}}
     for layer in range(layer_count):
-        arrived = paths.get(layer, {})
-        for replica, cost in candidates.get(layer, ()) if arrived else ():
+        paths_here = paths.get(layer, {})
+        for replica, cost in candidates.get(layer, ()) if paths_here else ():
             layers = replica.stage.layers
-            used = LayerRange(layer, layers.last)
-            share = len(used) / len(layers)
-            path = _extend(arrived.values(), replica, used, cost * share, costs)
+            run_layers = LayerRange(layer, layers.last)
+            share = len(run_layers) / len(layers)
+            path = _extend(
+                paths_here.values(), replica, run_layers, cost * share, costs
+            )
             _keep_cheapest(paths.setdefault(layers.last + 1, {}), replica, path)
     complete = paths.get(layer_count) if layer_count else None
     if not complete:
         raise NoCapacityError(
             "no live backend servers with room cover all layers",
-            why=_gap(usable, layer_count),
+            why=_describe_gap(usable, layer_count),
             hint="come back after Retry-After; operators: see 'railfold status'",
         )
     best = min(complete.values(), key=lambda path: path.cost)
@@ -176,7 +178,7 @@
     return cost * (1.0 + weights.jitter * rng.random())
 
 
-def _cheapest_of_each_place(
+def _cheapest_per_range_and_domain(
     usable: list[Replica],
     preferred: frozenset[str],
     weights: PlannerWeights,
@@ -190,15 +192,15 @@
     cheapest: dict[tuple[int, int, str], tuple[Replica, float]] = {}
     for replica in usable:
         layers = replica.stage.layers
-        place = (layers.first, layers.last, replica.failure_domain)
+        range_and_domain = (layers.first, layers.last, replica.failure_domain)
         cost = _replica_cost(replica, preferred, weights, rng)
-        known = cheapest.get(place)
-        if known is None or cost < known[1]:
-            cheapest[place] = (replica, cost)
+        cheapest_known = cheapest.get(range_and_domain)
+        if cheapest_known is None or cost < cheapest_known[1]:
+            cheapest[range_and_domain] = (replica, cost)
     return list(cheapest.values())
 
 
-def _by_layer(
+def _group_by_entry_layer(
     candidates: list[tuple[Replica, float]], partial: bool
 ) -> dict[int, list[tuple[Replica, float]]]:
     """Return candidates by the layers at which a chain may enter them."""
@@ -212,9 +214,9 @@
 
 
 def _extend(
-    arrived: Iterable[_Path],
+    paths_here: Iterable[_Path],
     replica: Replica,
-    used: LayerRange,
+    run_layers: LayerRange,
     cost: float,
     costs: LinkCosts,
 ) -> _Path:
@@ -223,22 +225,22 @@
             return path.cost
         return path.cost + costs.between(path.end, replica)
 
-    best = min(arrived, key=cost_through)
+    best = min(paths_here, key=cost_through)
     stage = replica.stage
-    if used != stage.layers:
-        stage = Stage(stage.host, stage.address, stage.incarnation, used)
+    if run_layers != stage.layers:
+        stage = Stage(stage.host, stage.address, stage.incarnation, run_layers)
     return _Path(cost_through(best) + cost, (*best.stages, stage), replica)
 
 
 def _keep_cheapest(ends: dict[str, _Path], replica: Replica, path: _Path) -> None:
     # What follows depends only on where the path ends, so that one path for
     # each failure domain is enough: the search stays linear in the replicas.
-    known = ends.get(replica.failure_domain)
-    if known is None or path.cost < known.cost:
+    cheapest_known = ends.get(replica.failure_domain)
+    if cheapest_known is None or path.cost < cheapest_known.cost:
         ends[replica.failure_domain] = path
 
 
-def _gap(usable: list[Replica], layer_count: int) -> str:
+def _describe_gap(usable: list[Replica], layer_count: int) -> str:
     missing = uncovered((replica.stage.layers for replica in usable), layer_count)
     if not missing:
         return "the live ranges don't join up"
--- a/src/railfold/_internal/decisions/routing_table.py
+++ b/src/railfold/_internal/decisions/routing_table.py
@@ -33,7 +33,7 @@
 
 
 # Ranks go from 0 to 9.
-_ROUTE_RANKS = 10
+_PRIORITY_COUNT = 10
 
 
 class RouteKind(Enum):
@@ -152,19 +152,19 @@
     pipe_bytes_per_s: float = 0.0
     domain_delays_s: Mapping[tuple[str, str], float] = field(default_factory=dict)
 
-    def held_tokens(self, prompt_tokens: int, most_answer_tokens: int) -> int:
+    def mean_state_tokens(self, prompt_tokens: int, max_answer_tokens: int) -> int:
         """Return how many tokens a request's state holds, on average over its stay.
 
         Its prompt and half of its answer, which is rarely as long as it may be.
         """
-        answer_tokens = min(most_answer_tokens, self.answer_tokens)
+        answer_tokens = min(max_answer_tokens, self.answer_tokens)
         return prompt_tokens + answer_tokens // 2
 
     def has_layers(self, layers: LayerRange) -> bool:
         """Return whether the model has all of these layers."""
         return 0 <= layers.first <= layers.last < self.layer_count
 
-    def state_tokens(self, accelerator: Accelerator, layers: int) -> int:
+    def capacity_tokens(self, accelerator: Accelerator, layers: int) -> int:
         """Return how many tokens of requests fit beside so many layers."""
         free_mb = accelerator.memory_mb - layers * self.layer_mb
         return max(0, int(free_mb / (layers * self.request_mb_per_token)))
@@ -209,14 +209,18 @@
     credentials: Mapping[str, CredentialOwner] | None
     limits: ClientLimits
     _by_host: dict[str, list[Route]] = field(default_factory=dict, compare=False)
-    _tightest_s: dict[str, float] = field(default_factory=dict, compare=False)
+    _tightest_objective_s: dict[str, float] = field(default_factory=dict, compare=False)
 
     def __post_init__(self) -> None:
         for route in self.routes:
             self._by_host.setdefault(route.host, []).append(route)
-            for choice in route.services:
-                known_s = self._tightest_s.get(choice.service, route.objective_s)
-                self._tightest_s[choice.service] = min(known_s, route.objective_s)
+            for weighted in route.services:
+                tightest_known_s = self._tightest_objective_s.get(
+                    weighted.service, route.objective_s
+                )
+                self._tightest_objective_s[weighted.service] = min(
+                    tightest_known_s, route.objective_s
+                )
         for routes in self._by_host.values():
             routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
@@ -249,12 +253,12 @@
             )
         return owner
 
-    def looseness(self, route: Route, service: str) -> float:
+    def objective_slack(self, route: Route, service: str) -> float:
         """Return how far a route's objective is from the tightest one of a service.
 
         As a share of it: 0 for the tightest route, 0.5 for an objective twice as long.
         """
-        tightest_s = self._tightest_s.get(service, route.objective_s)
+        tightest_s = self._tightest_objective_s.get(service, route.objective_s)
         return max(0.0, 1.0 - tightest_s / max(1e-9, route.objective_s))
 
     def model_services(self) -> list[ServiceSpec]:
@@ -269,7 +273,7 @@
     routes that are more and less urgent.
     """
     rank = route.priority if workspace_priority is None else workspace_priority
-    return _ROUTE_RANKS * rank + route.priority
+    return _PRIORITY_COUNT * rank + route.priority
 
 
 def require_table(table: RoutingTable | None) -> RoutingTable:
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -11,9 +11,9 @@
 from railfold._internal.decisions.engine_directory import EngineDirectory
 from railfold._internal.decisions.fleet_size import FleetSize
 from railfold._internal.decisions.freshness import FreshnessLease
-from railfold._internal.decisions.held_memory import HeldMemory
 from railfold._internal.decisions.leadership import Candidacy, Leadership, LeaseGrant
 from railfold._internal.decisions.log_epoch import RETURN_S, LogEpoch
+from railfold._internal.decisions.memory_quota import MemoryQuota
 from railfold._internal.decisions.retry_budget import (
     RetryBudgets,
     RetryLimits,
@@ -228,7 +228,7 @@
         )
         calls.on_refused = self._peering.quarantine.server_refused
         self._prober.on_well = self._peering.quarantine.server_answered
-        self._held = HeldMemory(int(settings.memory_bytes * _HELD_SHARE))
+        self._held = MemoryQuota(int(settings.memory_bytes * _HELD_SHARE))
         self._clients = ClientServer(
             settings.clients,
             self,
@@ -394,7 +394,7 @@
         self._peering.tell_leadership_stopped(member)
 
     def _on_registrations_regained(self) -> None:
-        self.router.directory.store_returned(self._loop.time())
+        self.router.directory.store_recovered(self._loop.time())
 
     def _on_epoch(self, epoch: int) -> None:
         """Take the store's epoch; let go of what doesn't hold after it went back.
@@ -407,8 +407,8 @@
         now_s = self._loop.time()
         self.metrics.count("store.went_back")
         self.log.write(StoreWentBack(epoch))
-        self.router.lease.hold_off(now_s + RETURN_S)
-        self.router.directory.store_returned(now_s)
+        self.router.lease.ignore_sent_before(now_s + RETURN_S)
+        self.router.directory.store_recovered(now_s)
         self._leadership.revoke()
         self._registration_feed.log_went_back()
         self._peering.log_went_back()
@@ -513,7 +513,7 @@
             self.router.pool.prune(now_s)
             self._fleet_limits.divide()
             known = {entry.server_id for entry in self.router.directory}
-            self.router.activity.forget(known)
+            self.router.activity.retain_hosts(known)
             self.router.avoidance.forget(known)
             self.router.fleet_load.forget(known, now_s)
             self.router.fleet_demand.forget(now_s)
--- a/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
+++ b/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
@@ -400,7 +400,7 @@
 
     def _check(self) -> None:
         now_s = self._loop.time()
-        for entry in self._router.directory.take_departed():
+        for entry in self._router.directory.pop_departed():
             self.server_departed(entry)
         self._reports.note_versions()
         for server_id in self._reports.take_contradicted(now_s):
@@ -417,7 +417,7 @@
         for service in services:
             versions = frozenset(
                 entry.registration.version
-                for entry in self._router.directory.of_service(service)
+                for entry in self._router.directory.servers_of(service)
                 if entry.routable
             )
             self._take(self._quarantine.lift_for_versions(service, versions, now_s))
--- a/src/railfold/_internal/forwarding/requests/chain_balancer.py
+++ b/src/railfold/_internal/forwarding/requests/chain_balancer.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass, replace
 
 from railfold._internal.core import Chain
-from railfold._internal.decisions.chain_choice import RatedChain, choose_rated
+from railfold._internal.decisions.chain_choice import RatedChain, choose_rated_chain
 from railfold._internal.decisions.chain_costs import (
-    Candidate,
     RequestNeeds,
-    candidate,
-    news_spread,
+    StageCandidate,
+    rate_candidate,
+    unseen_occupancy,
 )
 from railfold._internal.decisions.chain_prediction import (
     ChainPrediction,
@@ -96,7 +96,7 @@
             _rate(found, prediction, model, needs)
             for found, prediction in zip(chains, predictions, strict=True)
         ]
-        index = choose_rated(rated, self._router.entries, self._router.rng)
+        index = choose_rated_chain(rated, self._router.entries, self._router.rng)
         return ChosenChain(chains[index], predictions[index])
 
     def borrow(
@@ -114,7 +114,9 @@
         :param held_by: servers that have room for it, since it runs there.
         """
         candidates = [
-            replace(found, risk=0.0, room_per_layer=0.0, has_room=True)
+            replace(
+                found, rejection_risk=0.0, scarcity_per_layer=0.0, has_capacity=True
+            )
             if found.replica.stage.host in held_by
             else found
             for found in self._candidates(service, model, replicas, needs, math.inf)
@@ -128,7 +130,7 @@
 
     def _search(
         self,
-        candidates: Sequence[Candidate],
+        candidates: Sequence[StageCandidate],
         model: EngineModel,
         needs: RequestNeeds,
         home: str,
@@ -160,7 +162,7 @@
         replicas: Iterable[Replica],
         needs: RequestNeeds,
         bearable_s: float,
-    ) -> list[Candidate]:
+    ) -> list[StageCandidate]:
         """Return replicas with their costs."""
         router = self._router
         now_s = asyncio.get_running_loop().time()
@@ -177,11 +179,11 @@
                 replica.capacity,
                 router.own_reckoning(replica.stage.host),
             )
-            spread = news_spread(state, model, router.entries, arriving_rps)
-            found = candidate(replica, state, model, needs, spread, router.rng)
+            spread = unseen_occupancy(state, model, router.entries, arriving_rps)
+            found = rate_candidate(replica, state, model, needs, spread, router.rng)
             if replica.stage.layers.first == 0:
                 extra = self._first_stage_cost(replica, now_s, bearable_s)
-                found = replace(found, risk=found.risk + extra)
+                found = replace(found, rejection_risk=found.rejection_risk + extra)
             candidates.append(found)
         return candidates
 
@@ -203,7 +205,9 @@
 def _predict(
     found: FoundChain, model: EngineModel, needs: RequestNeeds
 ) -> ChainPrediction:
-    return predict_chain(found.states, model, needs.prompt_tokens, needs.answer_tokens)
+    return predict_chain(
+        found.stage_states, model, needs.prompt_tokens, needs.answer_tokens
+    )
 
 
 def _rate(
@@ -216,7 +220,7 @@
     return RatedChain(
         found.cost,
         room / found.duration_s,
-        found.has_room,
-        in_time=prediction.first_event_s <= needs.objective_s
+        found.has_capacity,
+        meets_objectives=prediction.first_event_s <= needs.objective_s
         and prediction.pause_s <= needs.allowed_pause_s,
     )
--- a/src/railfold/_internal/forwarding/requests/chain_planner.py
+++ b/src/railfold/_internal/forwarding/requests/chain_planner.py
@@ -10,9 +10,9 @@
 from railfold._internal.core import Chain
 from railfold._internal.decisions.chain_choice import (
     ChainOption,
-    blindness,
+    choose_for_risky_request,
     choose_option,
-    choose_sparing,
+    load_uncertainty,
 )
 from railfold._internal.decisions.chain_costs import RequestNeeds
 from railfold._internal.decisions.coverage import describe_shortages, shortage_of
@@ -87,7 +87,7 @@
         eligible = [self._eligible(r, exclude, now_s, terms) for r in replicas]
         usable = [replica for replica in eligible if replica is not None]
         if not is_suspect and self._balancer.applies(model, usable):
-            doubtful = self._router.directory.doubtful(spec.name)
+            doubtful = self._router.directory.possibly_departed(spec.name)
             chosen = self._balancer.choose(
                 spec.name, model, usable, needs, bearable_s, doubtful
             )
@@ -127,8 +127,8 @@
         now_s = asyncio.get_running_loop().time()
         held = group_by_domain(replicas, lambda r: r.failure_domain)
         rooms = [_typical_room(members, model) for members in held]
-        blind = blindness(rooms, self._router.entries)
-        doubtful = self._router.directory.doubtful(spec.name)
+        blind = load_uncertainty(rooms, self._router.entries)
+        doubtful = self._router.directory.possibly_departed(spec.name)
         chains: list[Chain] = []
         options: list[ChainOption] = []
         for members in group_by_domain(usable, lambda r: r.failure_domain):
@@ -139,16 +139,16 @@
                 continue
             chains.append(chain)
             option = self._option(chain, usable, model, now_s, bearable_s)
-            option = replace(option, sure=doubtful.isdisjoint(chain.hosts))
+            option = replace(option, confirmed=doubtful.isdisjoint(chain.hosts))
             if is_suspect:
                 first = self._router.directory.get(chain.stages[0].host)
                 replaceable = first is not None and self._router.has_stand_in(first)
-                option = replace(option, first_replaceable=replaceable)
+                option = replace(option, first_engine_replaceable=replaceable)
             options.append(option)
         if not chains:
             return None
         if is_suspect:
-            index = choose_sparing(options)
+            index = choose_for_risky_request(options)
         else:
             index = choose_option(options, self._router.entries, self._router.rng)
         if index is None:
@@ -170,7 +170,7 @@
         :param usable: those that a chain could use.
         :param terms: with the bars of the others.
         """
-        registered = self._router.directory.of_service(spec.name)
+        registered = self._router.directory.servers_of(spec.name)
         domains = sorted({entry.registration.failure_domain for entry in registered})
         if not domains:
             return NoCapacityError(
--- a/src/railfold/_internal/forwarding/requests/client_answer.py
+++ b/src/railfold/_internal/forwarding/requests/client_answer.py
@@ -75,9 +75,9 @@
 
     def gather(self, size_bytes: int) -> bool:
         """Count bytes of an answer that are held back; return whether they fit."""
-        if self._client.holding.take(size_bytes):
+        if self._client.holding.try_reserve(size_bytes):
             return True
-        self._client.holding.take_anyway(size_bytes)
+        self._client.holding.reserve_unchecked(size_bytes)
         return False
 
     def end(self) -> None:
@@ -92,7 +92,7 @@
 
     def let_go(self, answer: GatheredAnswer) -> None:
         """Count a gathered answer as held back no more."""
-        self._client.holding.give_back(answer.size)
+        self._client.holding.release_bytes(answer.size)
 
     def keep_failure(self, answer: GatheredAnswer | None) -> None:
         """Keep a backend server's failure, to be sent if nothing better comes."""
--- a/src/railfold/_internal/forwarding/requests/destinations.py
+++ b/src/railfold/_internal/forwarding/requests/destinations.py
@@ -157,7 +157,7 @@
                 spec, spec.model, needs, exclude, terms, bearable_s, is_suspect
             )
         now_s = asyncio.get_running_loop().time()
-        doubtful = self._router.directory.doubtful(spec.name)
+        doubtful = self._router.directory.possibly_departed(spec.name)
         registered = self._router.directory.replicas(
             spec.name, self._router.region, self._router.load_of
         )
@@ -192,7 +192,7 @@
             size.answer_tokens or model.answer_tokens,
             route.objective_s,
             route.allowed_pause_s or route.objective_s,
-            table.looseness(route, spec.name) if table is not None else 0.0,
+            table.objective_slack(route, spec.name) if table is not None else 0.0,
         )
 
     def reroute(
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -234,7 +234,7 @@
         resume_after = self._cursor.last_id
         self._resumed_after = resume_after or 0
         if self._attempts > 1:
-            self._cursor.resumed()
+            self._cursor.resume()
         plan = SendPlan(
             server_id=destination.server.host,
             registered_id=router.registered_id(destination.server.host),
@@ -279,7 +279,7 @@
         model = self._router.model_of_service(destination.service)
         if model is None:
             return max(1, size.total)
-        return max(1, model.held_tokens(size.prompt_tokens, size.answer_tokens))
+        return max(1, model.mean_state_tokens(size.prompt_tokens, size.answer_tokens))
 
     def _check(self) -> None:
         """Look once more at what may have changed while the request waited.
--- a/src/railfold/_internal/forwarding/requests/front.py
+++ b/src/railfold/_internal/forwarding/requests/front.py
@@ -20,7 +20,7 @@
 from tornado.iostream import IOStream
 
 from railfold._internal.core import Address
-from railfold._internal.decisions.held_memory import HeldMemory, Holding
+from railfold._internal.decisions.memory_quota import MemoryQuota, MemoryReservation
 from railfold._internal.decisions.routing_table import ClientLimits
 from railfold._internal.forwarding.messages import Header
 from railfold._internal.observability.server import HttpServerChild
@@ -73,7 +73,10 @@
     """One request of a client and the answer to it."""
 
     def __init__(
-        self, connection: HTTP1Connection, server: ClientServer, holding: Holding
+        self,
+        connection: HTTP1Connection,
+        server: ClientServer,
+        holding: MemoryReservation,
     ) -> None:
         self._connection = connection
         self._server = server
@@ -118,8 +121,8 @@
         if stream.closed() or not stream.writing():
             return
         self._unread_bytes += len(data)
-        if not self.holding.take(len(data)):
-            self.holding.take_anyway(len(data))
+        if not self.holding.try_reserve(len(data)):
+            self.holding.reserve_unchecked(len(data))
             self.congested = True
         # Done once all that was written before is read, or the client is gone.
         barrier = stream.write(b"")
@@ -127,7 +130,7 @@
 
     def _was_read(self, size_bytes: int) -> None:
         self._unread_bytes -= size_bytes
-        self.holding.give_back(size_bytes)
+        self.holding.release_bytes(size_bytes)
         if self._unread_bytes > 0:
             return
         self.congested = False
@@ -166,7 +169,7 @@
 
     def _release_body(self) -> None:
         """Hold only what the client hasn't read yet."""
-        self.holding.give_back(self.holding.size_bytes - self._unread_bytes)
+        self.holding.release_bytes(self.holding.size_bytes - self._unread_bytes)
 
     def client_left(self) -> None:
         """The client closed the connection: nothing is held for it any more."""
@@ -214,7 +217,7 @@
         self._size = 0
         self._line = RequestStartLine("", "", "")
         self._headers: list[Header] = []
-        self._holding = Holding(server.held, "")
+        self._holding = MemoryReservation(server.held, "")
         self._refused: ClientExchange | None = None
 
     def headers_received(
@@ -226,13 +229,13 @@
         self._line = start_line
         self._headers = list(headers.get_all())
         workspace = self._server.handler.workspace_of(self._headers)
-        self._holding = Holding(self._server.held, workspace)
+        self._holding = MemoryReservation(self._server.held, workspace)
 
     def data_received(self, chunk: bytes) -> None:
         """Take a part of the body; pass over the rest of one that was refused."""
         if self._refused is not None:
             return
-        if self._holding.take(len(chunk)):
+        if self._holding.try_reserve(len(chunk)):
             self._parts.append(chunk)
             return
         self._parts.clear()
@@ -284,7 +287,7 @@
         self,
         address: Address,
         handler: RequestHandler,
-        held: HeldMemory,
+        held: MemoryQuota,
         listener: socket.socket | None = None,
     ) -> None:
         self.handler = handler
--- a/src/railfold/_internal/forwarding/requests/prediction.py
+++ b/src/railfold/_internal/forwarding/requests/prediction.py
@@ -45,7 +45,7 @@
         if entry is None or kind is None:
             return None
         held = entry.registration.layers or stage.layers
-        capacity = max(1, model.state_tokens(kind, len(held)))
+        capacity = max(1, model.capacity_tokens(kind, len(held)))
         load = router.load_of(stage.host)
         loads.append(load)
         stages.append(
--- a/src/railfold/_internal/forwarding/requests/stream_watch.py
+++ b/src/railfold/_internal/forwarding/requests/stream_watch.py
@@ -108,7 +108,7 @@
             self._timer.cancel()
             self._timer = None
         if self._flowing and self._chain is not None:
-            self._activity.ended(self._chain)
+            self._activity.stream_ended(self._chain)
         self._flowing = False
 
     def progressed(self) -> float:
@@ -124,7 +124,7 @@
             self.first_event_s = now_s
             if self._chain is not None:
                 wait_s = now_s - self._opened_s
-                self._activity.begun(self._chain[0], now_s, wait_s)
+                self._activity.first_event_received(self._chain[0], now_s, wait_s)
         else:
             pause_s = now_s - self._last_event_s
             self.longest_pause_s = max(self.longest_pause_s, pause_s)
@@ -132,11 +132,13 @@
         if self._chain is None:
             return
         if self._flowing:
-            self._activity.moved(self._chain, now_s, since_s, self._expected_pause_s)
+            self._activity.event_received(
+                self._chain, now_s, since_s, self._expected_pause_s
+            )
         else:
             self._flowing = True
             self._flowing_since_s = now_s
-            self._activity.flowing(self._chain, now_s)
+            self._activity.stream_started(self._chain, now_s)
         if self._overdue.token(now_s):
             self._look_at(self._overdue.due_s())
 
@@ -152,7 +154,9 @@
             self._look_at(due_s)
             return
         if self.first_event_s is None and self._chain is not None:
-            self._activity.waiting(self._chain[0], now_s, now_s - self._opened_s)
+            self._activity.first_event_pending(
+                self._chain[0], now_s, now_s - self._opened_s
+            )
         silence = self._silence(now_s, now_s - planned_s)
         self._look_at(now_s + _LOOK_AGAIN_S)
         # Last: it may close the attempt.
@@ -163,6 +167,6 @@
             return Silence(self.silent_s)
         return Silence(
             self.silent_s,
-            self._activity.suspects(self._chain, now_s, loop_delay_s),
-            self._activity.stalled(self._chain, now_s, loop_delay_s),
+            self._activity.suspect_hosts(self._chain, now_s, loop_delay_s),
+            self._activity.is_stalled(self._chain, now_s, loop_delay_s),
         )
--- a/src/railfold/_internal/forwarding/router.py
+++ b/src/railfold/_internal/forwarding/router.py
@@ -256,7 +256,7 @@
             return False
         held = [
             peer.registration.layers
-            for peer in self.directory.of_service(own.service)
+            for peer in self.directory.servers_of(own.service)
             if peer is not entry
             and peer.routable
             and peer.registration.failure_domain == own.failure_domain
@@ -317,7 +317,7 @@
             return True
         for spec in self.table.model_services():
             held: dict[str, list[LayerRange | None]] = {}
-            for entry in self.directory.of_service(spec.name):
+            for entry in self.directory.servers_of(spec.name):
                 layers = entry.registration.layers if entry.routable else None
                 domain = entry.registration.failure_domain
                 held.setdefault(domain, []).append(layers)
@@ -392,7 +392,7 @@
         accelerator = model.accelerators.get(entry.registration.accelerator)
         if accelerator is None:
             return
-        tokens = model.state_tokens(accelerator, len(layers))
+        tokens = model.capacity_tokens(accelerator, len(layers))
         room = min(float(model.max_sequences), max(1.0, tokens / model.mean_tokens))
         stay_s = stage_residence_s(
             accelerator.slowed(entry.slowness), model, model.layer_count, room
--- a/src/railfold/_internal/forwarding/servers/engine_calls.py
+++ b/src/railfold/_internal/forwarding/servers/engine_calls.py
@@ -113,7 +113,7 @@
         seconds. Another incarnation at its address is registered, or holds other
         layers or none yet.
         """
-        if self._router.directory.at(stage.address) is not None:
+        if self._router.directory.get_by_address(stage.address) is not None:
             return False
         dialect = self._router.dialect
         try:
@@ -137,7 +137,7 @@
 
     def _is_well(self, entry: DirectoryEntry, response: Response) -> bool:
         started_at_ms = self._router.dialect.decode_started_at_ms(response.body)
-        if entry.is_another(started_at_ms):
+        if entry.is_other_incarnation(started_at_ms):
             return False  # Its successor answers, which knows nothing of its work.
         # A plain service that is full refuses its health check like any other
         # request, and yet lives.
@@ -155,7 +155,7 @@
             # Whether it lives is found out by what waits for it.
             logging.debug("%s doesn't say how slow it is: %s", entry.server_id, error)
             return
-        if entry.is_another(report.started_at_ms):
+        if entry.is_other_incarnation(report.started_at_ms):
             return
         slowness = report.slowness
         if slowness != entry.slowness:
@@ -235,7 +235,7 @@
         except EngineError as error:
             return error.what
         started_at_ms = self._router.dialect.decode_started_at_ms(response.body)
-        if entry.is_another(started_at_ms):
+        if entry.is_other_incarnation(started_at_ms):
             return "its first backend server has started again"
         match self._router.dialect.order_outcome(response.head):
             case OrderBegun():
--- a/src/railfold/_internal/forwarding/servers/layer_orders.py
+++ b/src/railfold/_internal/forwarding/servers/layer_orders.py
@@ -132,7 +132,7 @@
                 entry, dialect.report_call(), _ORDER_TIMEOUT_S
             )
             report = dialect.decode_report(response.body)
-            if entry.is_another(report.started_at_ms):
+            if entry.is_other_incarnation(report.started_at_ms):
                 return _ANOTHER_ANSWERED
             if report.busy:
                 # Another order would begin its work anew.
@@ -146,7 +146,7 @@
             return OrderRefused(error.what)
         except EngineError as error:
             return OrderUnsettled(str(error))
-        if entry.is_another(dialect.decode_started_at_ms(response.body)):
+        if entry.is_other_incarnation(dialect.decode_started_at_ms(response.body)):
             return _ANOTHER_ANSWERED
         return dialect.order_outcome(response.head)
 
--- a/src/railfold/_internal/forwarding/servers/placement.py
+++ b/src/railfold/_internal/forwarding/servers/placement.py
@@ -179,7 +179,7 @@
     async def _place(
         self, spec: ServiceSpec, model: EngineModel, objective_s: float, now_s: float
     ) -> None:
-        entries = [e for e in self._router.directory.of_service(spec.name)]
+        entries = [e for e in self._router.directory.servers_of(spec.name)]
         usable = [e for e in entries if self._usable(e, model, now_s)]
         if not any(e.registration.layers for e in usable) and not self._settled(now_s):
             return
--- a/src/railfold/_internal/forwarding/servers/probes.py
+++ b/src/railfold/_internal/forwarding/servers/probes.py
@@ -107,7 +107,7 @@
 
     def _suspect(self, server_id: str, cause: str) -> None:
         """Give it no new work until a probe finds it well."""
-        if not self._router.directory.suspect(server_id, self._loop.time()):
+        if not self._router.directory.mark_suspect(server_id, self._loop.time()):
             return
         self._router.metrics.count("servers.suspected")
         self._router.pool.drop(server_id)
@@ -128,7 +128,7 @@
             if entry is not None and not backed_off:
                 self._refused(entry, load, misplaced=refusal.misplaced)
             return
-        entry = self._router.directory.at(refusal.address)
+        entry = self._router.directory.get_by_address(refusal.address)
         if entry is not None:
             if entry.server_id != server_id or not backed_off:
                 self._refused(entry, load, misplaced=refusal.misplaced)
@@ -165,7 +165,7 @@
         if entry is None or not self._may_eject(entry):
             return
         outcomes.clear()
-        if self._router.directory.suspect(server_id, self._loop.time()):
+        if self._router.directory.mark_suspect(server_id, self._loop.time()):
             self._router.metrics.count("servers.ejected")
             self._router.log.write(
                 EngineChanged(server_id, "ejected", "most of its last answers failed")
@@ -173,7 +173,7 @@
             self._spawn(self._recheck(server_id, _EJECTION_S))
 
     def _may_eject(self, entry: DirectoryEntry) -> bool:
-        peers = self._router.directory.of_service(entry.registration.service)
+        peers = self._router.directory.servers_of(entry.registration.service)
         out = sum(1 for peer in peers if not peer.routable)
         return out + 1 <= _MOST_EJECTED_SHARE * len(peers)
 
@@ -200,7 +200,7 @@
         )
         if found or moved or not silence.stalled:
             return
-        if self._router.activity.stalled(chain.hosts, self._loop.time(), 0.0):
+        if self._router.activity.is_stalled(chain.hosts, self._loop.time(), 0.0):
             self._router.report_stalled(chain)
 
     def ask_first(self, chain: Chain, request_id: str, silent_s: float) -> None:
@@ -266,7 +266,7 @@
             [stage.host for stage in near],
             [stage.host for stage in far],
         )
-        moved = self._router.activity.moved_since(started_s)
+        moved = self._router.activity.active_hosts_since(started_s)
         return replace(
             verdict, lost=verdict.lost - moved, unheard=verdict.unheard - moved
         )
@@ -349,7 +349,7 @@
             if await self.calls.alive(stage, _RECHECK_TIMEOUT_S):
                 break
             interval_s = delay_s = min(_RECHECK_MOST_S, 2 * interval_s)
-        self._router.directory.cleared(server_id)
+        self._router.directory.clear_suspicion(server_id)
         self.on_well(server_id)
         self._router.log.write(EngineChanged(server_id, "well", "it answers a probe"))
 
--- a/src/railfold/_internal/forwarding/servers/slow_engines.py
+++ b/src/railfold/_internal/forwarding/servers/slow_engines.py
@@ -76,7 +76,7 @@
     def _suspects(self, now_s: float) -> Iterator[DirectoryEntry]:
         directory = self._router.directory
         yield from (entry for entry in directory if entry.slowness > 1.0)
-        for chain in self._router.activity.late_chains(_LATE_RATIO, now_s):
+        for chain in self._router.activity.slow_chains(_LATE_RATIO, now_s):
             entries = (directory.get(host) for host in chain)
             yield from (entry for entry in entries if entry is not None)
 
--- a/src/railfold/_internal/forwarding/store/feeds.py
+++ b/src/railfold/_internal/forwarding/store/feeds.py
@@ -225,7 +225,7 @@
         self._left = {i: r for i, r in copy.items() if directory.has_left(r)}
         self._left_due_s = now_s + _LAPSED_S
         for registered_id in self._left:
-            if directory.registered_as(registered_id) is None:
+            if directory.get_by_registered_id(registered_id) is None:
                 del copy[registered_id]
             else:
                 copy[registered_id] = replace(copy[registered_id], draining=True)
@@ -235,7 +235,7 @@
             return
         left, self._left = self._left, {}
         for registered_id, registration in left.items():
-            if self._router.directory.registered_as(registered_id) is None:
+            if self._router.directory.get_by_registered_id(registered_id) is None:
                 self._register(registration)
 
     def _refuse(self, registered_id: str, error: RailfoldError) -> None:
@@ -258,7 +258,7 @@
 
     def _register(self, registration: Registration) -> None:
         directory = self._router.directory
-        known = directory.registered_as(registration.registered_id)
+        known = directory.get_by_registered_id(registration.registered_id)
         if known is not None and known.registration == registration:
             known.removal_due_s = None
             return
@@ -282,10 +282,10 @@
         if self._copy is not None:
             self._copy.pop(registered_id, None)
         directory = self._router.directory
-        entry = directory.registered_as(registered_id)
+        entry = directory.get_by_registered_id(registered_id)
         directory.remove(registered_id, asyncio.get_running_loop().time())
         state = "removed"
-        if directory.registered_as(registered_id) is not None:
+        if directory.get_by_registered_id(registered_id) is not None:
             state = "removal waits"
         name = entry.server_id if entry is not None else registered_id[:_ID_SHOWN]
         self._router.log.write(EngineChanged(name, state, "registration removed"))
--- a/tests/forwarding/test_incarnations.py
+++ b/tests/forwarding/test_incarnations.py
@@ -41,7 +41,7 @@
 
 
 def entry_of(deployment: Deployment, engine: Engine) -> DirectoryEntry:
-    entry = deployment.entry.router.directory.registered_as(engine.server_id)
+    entry = deployment.entry.router.directory.get_by_registered_id(engine.server_id)
     assert entry is not None
     return entry
 
@@ -74,7 +74,7 @@
     engine = dated.engines[0]
     before = entry_of(dated, engine)
     before.slowness = 9.0
-    dated.entry.router.directory.suspect(before.server_id, 0.0)
+    dated.entry.router.directory.mark_suspect(before.server_id, 0.0)
     engine.born = SECOND_START
     engine.register()
     await until(dated.all_known)
@@ -131,7 +131,7 @@
     stage = entry_of(dated, engine).stage(LayerRange(0, 3))
     engine.deregister()
     directory = dated.entry.router.directory
-    await until(lambda: directory.registered_as(engine.server_id) is None)
+    await until(lambda: directory.get_by_registered_id(engine.server_id) is None)
     prober = dated.entry._prober
     assert await prober.calls.serves_on(stage, 0.5)
     engine.born = SECOND_START
--- a/tests/forwarding/test_leaving_unseen.py
+++ b/tests/forwarding/test_leaving_unseen.py
@@ -32,7 +32,7 @@
     directory = entry.router.directory
 
     def waits() -> bool:
-        known = directory.registered_as(engine.server_id)
+        known = directory.get_by_registered_id(engine.server_id)
         return known is not None and known.removal_due_s is not None
 
     await until(waits)
--- a/tests/forwarding/test_requests.py
+++ b/tests/forwarding/test_requests.py
@@ -243,7 +243,9 @@
     assert deployment.entry.router.table is not None
     model = deployment.entry.router.table.services[MODEL_SERVICE].model
     assert model is not None
-    assert {p.tokens for p in fleet_load.own.values()} == {model.held_tokens(10, 60)}
+    assert {p.tokens for p in fleet_load.own.values()} == {
+        model.mean_state_tokens(10, 60)
+    }
     now_s = asyncio.get_running_loop().time()
     (key,) = deployment.entry.router.fleet_demand.own_per_s(now_s)
     draft = deployment.entry.router.table.routes[0]
--- a/tests/forwarding/test_starting.py
+++ b/tests/forwarding/test_starting.py
@@ -13,7 +13,7 @@
 import pytest
 
 from railfold._internal.core import Address
-from railfold._internal.decisions.held_memory import HeldMemory
+from railfold._internal.decisions.memory_quota import MemoryQuota
 from railfold._internal.decisions.routing_table import ClientLimits
 from railfold._internal.errors import ListenError
 from railfold._internal.forwarding.listeners import Listeners, open_listeners
@@ -136,7 +136,7 @@
     deployment: Deployment,
 ) -> None:
     address = Address("127.0.0.1", free_port())
-    server = front.ClientServer(address, deployment.entry, HeldMemory(1_000_000))
+    server = front.ClientServer(address, deployment.entry, MemoryQuota(1_000_000))
     server.set_limits(ClientLimits(max_body_bytes=10))
     server.begin.set()
     for _ in range(2):
--- a/tests/forwarding/test_store_goes_back.py
+++ b/tests/forwarding/test_store_goes_back.py
@@ -150,7 +150,7 @@
     leaving = deployment.plain[0]
     leaving.deregister()
     directory = deployment.entry.router.directory
-    await until(lambda: directory.registered_as(leaving.server_id) is None)
+    await until(lambda: directory.get_by_registered_id(leaving.server_id) is None)
     await lose_store(deployment)
     await come_back(deployment, copy)
     await until(deployment.entry._store_reachable.is_set)
--- a/tests/lib/fleet_draws.py
+++ b/tests/lib/fleet_draws.py
@@ -15,12 +15,12 @@
 from dataclasses import dataclass, field
 
 from railfold._internal.core import LayerRange, Stage
-from railfold._internal.decisions.chain_choice import RatedChain, choose_rated
+from railfold._internal.decisions.chain_choice import RatedChain, choose_rated_chain
 from railfold._internal.decisions.chain_costs import (
-    Candidate,
     RequestNeeds,
-    candidate,
-    news_spread,
+    StageCandidate,
+    rate_candidate,
+    unseen_occupancy,
 )
 from railfold._internal.decisions.chain_prediction import StageState, predict_chain
 from railfold._internal.decisions.chain_search import (
@@ -69,7 +69,7 @@
 
     @property
     def capacity_tokens(self) -> int:
-        return MODEL.state_tokens(self.accelerator, len(self.layers))
+        return MODEL.capacity_tokens(self.accelerator, len(self.layers))
 
 
 def chain_of(
@@ -204,7 +204,7 @@
 
     def candidates(
         self, entry: int, needs: RequestNeeds, now_s: float
-    ) -> list[Candidate]:
+    ) -> list[StageCandidate]:
         """Return what the product's own choice goes by."""
         found = []
         for engine, replica in self.replicas(entry, now_s):
@@ -212,14 +212,17 @@
             state = StageState(
                 engine.accelerator, len(engine.layers), engine.capacity_tokens, load
             )
-            spread = news_spread(state, MODEL, self.load.entries, self.load.rps)
-            found.append(candidate(replica, state, MODEL, needs, spread, self.rng))
+            spread = unseen_occupancy(state, MODEL, self.load.entries, self.load.rps)
+            found.append(rate_candidate(replica, state, MODEL, needs, spread, self.rng))
         return found
 
     def engines_of(self, found: FoundChain) -> list[tuple[Engine, LayerRange]]:
         """Return the engines of a chain that the product found."""
         by_name = {engine.name: engine for engine in self.engines}
-        return [(by_name[c.replica.stage.host], layers) for c, layers in found.used]
+        return [
+            (by_name[c.replica.stage.host], layers)
+            for c, layers in found.stage_candidates
+        ]
 
     def play(self, choose: Choose) -> Outcome:
         """Return what came of the load with a way to choose."""
@@ -415,7 +418,7 @@
         if not chains:
             return []
         rated = [_rate(found) for found in chains]
-        index = choose_rated(rated, fleet.load.entries, fleet.rng)
+        index = choose_rated_chain(rated, fleet.load.entries, fleet.rng)
         return fleet.engines_of(chains[index])
 
     return choose
@@ -423,4 +426,4 @@
 
 def _rate(found: FoundChain) -> RatedChain:
     room = min(found.capacity_tokens / MODEL.mean_tokens, MODEL.max_sequences)
-    return RatedChain(found.cost, room / found.duration_s, found.has_room, True)
+    return RatedChain(found.cost, room / found.duration_s, found.has_capacity, True)
--- a/tests/unit/test_chain_choice.py
+++ b/tests/unit/test_chain_choice.py
@@ -15,9 +15,9 @@
 
 from railfold._internal.decisions.chain_choice import (
     ChainOption,
-    blindness,
+    choose_for_risky_request,
     choose_option,
-    choose_sparing,
+    load_uncertainty,
 )
 
 # Of five failure domains: time of a token and room. The fastest has not the most room.
@@ -147,10 +147,12 @@
 
 
 def test_blindness_grows_with_entries_and_stays_a_share() -> None:
-    values = [blindness([50.0, 50.0], entries) for entries in (1, 5, 21, 68, 400)]
+    values = [
+        load_uncertainty([50.0, 50.0], entries) for entries in (1, 5, 21, 68, 400)
+    ]
     assert values == sorted(values)
     assert (values[0], values[-1]) == (0.0, 1.0)
-    assert blindness([], 5) == 0.0
+    assert load_uncertainty([], 5) == 0.0
 
 
 @pytest.mark.parametrize(("sure", "chosen"), [(2, {1, 2}), (1, {0, 1, 2})])
@@ -160,7 +162,7 @@
     """The load of those that are sure is doubled at most."""
     rng = random.Random(1)
     options = [
-        ChainOption(10.0, 50.0, connected=False, sure=number >= 3 - sure)
+        ChainOption(10.0, 50.0, connected=False, confirmed=number >= 3 - sure)
         for number in range(3)
     ]
     found = {choose_option(options, 1000, rng) for _ in range(300)}
@@ -170,10 +172,10 @@
 def test_what_may_end_its_engine_goes_where_the_engine_can_be_replaced() -> None:
     options = [
         ChainOption(10.0, 50.0, connected=True),
-        ChainOption(30.0, 90.0, connected=False, first_replaceable=True),
-        ChainOption(20.0, 90.0, connected=False, first_replaceable=True),
+        ChainOption(30.0, 90.0, connected=False, first_engine_replaceable=True),
+        ChainOption(20.0, 90.0, connected=False, first_engine_replaceable=True),
     ]
-    assert choose_sparing(options) == 2
+    assert choose_for_risky_request(options) == 2
 
 
 def test_what_may_end_its_engine_takes_the_chain_that_serves_the_least() -> None:
@@ -181,8 +183,8 @@
         ChainOption(10.0, 50.0, connected=True),
         ChainOption(20.0, 30.0, connected=False),
     ]
-    assert choose_sparing(options) == 1
+    assert choose_for_risky_request(options) == 1
 
 
 def test_what_may_end_its_engine_doesnt_get_the_last_chain() -> None:
-    assert choose_sparing([ChainOption(10.0, 50.0, connected=True)]) is None
+    assert choose_for_risky_request([ChainOption(10.0, 50.0, connected=True)]) is None
--- a/tests/unit/test_chain_prediction.py
+++ b/tests/unit/test_chain_prediction.py
@@ -33,7 +33,7 @@
     token_s = found.pause_s / 4
     assert 0.002 <= token_s < 0.0025
     assert abs(found.first_event_s - (0.012 + 4 * token_s)) < 1e-9
-    assert found.room_tokens == 50_000
+    assert found.free_tokens == 50_000
 
 
 def test_prompts_that_wait_and_sequences_in_flight_make_it_later() -> None:
@@ -43,4 +43,4 @@
     found = predict_chain([loaded], MODEL, 800, 200)
     assert found.first_event_s > idle.first_event_s + 0.1
     assert found.pause_s > idle.pause_s
-    assert found.room_tokens == 10_000
+    assert found.free_tokens == 10_000
--- a/tests/unit/test_chain_search.py
+++ b/tests/unit/test_chain_search.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from railfold._internal.core import LayerRange, Stage
-from railfold._internal.decisions.chain_costs import Candidate
+from railfold._internal.decisions.chain_costs import StageCandidate
 from railfold._internal.decisions.chain_prediction import StageState
 from railfold._internal.decisions.chain_search import (
     FoundChain,
@@ -36,13 +36,15 @@
 
 def candidate(
     host: str, first: int, last: int, domain: str, cost: float = 1.0
-) -> Candidate:
+) -> StageCandidate:
     layers = LayerRange(first, last)
     replica = Replica(
         Stage(host, "10.0.0.1:1", 1, layers), domain, "west", 0, 1000, 1.0
     )
     state = StageState(FAST, len(layers), 1000, ServerLoad())
-    return Candidate(replica, state, 0.0, cost / LAYERS, 0.0, 0.1, 0.0, has_room=True)
+    return StageCandidate(
+        replica, state, 0.0, cost / LAYERS, 0.0, 0.1, 0.0, has_capacity=True
+    )
 
 
 def crossing_cost(one: str, other: str) -> float:
@@ -96,7 +98,7 @@
 
 def test_a_chain_at_home_is_found_though_a_full_server_could_be_borrowed() -> None:
     """The cheaper way there led over the server that the request isn't lent."""
-    full = replace(candidate("b2", 4, 7, "b"), has_room=False)
+    full = replace(candidate("b2", 4, 7, "b"), has_capacity=False)
     engines = [
         candidate("a1", 0, 3, "a", cost=0.1),
         candidate("b1", 0, 3, "b", cost=2.0),
@@ -130,11 +132,13 @@
     assert bool(found) == bool(costs)
     if found:
         assert abs(found[0].cost - min(costs)) < 1e-9
-        covered = [n for _, r in found[0].used for n in range(r.first, r.last + 1)]
+        covered = [
+            n for _, r in found[0].stage_candidates for n in range(r.first, r.last + 1)
+        ]
         assert covered == list(range(LAYERS))
 
 
-def orders(engines: list[Candidate]) -> list[tuple[Candidate, ...]]:
+def orders(engines: list[StageCandidate]) -> list[tuple[StageCandidate, ...]]:
     return [
         order
         for size in range(1, 5)
@@ -143,14 +147,14 @@
     ]
 
 
-def cost_of(order: tuple[Candidate, ...]) -> float:
+def cost_of(order: tuple[StageCandidate, ...]) -> float:
     """Return what a chain of these engines costs, each run to its end."""
     layer, cost = 0, 0.0
     for engine in order:
         layers = engine.replica.stage.layers
         if not layers.first <= layer <= layers.last:
             return math.inf
-        cost += engine.share_per_layer * (layers.last + 1 - layer)
+        cost += engine.objective_cost_per_layer * (layers.last + 1 - layer)
         layer = layers.last + 1
     domains = [engine.replica.failure_domain for engine in order]
     visits = [domain for domain, _ in itertools.groupby(domains)]
--- a/tests/unit/test_eligibility.py
+++ b/tests/unit/test_eligibility.py
@@ -99,9 +99,9 @@
     setting.backoffs.requested("i-1", 3.0, 9.0)
     assert setting.eligibility.bar_of_send("i-1", 10.0) == BackingOff(12.0)
     assert setting.eligibility.bar_of_send("i-1", 12.0) is None
-    setting.directory.suspect("i-1", 12.0)
+    setting.directory.mark_suspect("i-1", 12.0)
     assert setting.eligibility.bar_of_send("i-1", 12.0) == NotServing()
-    setting.directory.cleared("i-1")
+    setting.directory.clear_suspicion("i-1")
     setting.directory.register(replace(REGISTRATION, draining=True))
     assert setting.eligibility.bar_of_send("i-1", 12.0) == NotServing()
     assert setting.eligibility.bar_of_send("i-2", 12.0) == NotServing()
--- a/tests/unit/test_engine_directory.py
+++ b/tests/unit/test_engine_directory.py
@@ -51,9 +51,9 @@
 
 
 def test_draining_and_suspect_engines_get_no_work(directory: EngineDirectory) -> None:
-    directory.suspect("i-1", 1.0)
+    directory.mark_suspect("i-1", 1.0)
     assert hosts(directory) == []
-    directory.cleared("i-1")
+    directory.clear_suspicion("i-1")
     assert hosts(directory) == ["i-1"]
     directory.register(replace(ENGINE, draining=True))
     assert hosts(directory) == []
@@ -67,7 +67,7 @@
 def test_a_removal_after_an_outage_waits_for_a_new_registration(
     directory: EngineDirectory,
 ) -> None:
-    directory.store_returned(100.0)
+    directory.store_recovered(100.0)
     directory.remove("i-1", 100.1)
     assert hosts(directory) == ["i-1"]
     assert directory.expire(102.0) == []
@@ -79,13 +79,13 @@
 def test_an_engine_that_stays_away_after_an_outage_is_gone(
     directory: EngineDirectory,
 ) -> None:
-    directory.store_returned(100.0)
+    directory.store_recovered(100.0)
     directory.remove("i-1", 100.1)
     assert directory.expire(102.5) == ["i-1"]
     assert hosts(directory) == []
 
 
-def loads(own: dict[str, int], entries: int) -> Callable[[str], ServerLoad]:
+def load_lookup(own: dict[str, int], entries: int) -> Callable[[str], ServerLoad]:
     """What one of some entries reckons with that hears none of the others."""
     fleet = FleetLoad(lifetime_s=2.0)
     for server_id, tokens in own.items():
@@ -95,8 +95,8 @@
 
 def test_load_counts_tokens_and_others_are_reckoned(directory: EngineDirectory) -> None:
     own = {"i-1": 4000}
-    (alone,) = directory.layer_replicas("llm", MODEL, "west", loads(own, 1), 1)
-    (shared,) = directory.layer_replicas("llm", MODEL, "west", loads(own, 5), 5)
+    (alone,) = directory.layer_replicas("llm", MODEL, "west", load_lookup(own, 1), 1)
+    (shared,) = directory.layer_replicas("llm", MODEL, "west", load_lookup(own, 5), 5)
     free_mb = 21600.0 - 8 * 1750.0
     assert alone.capacity == int(free_mb / (8 * 0.0115))
     assert (alone.in_flight, shared.in_flight) == (4000, 20000)
@@ -104,10 +104,12 @@
 
 def test_only_ones_own_load_makes_an_engine_full(directory: EngineDirectory) -> None:
     own = {"i-1": 60_000}
-    (reckoned,) = directory.layer_replicas("llm", MODEL, "west", loads(own, 22), 22)
+    (reckoned,) = directory.layer_replicas(
+        "llm", MODEL, "west", load_lookup(own, 22), 22
+    )
     assert not reckoned.full
     own = {"i-1": 100_000}
-    (full,) = directory.layer_replicas("llm", MODEL, "west", loads(own, 1), 1)
+    (full,) = directory.layer_replicas("llm", MODEL, "west", load_lookup(own, 1), 1)
     assert full.full
 
 
@@ -135,10 +137,10 @@
     before = directory.register(EARLIER).entry
     assert before is not None
     before.slowness = 3.0
-    directory.suspect(before.server_id, 1.0)
+    directory.mark_suspect(before.server_id, 1.0)
     taken = directory.register(LATER)
     assert taken.ended == (before.server_id,)
-    assert taken.entry is directory.registered_as("i-1")
+    assert taken.entry is directory.get_by_registered_id("i-1")
     assert taken.entry is not None
     assert taken.entry.slowness == 1.0
     fleet = FleetLoad(lifetime_s=2.0)
@@ -166,7 +168,7 @@
 def test_the_id_alone_names_a_server_that_doesnt_tell_its_start(
     directory: EngineDirectory,
 ) -> None:
-    known = directory.registered_as("i-1")
+    known = directory.get_by_registered_id("i-1")
     assert directory.register(EARLIER).entry is known
     assert directory.register(ENGINE).entry is known
     assert directory.register(LATER).ended == ("i-1",)
@@ -190,7 +192,7 @@
 
 
 def test_a_record_that_names_nobody_counts_at_once(directory: EngineDirectory) -> None:
-    directory.store_returned(100.0)
+    directory.store_recovered(100.0)
     directory.withdraw("i-1")
     assert hosts(directory) == []
     directory.register(ENGINE)
@@ -234,7 +236,7 @@
                 assert directory.get(taken.entry.server_id) is taken.entry
             assert all(directory.get(server_id) is None for server_id in taken.ended)
         elif step == "outage":
-            directory.store_returned(float(now_s))
+            directory.store_recovered(float(now_s))
         elif step == "remove":
             directory.remove(name, float(now_s))
         else:
@@ -244,18 +246,21 @@
         assert len({e.registration.registered_id for e in entries}) == len(entries)
         assert len({e.registration.address for e in entries}) == len(entries)
         for entry in entries:
-            assert directory.registered_as(entry.registration.registered_id) is entry
-            assert directory.at(entry.registration.address) is entry
+            assert (
+                directory.get_by_registered_id(entry.registration.registered_id)
+                is entry
+            )
+            assert directory.get_by_address(entry.registration.address) is entry
 
 
-def missing_of(count: int, missing: int) -> EngineDirectory:
+def directory_after_outage(count: int, missing: int) -> EngineDirectory:
     """Return a directory after an outage in which some registrations disappeared."""
     directory = EngineDirectory()
     for number in range(count):
         address = f"10.0.0.{number}:80"
         name = f"i-{number}"
         directory.register(replace(ENGINE, registered_id=name, address=address))
-    directory.store_returned(1.0)
+    directory.store_recovered(1.0)
     for number in range(missing):
         directory.remove(f"i-{number}", 1.1)
     return directory
@@ -263,15 +268,15 @@
 
 def test_few_that_are_missing_after_an_outage_are_doubtful() -> None:
     """They left while this entry alone was without the store."""
-    assert missing_of(6, 2).doubtful("llm") == {"i-0", "i-1"}
-    assert missing_of(2, 1).doubtful("llm") == {"i-0"}
+    assert directory_after_outage(6, 2).possibly_departed("llm") == {"i-0", "i-1"}
+    assert directory_after_outage(2, 1).possibly_departed("llm") == {"i-0"}
 
 
 def test_many_that_are_missing_lapsed_with_the_store() -> None:
-    assert missing_of(6, 3).doubtful("llm") == frozenset()
+    assert directory_after_outage(6, 3).possibly_departed("llm") == frozenset()
 
 
 def test_one_that_registers_again_isnt_doubtful() -> None:
-    directory = missing_of(6, 1)
+    directory = directory_after_outage(6, 1)
     directory.register(replace(ENGINE, registered_id="i-0", address="10.0.0.0:80"))
-    assert directory.doubtful("llm") == frozenset()
+    assert directory.possibly_departed("llm") == frozenset()
--- a/tests/unit/test_event_cursor.py
+++ b/tests/unit/test_event_cursor.py
@@ -26,13 +26,13 @@
 def test_an_event_that_was_broken_off_comes_whole_from_the_next_attempt() -> None:
     cursor = EventCursor()
     cursor.feed(event(1) + b"id: 2\nda")
-    cursor.resumed()
+    cursor.resume()
     assert cursor.feed(event(2) + event(3)) == event(2) + event(3)
 
 
 def test_events_that_the_client_has_are_dropped_after_a_resumption() -> None:
     cursor = EventCursor(last_id=4)
-    cursor.resumed()
+    cursor.resume()
     assert cursor.feed(event(3) + event(4)) == b""
     assert cursor.feed(event(5)) == event(5)
     assert cursor.feed(event(4)) == event(4)  # Only a new attempt's beginning.
@@ -56,7 +56,7 @@
     whole = b"".join(event(n) for n in range(1, 21))
     cursor = EventCursor()
     got = _feed(cursor, whole[: min(cut, len(whole))], breaks)
-    cursor.resumed()
+    cursor.resume()
     next_id = (cursor.last_id or 0) + 1
     rest = b"".join(event(n) for n in range(max(1, next_id - repeats), 21))
     got += _feed(cursor, rest, breaks)
--- a/tests/unit/test_layer_orders.py
+++ b/tests/unit/test_layer_orders.py
@@ -65,7 +65,7 @@
     entry = SimpleNamespace(
         server_id="e1",
         registration=SimpleNamespace(layers=None),
-        is_another=lambda started_at_ms: False,
+        is_other_incarnation=lambda started_at_ms: False,
     )
     orders.give(cast("Any", entry), LoadOrder("m", "", layers, 1), 0.0)
     while orders.under_way:  # noqa: ASYNC110
--- a/tests/unit/test_layer_placement.py
+++ b/tests/unit/test_layer_placement.py
@@ -48,7 +48,7 @@
 def test_a_first_plan_keeps_memory_for_most_of_a_full_batch() -> None:
     kinds = dict(zip((e.server_id for e in engines(*HALL)), HALL, strict=True))
     for server_id, layers in plan_layers(engines(*HALL), MODEL).items():
-        tokens = MODEL.state_tokens(kinds[server_id], len(layers))
+        tokens = MODEL.capacity_tokens(kinds[server_id], len(layers))
         assert tokens >= 0.8 * MODEL.max_sequences * MODEL.mean_tokens
 
 
@@ -103,7 +103,7 @@
 
 def least_room(members: list[EngineRoom]) -> int:
     return min(
-        MODEL.state_tokens(e.accelerator, len(e.held)) for e in members if e.held
+        MODEL.capacity_tokens(e.accelerator, len(e.held)) for e in members if e.held
     )
 
 
--- a/tests/unit/test_log_epoch.py
+++ b/tests/unit/test_log_epoch.py
@@ -144,7 +144,7 @@
 def test_what_was_proved_before_holds_for_the_rest_of_its_time() -> None:
     lease = FreshnessLease(5.0)
     lease.renew(10.0)
-    lease.hold_off(14.0)
+    lease.ignore_sent_before(14.0)
     lease.renew(12.0)
     assert lease.age_s(13.0) == 3.0
     assert lease.valid(14.9)
