--- a/src/railfold/_internal/decisions/__init__.py
+++ b/src/railfold/_internal/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions as state machines and functions without I/O or clock."""
+"""Decision logic as state machines and functions that do no I/O and read no clock."""
--- a/src/railfold/_internal/decisions/chain_activity.py
+++ b/src/railfold/_internal/decisions/chain_activity.py
@@ -1,15 +1,16 @@
-"""Telling a chain that stands still from streams that are slow.
-
-One stream's pause may have many causes. Backend servers that other streams move
-through are well, so that only the rest of its chain is worth a probe. When all
-streams through those pause together while other chains go on, one of them has
-stopped, and there is no need to wait for a probe's timeout. When several chains
-pause together, the cause is more likely here or on the way, and nothing is concluded.
-
-The same events tell how slow a chain is: the mean of their pauses over the pause
-that its accelerators would lead one to expect, and how long requests wait there for
-their first event. One of many entries has a request or two in flight on each chain,
-so that its own load says little of how full a chain is; the wait tells it.
+"""Detects stalled and slow chains from the event times of their streams.
+
+A pause in one stream may have many causes. Backend servers that carry another active
+stream are healthy, so only the remaining hosts of the paused chain are suspect. If all
+streams through the suspect hosts pause together while other chains keep sending, one
+of the suspect hosts has stopped, and the entry need not wait for a probe to time out.
+If several chains pause together, the cause is more likely this process or the network,
+and no chain is reported as stalled.
+
+The same events measure how slow a chain is: the mean pause between events, relative to
+the pause expected from its accelerators, and the time that requests wait for their
+first event. One of many entries has only one or two requests in flight on each chain,
+so its own load says little about how full a chain is; the wait for first events does.
 """
 
 from __future__ import annotations
@@ -19,50 +20,60 @@
 
 __all__ = ["ChainActivity", "ChainKey"]
 
-# Hosts of a chain, in order.
+# The hosts of a chain, in the order of its stages.
 ChainKey = tuple[str, ...]
 
-# Events of a stream come every 15 to 30 ms on the first sites; reading a long
-# prompt holds all streams of a chain up by 30 ms more. A chain that was slow
-# before must pause for several times its usual pause.
+# A chain counts as stalled after the larger of this time and this multiple of its mean
+# pause. Events normally arrive every 15 to 30 ms, and the prefill of a long prompt
+# delays all streams of a chain by another 30 ms. The factor keeps a chain that was
+# already slow from being reported as stalled.
 _STALL_S = 0.085
 _STALL_FACTOR = 4.0
 
-# A stream that got an event within this time, or two of its chain's usual pauses,
-# shows that the hosts it runs through are well: two to three events.
+# A stream is active if it received an event within the larger of this time and this
+# multiple of its chain's mean pause, which is two to three events. All hosts of an
+# active stream are healthy.
 _ACTIVE_S = 0.06
 _ACTIVE_FACTOR = 2.0
 
-# Fewer streams that pause together prove too little.
+# A single paused stream isn't enough evidence that a host has stopped.
 _MIN_STALLED_STREAMS = 2
 
-# The event loop's own delay that makes a pause prove nothing.
+# If this process's event loop was delayed by more than this, events may be waiting
+# unread, so a pause proves nothing about the chain.
 _MAX_LOOP_DELAY_S = 0.03
 
-# Weight of one pause in the mean, and how soon a chain that nobody uses any more
-# is believed to be as fast as its accelerators again.
+# Weight of one pause in the moving mean, and the time constant with which the measured
+# slowness of an unused chain decays to the expected value.
 _PAUSE_WEIGHT = 0.05
 _SLOWNESS_DECAY_S = 4.0
 
-# Weight of one wait for a first event: an entry sees one every two seconds on a
-# chain of the grown sites, and a chain fills up within a second.
+# Weight of one wait for a first event in the moving mean. It is high because an entry
+# sees a first event on a chain only about every two seconds at large sites, while a
+# chain can fill up within one second.
 _FIRST_EVENT_WAIT_WEIGHT = 0.4
 
-# A slowness beyond this changes no choice.
+# Larger values wouldn't change which chain is chosen.
 _MAX_SLOWNESS = 20.0
 
 
 @dataclass(slots=True)
 class _ChainState:
+    """The number of streams on a chain, and the time of their latest event."""
+
     streams: int = 0
     last_event_s: float = 0.0
 
 
 @dataclass(slots=True)
 class _HostPace:
-    """Mean pause, the same over the expected one, and when it was last seen.
+    """Moving means over all chains that begin at a host.
 
-    :param wait_s: mean wait for a first event, and when one was last seen.
+    :param slowness: mean pause between events, relative to the expected pause.
+    :param pause_s: mean pause between events.
+    :param pause_seen_s: time of the latest pause measured.
+    :param wait_s: mean wait for a first event.
+    :param wait_seen_s: time of the latest wait measured.
     """
 
     slowness: float = 1.0
@@ -73,14 +84,17 @@
 
 
 class ChainActivity:
-    """When each chain's streams last moved, at one entry."""
+    """Event times of one entry's streams, by chain.
+
+    Times are on the monotonic clock.
+    """
 
     def __init__(self) -> None:
         self._chains: dict[ChainKey, _ChainState] = {}
         self._paces: dict[str, _HostPace] = {}
 
     def stream_started(self, key: ChainKey, now_s: float) -> None:
-        """A stream over the chain got its first event."""
+        """Record that a stream on the chain received its first event."""
         chain = self._chains.setdefault(key, _ChainState())
         chain.streams += 1
         chain.last_event_s = now_s
@@ -88,10 +102,10 @@
     def event_received(
         self, key: ChainKey, now_s: float, pause_s: float, expected_pause_s: float
     ) -> None:
-        """A stream over the chain got an event.
+        """Record that a stream on the chain received an event after its first one.
 
-        :param pause_s: time since the stream's last event.
-        :param expected_s: the pause that the chain's accelerators lead to.
+        :param pause_s: time since the stream's previous event.
+        :param expected_pause_s: the pause expected from the chain's accelerators.
         """
         chain = self._chains.get(key)
         if chain is not None:
@@ -105,13 +119,19 @@
     def first_event_received(
         self, first_host: str, now_s: float, wait_s: float
     ) -> None:
-        """A request got its first event, ``wait_s`` after it was sent."""
+        """Record that a request received its first event ``wait_s`` after it was sent.
+
+        :param first_host: the first host of the request's chain.
+        """
         pace = self._paces.setdefault(first_host, _HostPace())
         pace.wait_s += _FIRST_EVENT_WAIT_WEIGHT * (wait_s - pace.wait_s)
         pace.wait_seen_s = now_s
 
     def first_event_pending(self, first_host: str, now_s: float, wait_s: float) -> None:
-        """A request has waited for its first event for ``wait_s`` until now."""
+        """Record that a request has waited ``wait_s`` for its first event so far.
+
+        Only a wait longer than the mean is taken into account.
+        """
         pace = self._paces.setdefault(first_host, _HostPace())
         if wait_s > pace.wait_s:
             pace.wait_s = wait_s
@@ -120,10 +140,10 @@
     def slowness(
         self, first_host: str, now_s: float, acceptable_wait_s: float
     ) -> float:
-        """Return how slow chains that begin at a host are; 1 is as expected.
+        """Return how slow the chains that begin at a host are; 1.0 is as expected.
 
-        :param bearable_s: the wait for a first event from which on a chain counts
-            as slow.
+        :param acceptable_wait_s: chains whose mean wait for a first event is longer
+            than this count as slow.
         """
         pace = self._paces.get(first_host)
         if pace is None:
@@ -135,9 +155,9 @@
         )
 
     def active_hosts_since(self, at_s: float) -> set[str]:
-        """Return the hosts that a stream which moved since then, or just before, uses.
+        """Return the hosts of streams with an event since ``at_s`` or just before it.
 
-        Those are well.
+        These hosts are healthy.
         """
         since_s = at_s - _ACTIVE_S
         active_keys = [
@@ -146,9 +166,9 @@
         return {host for key in active_keys for host in key}
 
     def slow_chains(self, min_ratio: float, now_s: float) -> list[ChainKey]:
-        """Return chains with streams whose pauses are longer than expected.
+        """Return chains with streams whose mean pause is longer than expected.
 
-        :param ratio: by how many times.
+        :param min_ratio: smallest ratio of the mean pause to the expected pause.
         """
         return [
             key for key in self._chains if self._pause_ratio(key, now_s) >= min_ratio
@@ -159,12 +179,12 @@
         return _decayed_slowness(pace.slowness, now_s - pace.pause_seen_s)
 
     def retain_hosts(self, known_hosts: set[str]) -> None:
-        """Forget all hosts but these."""
+        """Drop the measurements of all hosts except ``known_hosts``."""
         for host in set(self._paces) - known_hosts:
             del self._paces[host]
 
     def stream_ended(self, key: ChainKey) -> None:
-        """A stream over the chain that had got events ended."""
+        """Record the end of a stream that had received its first event."""
         chain = self._chains.get(key)
         if chain is None:
             return
@@ -175,9 +195,10 @@
     def suspect_hosts(
         self, key: ChainKey, now_s: float, loop_delay_s: float
     ) -> tuple[str, ...]:
-        """Return the hosts of a chain that no moving stream runs through.
+        """Return the hosts of a chain that no active stream runs through.
 
-        None if the event loop was late: then nothing is known of any stream.
+        Returns an empty tuple if the event loop was delayed for too long, since no
+        stream can be judged then.
         """
         if loop_delay_s > _MAX_LOOP_DELAY_S:
             return ()
@@ -189,7 +210,11 @@
         return tuple(host for host in key if host not in active)
 
     def is_stalled(self, key: ChainKey, now_s: float, loop_delay_s: float) -> bool:
-        """Return whether the chain surely stands still, and others don't."""
+        """Return whether a host of the chain has stopped.
+
+        This holds if all streams through the chain's suspect hosts pause while at
+        least half of the other chains, and at least one of them, are active.
+        """
         suspects = set(self.suspect_hosts(key, now_s, loop_delay_s))
         if not suspects:
             return False
@@ -210,5 +235,5 @@
 
 
 def _decayed_slowness(slowness: float, age_s: float) -> float:
-    """Return what is left of a slowness that was seen some time ago."""
+    """Return a slowness measured ``age_s`` ago, decayed towards 1.0."""
     return 1.0 + (max(1.0, slowness) - 1.0) * math.exp(-age_s / _SLOWNESS_DECAY_S)
--- a/src/railfold/_internal/decisions/chain_choice.py
+++ b/src/railfold/_internal/decisions/chain_choice.py
@@ -1,11 +1,11 @@
-"""Which of several failure domains' chains a request takes.
-
-Where an entry sees enough of the load, the cheapest chain is the best one. Where it
-doesn't, all entries find the same chain the cheapest, and send there together, more
-than it has room for: most of all after a power cut, when all clients come back at the
-same time. So the less an entry sees, the more the choice is
-left to chance, weighted by what each chain can serve. A kept connection counts more
-then too: it keeps an entry with the engines that chance gave it.
+"""Selection of one chain among those of several failure domains.
+
+If an entry knows most of the load, it does best to take the cheapest chain. If it
+doesn't, all entries find the same chain cheapest and together send it more than its
+capacity, especially after a power cut, when all clients reconnect at the same time.
+Therefore the less an entry knows, the more random the selection becomes, weighted by
+the capacity of each chain. An idle connection to a chain's first engine then also
+counts for more, so that an entry keeps using the engines it was randomly assigned.
 """
 
 from __future__ import annotations
@@ -24,12 +24,14 @@
     "load_uncertainty",
 ]
 
-# Of so many chains that are drawn the best is taken. Two spread the load well and miss
-# the better ones often; with more, entries with the same news send to the same chain.
+# Number of chains sampled at random, of which the cheapest is taken. With two, the load
+# is spread well but the better chains are often missed; with more than three, entries
+# that know the same load send to the same chain.
 _SAMPLED_CHAINS = 3
 
-# How many times as likely an entry that sees nothing stays with an engine that a kept
-# connection leads to. Entries have several such engines, so that a slow one loses.
+# How many times as likely an entry that knows none of the load chooses a chain to which
+# it has an idle connection. Entries have several such chains, so that a slow one is
+# still avoided.
 _CONNECTED_WEIGHT = 4.0
 
 
@@ -37,13 +39,13 @@
 class ChainOption:
     """A chain that a request could take.
 
-    :param cost: time of a token there at the load that is known, in any unit; less if
-        the chain is preferred for another reason.
-    :param room: how many usual requests fit on it at a time.
-    :param connected: whether a kept connection leads to its first engine.
-    :param sure: whether none of its engines may have left.
-    :param first_replaceable: whether others in its failure domain hold what its first
-        engine holds.
+    :param cost: time per token at the known load, in any unit; lower if the chain is
+        preferred for another reason.
+    :param capacity: how many typical requests it can run at a time.
+    :param connected: whether there is an idle connection to its first engine.
+    :param confirmed: whether all its engines are known to be registered still.
+    :param first_engine_replaceable: whether other engines of its failure domain hold
+        the layers of its first engine.
     """
 
     cost: float
@@ -55,12 +57,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RatedChain:
-    """A chain by what it costs a request at the load that is known.
+    """A chain with its cost for one request at the known load.
 
-    :param cost: without a unit.
-    :param throughput_rps: how many usual requests a second it serves when full.
-    :param has_room: whether the request is predicted to fit.
-    :param in_time: whether it is predicted to meet its objectives.
+    :param cost: dimensionless.
+    :param throughput_rps: typical requests per second that it serves when full.
+    :param has_capacity: whether the request is predicted to fit.
+    :param meets_objectives: whether the request is predicted to meet its objectives.
     """
 
     cost: float
@@ -72,10 +74,14 @@
 def choose_rated_chain(
     chains: Sequence[RatedChain], entries: int, rng: random.Random
 ) -> int:
-    """Return the index of the chain to take.
+    """Return the index of the chain that a request takes.
 
-    The best of a few, drawn by what each can serve: all entries know about the same,
-    and would otherwise send to the same chain until the news of it is there.
+    Chains with capacity that meet the objectives are preferred. With several entries,
+    it is the cheapest of a few chains sampled in proportion to their throughput. All
+    entries know about the same load, so that without sampling they would all send to
+    one chain until its new load is announced.
+
+    :param entries: number of entries that send to these chains.
     """
     with_capacity = [i for i, chain in enumerate(chains) if chain.has_capacity]
     candidates = with_capacity or list(range(len(chains)))
@@ -94,10 +100,12 @@
 
 
 def load_uncertainty(capacities: Sequence[float], entries: int) -> float:
-    """Return how little an entry knows of the load, from 0 to 1.
+    """Return how little of the load an entry knows, from 0 to 1.
+
+    1 means that all other entries together can fill a chain with one unseen request
+    each.
 
-    1 if every entry could fill a chain together with the others by one request each,
-    before any of them sees it.
+    :param capacities: how many typical requests each chain can run at a time.
     """
     if not capacities:
         return 0.0
@@ -108,12 +116,12 @@
 def choose_option(
     options: Sequence[ChainOption], entries: int, rng: random.Random
 ) -> int:
-    """Return the index of the chain to take.
+    """Return the index of the chain that a request takes.
 
-    An entry that sees all takes the cheapest. One that sees nothing takes each by a
-    chance in proportion to its room over its cost, which is its throughput. Those that
-    aren't sure are left out if that leaves half of them, so that the load of the others
-    is doubled at most.
+    An entry that knows the whole load takes the cheapest chain. One that knows none of
+    it samples a chain in proportion to capacity over cost, which is the throughput.
+    Chains that aren't confirmed are left out if at least half of the chains remain, so
+    that the load of the others at most doubles.
     """
     confirmed = [index for index, option in enumerate(options) if option.confirmed]
     candidates = (
@@ -126,7 +134,8 @@
         weight = max(1.0, option.capacity) * (
             _CONNECTED_WEIGHT if option.connected else 1.0
         )
-        # The least of such keys is a draw in proportion to weights (Gumbel's trick).
+        # The Gumbel-max trick: the smallest of these keys is a random sample in
+        # proportion to the weights.
         gumbel_noise = -math.log(-math.log(max(1e-12, rng.random())) + 1e-12)
         return math.log(max(1e-9, option.cost)) - uncertainty * (
             math.log(weight) + gumbel_noise
@@ -136,11 +145,12 @@
 
 
 def choose_for_risky_request(options: Sequence[ChainOption]) -> int | None:
-    """Return the index of the chain that a request takes which may end its engine.
+    """Return the index of the chain for a request that may crash its first engine.
 
-    One whose first engine others can replace; else the one with the least room; none if
-    it is the last one, so that the others are still served: a request that has ended
-    two engines would else take the first engine of the last failure domain too.
+    A chain whose first engine can be replaced is preferred, otherwise the one with the
+    least capacity. Returns None if only one chain is left and its first engine can't be
+    replaced: a request that has already crashed two engines would otherwise also crash
+    the first engine of the last failure domain, and no request would be served.
     """
     replaceable = [
         i for i, option in enumerate(options) if option.first_engine_replaceable
--- a/src/railfold/_internal/decisions/chain_costs.py
+++ b/src/railfold/_internal/decisions/chain_costs.py
@@ -1,13 +1,15 @@
-"""What a stage costs a request, by the load that is known of its server.
+"""Cost of a stage for one request, at the known load of its server.
 
-Answers requests for engines of unlike speeds whose memory runs out. A fast engine is
-the best choice until it is full, so that the least time alone sends everything to a few
-engines and is refused there. The cost of a chain therefore adds up, without a unit:
+The costs spread requests over engines of different speeds and limited memory. A fast
+engine is the best choice until it is full, so that choosing by time alone sends all
+requests to a few engines, which reject them. The cost of a chain is therefore the
+dimensionless sum of:
 
 - the share of the route's objectives that it uses up;
-- the room that it takes: scarcity at each stage, times how long the chain holds it,
-  over the time that a chain of the stage's own kind would. So a slow stage behind a
-  fast one pays for the requests that the fast one can't take meanwhile;
+- the memory that it occupies: the scarcity at each stage, times the duration of the
+  whole chain, divided by the duration of a chain of the stage's kind of accelerator
+  only. So a slow stage in a chain with a fast one pays for the requests that the fast
+  one can't take meanwhile;
 - the risk of a rejection, which loses the whole objective.
 """
 
@@ -29,35 +31,38 @@
     "unseen_occupancy",
 ]
 
-# What time counts beside room: a chain that uses up a whole objective costs as much
-# more than an immediate one as a server that is a third full costs more than an idle
-# one. With more, idle slow engines stay idle while fast ones fill up.
+# Weight of time relative to scarcity. Using up a whole objective costs as much as going
+# to a server that is one third full instead of an idle one. With a higher weight, slow
+# engines stay idle while fast ones fill up.
 _TIME_WEIGHT = 0.5
 
-# Above this share of its room the next request may be rejected, since others send
-# there at the same time.
+# Above this occupancy the next request may be rejected, since other entries send to
+# the server at the same time.
 _RISKY_OCCUPANCY = 0.85
 
-# Scarcity grows linearly beyond this, so that full servers can be told apart.
+# Above this occupancy scarcity grows linearly rather than to infinity, so that the
+# costs of full servers still differ.
 _LINEAR_FROM_OCCUPANCY = 0.95
 
-# The share of all requests that may go to one server before the news of it is there:
-# entries draw among several chains.
+# Share of all requests that may go to one server before its new load is announced. It
+# is below 1 since entries sample among several chains.
 _UNSEEN_REQUEST_SHARE = 0.3
 
-# A route whose objective is loose leaves the fastest accelerators to tighter ones
-# unless they have far more room.
+# Weight of the cost that makes routes with long objectives leave the fastest
+# accelerators to routes with short ones, unless the fast ones have far more capacity.
 _SLACK_WEIGHT = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class RequestNeeds:
-    """What a request asks of a chain.
-
-    :param objective_s: time to its first event.
-    :param allowed_pause_s: between two of its events.
-    :param looseness: the share of ``objective_s`` that the tightest route of the
-        service does without; 0 for that route itself.
+    """Size and objectives of a request.
+
+    :param prompt_tokens: length of its prompt.
+    :param answer_tokens: expected length of its answer.
+    :param objective_s: longest time to its first event.
+    :param allowed_pause_s: longest pause between two of its events.
+    :param objective_slack: how much shorter the shortest objective of the service's
+        routes is, as a share of ``objective_s``; 0 for the route with that objective.
     """
 
     prompt_tokens: int
@@ -68,21 +73,23 @@
 
     @property
     def total_tokens(self) -> int:
-        """The memory that its state may grow to."""
+        """The largest size of its state, in tokens."""
         return self.prompt_tokens + self.answer_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class StageCandidate:
-    """A replica with what it costs to run some of its layers.
-
-    :param risk: of a rejection, however few layers it runs.
-    :param share_per_layer: of the objectives, and what else doesn't depend on the
-        other stages.
-    :param stage_s: time that a stage holds the request up beside running its layers.
-    :param layer_s: the same for each layer.
-    :param room_per_layer: scarcity over the time that a chain of this kind would take.
-    :param has_room: whether the request is predicted to fit beside what is there.
+    """A replica that could be a stage of a chain, with its costs for one request.
+
+    :param rejection_risk: cost of a likely rejection, however few layers it runs.
+    :param objective_cost_per_layer: share of the objectives that a layer uses up,
+        weighted, and the cost of taking a fast accelerator on a route with slack.
+    :param overhead_s: time that the stage takes in addition to running its layers.
+    :param layer_s: time that the stage takes for each layer.
+    :param scarcity_per_layer: scarcity divided by the duration of a chain of this kind
+        of accelerator only and by the model's layer count. Multiplied by the duration
+        of a chain, it is the cost of occupying memory for one layer.
+    :param has_capacity: whether the request is predicted to fit beside those in flight.
     """
 
     replica: Replica
@@ -96,10 +103,10 @@
 
 
 def _occupancy(state: StageState, needs: RequestNeeds, max_sequences: int) -> float:
-    """Return which share of a server would be taken with the request.
+    """Return the share of a server's capacity in use once it has taken the request.
 
-    :param max_sequences: how many requests it takes as a first stage; 0 if it is
-        another stage, which memory alone bounds.
+    :param max_sequences: how many requests it can run as a first stage; 0 for a later
+        stage, which only memory limits.
     """
     tokens = (state.load.tokens + needs.total_tokens) / max(1, state.capacity_tokens)
     if not max_sequences:
@@ -108,7 +115,10 @@
 
 
 def scarcity(occupancy: float) -> float:
-    """Return the cost of room: what an M/M/1 queue adds at this utilization."""
+    """Return the cost of capacity.
+
+    It is the mean number of requests in an M/M/1 queue at this utilization.
+    """
     if occupancy <= _LINEAR_FROM_OCCUPANCY:
         return occupancy / (1.0 - occupancy)
     slope = 1.0 / (1.0 - _LINEAR_FROM_OCCUPANCY) ** 2
@@ -120,10 +130,14 @@
 def unseen_occupancy(
     state: StageState, model: EngineModel, entries: int, arriving_rps: float
 ) -> float:
-    """Return which share of a server may have been taken unseen.
+    """Return the share of a server's capacity that requests unknown here may occupy.
+
+    These are one request of each entry whose load isn't known, and the requests that
+    arrived at all entries since the oldest load announcement, as far as they may have
+    gone to this server.
 
-    By entries whose parts aren't known, one request each, and by what has arrived
-    everywhere since the oldest part that counts, as far as it may have gone there.
+    :param entries: number of entries.
+    :param arriving_rps: requests per second that arrive at all entries together.
     """
     unseen_requests = (entries - 1) * (1.0 - state.load.known_share)
     unseen_requests += arriving_rps * state.load.age_s
@@ -141,12 +155,12 @@
     unseen_share: float,
     rng: random.Random,
 ) -> StageCandidate:
-    """Return a replica with its costs.
+    """Return a replica with its costs for a request.
 
-    :param state: of all layers of the replica.
-    :param spread: which share of it may have been taken unseen. Each request draws
-        how much of that it reckons with, so that entries which know the same don't
-        all choose the same server.
+    :param state: the replica's state as a stage that runs all its layers.
+    :param unseen_share: the share of its capacity that unknown requests may occupy, see
+        :func:`unseen_occupancy`. It is scaled by a random factor for each request, so
+        that entries with the same knowledge don't all choose the same server.
     """
     is_first = replica.stage.layers.first == 0
     occupancy = _occupancy(state, needs, model.max_sequences if is_first else 0)
--- a/src/railfold/_internal/decisions/chain_prediction.py
+++ b/src/railfold/_internal/decisions/chain_prediction.py
@@ -1,8 +1,8 @@
-"""What a request gets on a chain at the load that is known.
+"""Prediction of a request's latency on a chain at the known load.
 
-By the figures of the configuration: each stage reads the prompts that wait there and
-then the request's own, and each token takes the stage's share of a step, which grows
-with the sequences in flight.
+The prediction uses the timings of the model's configuration. Each stage processes the
+prompts that wait there and then the request's own (prefill), and each token takes the
+stage's share of a decode step, which grows with the sequences in flight.
 """
 
 from __future__ import annotations
@@ -19,11 +19,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StageState:
-    """A stage of a chain as it is known now.
+    """Current state of a stage of a chain, as this entry knows it.
 
-    :param accelerator: with its slowness, if it is known to be slow.
+    :param accelerator: its kind of accelerator, slowed down if the engine reported that
+        its steps are slow.
     :param layers: how many layers the stage runs.
-    :param capacity_tokens: the tokens of requests that its engine has memory for.
+    :param capacity_tokens: tokens of requests that fit in its engine's memory.
+    :param load: the load of its server over all entries.
     """
 
     accelerator: Accelerator
@@ -34,13 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ChainPrediction:
-    """What a request gets on a chain.
+    """Predicted latency of a request on a chain.
 
     :param first_event_s: time until its first event.
-    :param pause_s: between two of its events.
+    :param pause_s: time between two of its events.
     :param finish_s: time until its last token.
-    :param room_tokens: memory that is left at the fullest stage; below zero if more is
-        under way than fits.
+    :param free_tokens: tokens that still fit at the fullest stage before the request;
+        negative if more are in flight than fit.
     """
 
     first_event_s: float
@@ -55,7 +57,7 @@
     prompt_tokens: int,
     answer_tokens: int,
 ) -> ChainPrediction:
-    """Return what a request of these sizes gets on a chain of at least one stage."""
+    """Return the predicted latency of a request on a chain of at least one stage."""
     token_s = sum(
         stage_token_s(s.accelerator, model, s.layers, s.load.sequences) for s in stages
     )
@@ -70,7 +72,7 @@
 
 
 def stage_prefill_s(stage: StageState, model: EngineModel, prompt_tokens: int) -> float:
-    """Return how long a stage takes to read what waits there and one prompt more."""
+    """Return the time of a stage to process the waiting prompts and one more."""
     typical_prompt_tokens = max(1, model.mean_tokens - model.answer_tokens)
     typical_prefill_s = stage.accelerator.prefill_factor * model.prompt_s
     layer_share = stage.layers / model.layer_count
--- a/src/railfold/_internal/decisions/chain_search.py
+++ b/src/railfold/_internal/decisions/chain_search.py
@@ -1,14 +1,16 @@
-"""The cheapest chain over the engines of one or more failure domains.
-
-Answers a failure domain that lacks layers, or room for them, while another one has
-both. A chain stays in one domain, or makes one excursion: it leaves its home domain
-for some layers and may return, and every crossing costs what the link between the two
-domains costs. The search keeps the cheapest path to each layer for each way of getting
-there, so that it is linear in the replicas and their layers.
-
-Room costs as long as the whole chain holds it, which isn't known before the chain is.
-So the search is done once for each kind of accelerator, as if the chain took as long as
-one of that kind alone, and the chains found are compared by their own times.
+"""Search for the cheapest chain over the engines of one or more failure domains.
+
+A failure domain may lack layers, or the capacity to run them, while another one has
+both. A chain stays in one domain or makes one excursion: it leaves its home domain for
+some layers and may return. Each crossing has the cost of the link between the two
+domains. The search keeps the cheapest path to each layer for each combination of
+current domain and excursion state, so that it is linear in the replicas and their
+layers.
+
+A stage occupies memory for the duration of the whole chain, which isn't known until
+the chain is complete. The search therefore runs once for each kind of accelerator,
+assuming the duration of a chain of that kind only, and the chains it finds are compared
+by their actual durations.
 """
 
 from __future__ import annotations
@@ -32,23 +34,25 @@
     "search_chains",
 ]
 
-# Cost of going from one failure domain to another; infinite if it isn't to be done.
+# Cost of crossing from one failure domain to another; infinite if it isn't allowed.
 CrossingCost = Callable[[str, str], float]
 
-# Where no domain lacks layers, a chain without a crossing that costs less than this is
-# kept: crossing costs as much where servers are half full.
+# If no domain lacks layers and the cheapest chain without a crossing costs less than
+# this, crossings aren't considered, since crossing costs as much while servers are half
+# full.
 _MIN_COST_FOR_CROSSING = 1.0
 
-# Kinds of accelerators are looked at up to so many, evenly over their speeds.
+# Largest number of accelerator kinds to search for, spread evenly over their speeds.
 _MAX_SEARCHES = 4
 
 
 @dataclass(frozen=True, slots=True)
 class FoundChain:
-    """A chain over all layers.
+    """A chain over all layers with its cost.
 
-    :param cost: without a unit.
-    :param used: its candidates, in order, each with the layers that it runs.
+    :param cost: dimensionless.
+    :param stage_candidates: the candidate of each stage with the layers that it runs,
+        in order.
     """
 
     cost: float
@@ -56,7 +60,7 @@
 
     @property
     def chain(self) -> Chain:
-        """The chain's stages."""
+        """The chain for routing a request."""
         return Chain(
             tuple(
                 _build_stage(candidate, layers)
@@ -66,7 +70,7 @@
 
     @property
     def duration_s(self) -> float:
-        """How long the request takes there."""
+        """Predicted duration of the request on this chain."""
         return sum(
             c.overhead_s + c.layer_s * len(layers)
             for c, layers in self.stage_candidates
@@ -74,7 +78,7 @@
 
     @property
     def capacity_tokens(self) -> int:
-        """The memory of its smallest stage."""
+        """Tokens that fit at the stage with the least memory."""
         return min(
             candidate.state.capacity_tokens for candidate, _ in self.stage_candidates
         )
@@ -86,7 +90,7 @@
 
     @property
     def stage_states(self) -> list[StageState]:
-        """Its stages as they are known, with the layers that the chain runs."""
+        """The state of each stage, with the number of layers that the chain runs."""
         return [
             replace(c.state, layers=len(layers)) for c, layers in self.stage_candidates
         ]
@@ -101,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Prices:
-    """What a second of a chain and a unit of room count in one search."""
+    """Prices in one search of a second of latency and of a unit of scarcity."""
 
     per_second: float
     per_scarcity: float
@@ -110,7 +114,11 @@
 class _PricedCandidate(NamedTuple):
     """A candidate with its costs in one search.
 
+    :param first: its first layer.
     :param end: the layer after its last one.
+    :param domain: its failure domain.
+    :param stage_cost: cost of using it at all.
+    :param layer_cost: additional cost of each layer that it runs.
     """
 
     first: int
@@ -123,7 +131,12 @@
 
 @dataclass(frozen=True, slots=True)
 class _Path:
-    """The cheapest way to some layer; ``before`` is without its last stage."""
+    """A path from the first layer to the end of a candidate.
+
+    :param last: the candidate of the last stage.
+    :param entry_layer: the first layer that the last stage runs.
+    :param previous: the path without its last stage; None if it has only one.
+    """
 
     cost: float
     last: StageCandidate
@@ -133,11 +146,11 @@
 
 @dataclass(slots=True)
 class _PathsToLayer:
-    """Paths that end right before a layer.
+    """The cheapest paths that end right before a layer.
 
-    :param home: paths that never left the home domain.
-    :param away: paths in another domain, by domain.
-    :param returned: paths that are home again.
+    :param home: the path that never left the home domain.
+    :param away: the paths that end in another domain, by domain.
+    :param returned: the path that left the home domain and returned to it.
     """
 
     home: _Path | None
@@ -157,10 +170,10 @@
     home: str,
     crossing_cost: CrossingCost,
 ) -> list[FoundChain]:
-    """Return good chains that stay in a domain, and such as borrow from another one.
+    """Return chains within one domain and chains with a crossing, the cheapest first.
 
-    Only servers that are predicted to have room lend or borrow: whether the others are
-    tried is the decision of their own domain.
+    Only servers that are predicted to have capacity are part of a chain with a
+    crossing: whether to try a full server is left to requests of its own domain.
     """
     domains = {candidate.replica.failure_domain for candidate in candidates}
     complete_domains = [d for d in domains if _covers(candidates, layer_count, d)]
@@ -186,7 +199,7 @@
 def _covers(
     candidates: Iterable[StageCandidate], layer_count: int, domain: str
 ) -> bool:
-    """Return whether a failure domain holds all layers."""
+    """Return whether the candidates of a failure domain hold all layers."""
     ranges = (
         candidate.replica.stage.layers
         for candidate in candidates
@@ -201,10 +214,11 @@
     home: str,
     crossing_cost: CrossingCost | None,
 ) -> list[FoundChain]:
-    """Return good chains, the cheapest first.
+    """Return the chains found for each kind of accelerator, the cheapest first.
 
-    :param home: failure domain that a chain may make an excursion from.
-    :param crossing_cost: without it chains stay in one domain, whichever it is.
+    :param home: the failure domain that a chain may leave once.
+    :param crossing_cost: cost of a crossing; if None, each chain stays in one domain,
+        which need not be ``home``.
     """
     usable = [c for c in candidates if c.replica.stage.layers.last < layer_count]
     chains: dict[tuple[str, ...], FoundChain] = {}
@@ -216,7 +230,11 @@
 
 
 def _prices(candidates: Sequence[StageCandidate], layer_count: int) -> list[_Prices]:
-    """Return the prices of chains of each kind of accelerator alone."""
+    """Return the prices for chains of each kind of accelerator only.
+
+    A second costs the scarcity of such a chain, and scarcity costs its duration, since
+    the cost of occupied memory is the product of both.
+    """
     kinds: dict[float, list[StageCandidate]] = {}
     for candidate in candidates:
         kinds.setdefault(candidate.state.accelerator.step_factor, []).append(candidate)
@@ -242,7 +260,7 @@
     crossing_cost: CrossingCost | None,
     prices: _Prices,
 ) -> list[_Path]:
-    """Return the cheapest path of each way of getting there."""
+    """Return the cheapest path over all layers for each excursion state."""
     priced_candidates = _cheapest_per_range_and_domain(candidates, prices)
     paths_by_layer = [_PathsToLayer(None, {}, None) for _ in range(layer_count + 1)]
     for layer in range(layer_count):
@@ -293,7 +311,11 @@
     crossing_cost: CrossingCost | None,
     layer: int,
 ) -> tuple[float, _Path | None]:
-    """Return the cheapest path that a stage in another domain may go on from."""
+    """Return the cheapest path that a stage in another domain may extend.
+
+    It ends in that domain already or leaves the home domain at this layer. The cost
+    includes the crossing.
+    """
     if layer == 0:
         return 0.0, None
     best: tuple[float, _Path | None] = (math.inf, None)
@@ -310,7 +332,10 @@
 def _cheapest_return(
     paths_here: _PathsToLayer, home: str, crossing_cost: CrossingCost | None
 ) -> tuple[float, _Path | None]:
-    """Return the cheapest path that left home which a stage there may go on from."""
+    """Return the cheapest path with an excursion that a home stage may extend.
+
+    It has returned already or returns at this layer. The cost includes the crossing.
+    """
     best: tuple[float, _Path | None] = (math.inf, None)
     if paths_here.returned is not None:
         best = (paths_here.returned.cost, paths_here.returned)
@@ -325,10 +350,10 @@
 def _cheapest_per_range_and_domain(
     candidates: Iterable[StageCandidate], prices: _Prices
 ) -> list[_PricedCandidate]:
-    """Return the candidates that a chain may go over.
+    """Return the cheapest candidate for each layer range and failure domain.
 
-    What a path costs beyond its stages depends only on their places, so that of the
-    candidates of one range in one failure domain the cheapest is enough.
+    Apart from the costs of its stages, the cost of a path depends only on their layer
+    ranges and failure domains, so that other candidates can't be part of a cheaper one.
     """
     cheapest: dict[tuple[int, int, str], tuple[float, _PricedCandidate]] = {}
     for candidate in candidates:
@@ -358,6 +383,7 @@
 
 
 def _build_chain(path: _Path, crossing_cost: CrossingCost | None) -> FoundChain:
+    """Return the chain of a path, with its cost for its actual duration."""
     stage_candidates: list[tuple[StageCandidate, LayerRange]] = []
     node: _Path | None = path
     while node is not None:
--- a/src/railfold/_internal/decisions/checkpoints.py
+++ b/src/railfold/_internal/decisions/checkpoints.py
@@ -1,4 +1,4 @@
-"""When a process should write a checkpoint of the configuration."""
+"""Schedule for writing checkpoints of the configuration."""
 
 from __future__ import annotations
 
@@ -9,14 +9,16 @@
 
 @dataclass(slots=True)
 class CheckpointSchedule:
-    """Asks for a checkpoint well before the records before it expire.
+    """Decides when a checkpoint is due, well before the records it covers expire.
 
-    Every process keeps its own schedule and adds its own random delay, so that
-    one of them usually writes and the others see it; a second checkpoint of
-    the same state does no harm.
+    Every process has its own schedule, and its caller adds a random delay, so that
+    usually one process writes the checkpoint and the others see it. A second checkpoint
+    of the same state does no harm. Times are on the monotonic clock.
 
-    :param every_records: records after which a checkpoint is due.
-    :param max_age_s: time after which one is due if there was any record.
+    :param every_records: number of changes since the last checkpoint after which one
+        is due.
+    :param max_age_s: time since the first of these changes after which one is due.
+    :param records: number of changes since the last checkpoint.
     """
 
     every_records: int
@@ -25,13 +27,13 @@
     _first_record_s: float | None = None
 
     def record_seen(self, now_s: float) -> None:
-        """A change was folded."""
+        """Record that a change was folded."""
         self.records += 1
         if self._first_record_s is None:
             self._first_record_s = now_s
 
     def checkpoint_seen(self) -> None:
-        """Somebody's checkpoint of the present state stands in the log."""
+        """Record that the log contains a checkpoint of the current state."""
         self.records = 0
         self._first_record_s = None
 
--- a/src/railfold/_internal/decisions/configuration.py
+++ b/src/railfold/_internal/decisions/configuration.py
@@ -1,9 +1,9 @@
-"""Folding the platform's log into the configuration in force.
+"""The configuration in force, computed from the records of the platform's log.
 
-The order of the log is the truth. A change names the version of its object
-that it was based on; if the object has moved on, the change is a conflict and
-has no effect. Every process folds the same records by this function and comes
-to the same state, the same version and the same audit trail.
+The order of the records in the log is authoritative. A change names the version of the
+object that it was based on; if the object has changed since, the change is a conflict
+and has no effect. Every process folds the same records with the same function, and so
+arrives at the same state, version and audit trail.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
 
 class ChangeRecord(msgspec.Struct, tag="change", frozen=True):
-    """One operator's change of one object; ``body`` is None to delete it."""
+    """A change of one object by an operator; a ``body`` of None deletes the object."""
 
     write_id: str
     operator: str
@@ -70,7 +70,7 @@
 
 
 class CheckpointRecord(msgspec.Struct, tag="checkpoint", frozen=True):
-    """The whole state as of ``covers_offset``, for readers that come later."""
+    """The complete state as of ``covers_offset``, for later readers of the log."""
 
     write_id: str
     writer: str
@@ -83,7 +83,7 @@
 
 
 class AuditVerdict(Enum):
-    """What became of a change."""
+    """Outcome of a change or checkpoint."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredObject:
-    """An object's body, its version, and who changed it last."""
+    """An object's body and version, and the operator who changed it last."""
 
     version: int
     operator: str
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Workspace:
-    """A workspace in force."""
+    """A workspace of the configuration in force."""
 
     name: str
     credentials_sha256: frozenset[str]
@@ -130,7 +130,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Pipeline:
-    """A pipeline in force."""
+    """A pipeline of the configuration in force.
+
+    :param placements: layer ranges by host.
+    """
 
     name: str
     model: str
@@ -141,7 +144,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """A plain service in force."""
+    """A plain service of the configuration in force."""
 
     name: str
     hosts: list[str]
@@ -150,7 +153,7 @@
 def validate_body(kind: str, name: str, body: dict[str, Any]) -> BaseModel:
     """Return the validated model of a change's body.
 
-    :raises ConfigurationRefusedError: with every fault found.
+    :raises ConfigurationRefusedError: the body is invalid; lists every fault found.
     """
     target = f"{kind}/{name}"
     model = MODELS.get(kind)
@@ -165,16 +168,17 @@
 
 
 def _fault_text(fault: Mapping[str, Any]) -> str:
+    """Return the text of a validation error, with its location in the body."""
     location = ".".join(str(part) for part in fault["loc"])
     return f"{location}: {fault['msg']}" if location else str(fault["msg"])
 
 
 @dataclass(slots=True)
 class Configuration:
-    """The configuration in force, and the fold that moves it on.
+    """The configuration in force, updated by folding records of the log.
 
-    ``version`` is one more than the offset of the last accepted change, so it
-    only ever rises. ``next_offset`` is the first offset not yet folded.
+    ``version`` is one more than the offset of the last accepted change, so that it
+    never decreases. ``next_offset`` is the first offset not yet folded.
     """
 
     version: int = 0
@@ -190,9 +194,12 @@
     def fold(
         self, offset: int, appended_s: float, record: ConfigurationRecord
     ) -> AuditEntry | None:
-        """Fold one record; return its audit entry.
+        """Apply one record of the log and return its audit entry.
 
-        A record that was folded before is ignored and gives None.
+        Returns None, without any effect, for a record that was folded before, and None
+        for a checkpoint that doesn't contradict this state.
+
+        :param appended_s: time at which the record was appended to the log.
         """
         if offset < self.next_offset:
             return None
@@ -206,7 +213,7 @@
         return entry
 
     def skip(self, offset: int) -> None:
-        """Pass over a record that can't be read."""
+        """Skip a record that can't be read."""
         self.next_offset = max(self.next_offset, offset + 1)
 
     def _apply_change(
@@ -232,8 +239,10 @@
             )
 
         if record.base_version != current:
-            winner = stored.operator if stored else "nobody (the object is gone)"
-            reason = f"{target} is at version {current}, last changed by {winner}"
+            last_operator = stored.operator if stored else "nobody (the object is gone)"
+            reason = (
+                f"{target} is at version {current}, last changed by {last_operator}"
+            )
             return audit_entry(AuditVerdict.CONFLICT, current, (reason,))
         try:
             self._apply_to_object(target, record, offset + 1)
@@ -256,9 +265,11 @@
         self._set_view(target, model)
 
     def check(self, target: ObjectId, body: dict[str, Any] | None) -> None:
-        """Check a change against this state without making it.
+        """Check a change against this state without applying it.
 
-        :raises ConfigurationRefusedError: with every fault found.
+        :param body: the new body; None checks a deletion.
+        :raises ConfigurationRefusedError: the change is invalid; lists every fault
+            found.
         """
         if body is None:
             self._check_deletion(target)
@@ -316,10 +327,10 @@
     def _compare_checkpoint(
         self, offset: int, appended_s: float, record: CheckpointRecord
     ) -> AuditEntry | None:
-        # A checkpoint never changes a state that was folded from records; it
-        # only serves readers whose records have expired (see `restore`).
+        # A checkpoint never changes a state that was folded from records. It is for
+        # readers for which the earlier records have expired; see `restore`.
         if record.state.get("version") != self.version:
-            return None  # Of another state than this one: nothing to compare.
+            return None  # It is of another version, so the digests can't be compared.
         if record.digest == self.digest():
             return None
         entry = AuditEntry(
@@ -331,13 +342,13 @@
             self.version,
             self.version,
             AuditVerdict.CHECKPOINT_REFUSED,
-            ("its digest differs from this process's own fold",),
+            ("its digest differs from that of this process's state",),
         )
         self.audit.append(entry)
         return entry
 
     def to_state(self) -> dict[str, Any]:
-        """Return the state as plain data; the audit trail isn't part of it."""
+        """Return the state as plain data, without the audit trail."""
         objects = [
             {
                 "kind": target.kind,
@@ -361,10 +372,11 @@
         return state_digest(self.encoded_state())
 
     def restore(self, state: dict[str, Any], next_offset: int) -> bool:
-        """Take over a later state, from a checkpoint or from a peer.
+        """Replace this state by a newer one, from a checkpoint or from a peer.
 
-        :returns: False, changing nothing, if the state isn't newer.
-        :raises ConfigurationRefusedError: an object in it is invalid.
+        :param next_offset: the first offset that isn't part of ``state``.
+        :returns: False, without any change, if ``state`` isn't newer.
+        :raises ConfigurationRefusedError: an object in ``state`` is invalid.
         """
         if (state["version"], next_offset) <= (self.version, self.next_offset):
             return False
@@ -387,7 +399,7 @@
 
 
 def state_digest(encoded_state: bytes) -> str:
-    """Return the digest of a canonical state."""
+    """Return the BLAKE2b digest of a canonically encoded state, in hexadecimal."""
     return hashlib.blake2b(encoded_state, digest_size=16).hexdigest()
 
 
--- a/src/railfold/_internal/decisions/configuration_models.py
+++ b/src/railfold/_internal/decisions/configuration_models.py
@@ -1,4 +1,4 @@
-"""Models of configuration records, validated where they enter the process."""
+"""Models that validate the bodies of configuration objects."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class PlacementModel(_StrictModel):
-    """The layers that one host holds, both ends included."""
+    """The layers that a host holds, including both the first and the last one."""
 
     host: Name
     first_layer: int = Field(ge=0)
--- a/src/railfold/_internal/decisions/engine_directory.py
+++ b/src/railfold/_internal/decisions/engine_directory.py
@@ -1,11 +1,11 @@
-"""Backend servers that register themselves, as one entry knows them.
-
-Sources, in order of authority: what the backend server itself registered
-(serving or draining, the layers it holds), and what this entry has seen of it.
-A backend server that resets or doesn't answer is suspect, and gets no new work
-until a probe finds it well. Entries that lapse while the store is away say
-nothing about their backend servers: after an outage a removal counts only when
-the grace time has passed without a new registration.
+"""Directory of registered backend servers, as one entry knows them.
+
+There are two sources of information: what a backend server registered itself (serving
+or draining, the layers it holds), which takes precedence, and what this entry observed
+of it. A backend server that resets a connection or doesn't answer is suspect, and gets
+no new requests until a probe succeeds. A registration that lapses during an outage of
+the store says nothing about its backend server: after an outage, a removal takes effect
+only once a grace period has passed without a new registration.
 """
 
 from __future__ import annotations
@@ -28,32 +28,36 @@
     "RegistrationResult",
 ]
 
-# Of a service's servers so many may be left out of new work while it isn't known
-# whether they left or their registrations lapsed with the store: the others' load rises
-# by half at most. Where more are missing, the store has lost them.
+# Largest share of a service's servers that new requests avoid because their removal is
+# pending, so that the load of the others rises by half at most. If more are missing,
+# they haven't left; the store lost their registrations in an outage.
 _MAX_MISSING_SHARE = 1.0 / 3.0
 
-# Stands in a stage for the start of a backend server that doesn't tell it.
+# Incarnation, in a chain's stage, of a backend server that doesn't register its start
+# time.
 UNKNOWN_INCARNATION = 0
 
-# Of so many servers that left the start is kept, so that an older registration that is
-# read late doesn't bring one back. Reads under way are some seconds old at most.
+# Number of departed servers whose start times are kept, so that an older registration
+# that is read late doesn't bring one back. A read takes a few seconds at most.
 _MAX_DEPARTED = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class Registration:
-    """What a backend server registered of itself.
+    """A backend server's registration.
 
-    :param registered_id: the id that it registers under. A restart may keep it.
+    :param registered_id: the id that it registers under, which may stay the same after
+        a restart.
+    :param service: name of its service.
     :param address: ``ip:port``.
-    :param slots: how many requests it works on at a time.
-    :param model: name of the model that ``layers`` are of.
+    :param slots: how many requests it runs at a time.
+    :param draining: whether it takes no new requests.
+    :param model: name of the model that ``layers`` belong to.
     :param layers: the layers it holds, if it is a model engine that holds any.
     :param accelerator: kind of its accelerator, if it is a model engine.
-    :param started_at_ms: Unix time of its start, which tells its incarnations apart;
-        ``None`` if it doesn't say, and then the id alone names it.
-    :param version: of its software and its model, as far as it tells.
+    :param started_at_ms: Unix time of its start, which distinguishes its incarnations;
+        None if it doesn't register it, and then ``registered_id`` alone identifies it.
+    :param version: version of its software and model, as far as it registers them.
     """
 
     registered_id: str
@@ -70,27 +74,31 @@
 
     @property
     def server_id(self) -> str:
-        """The name of this incarnation, by which all that is known of it is kept."""
+        """The id of this incarnation, which is the key of everything known about it."""
         if self.started_at_ms is None:
             return self.registered_id
         return f"{self.registered_id}@{self.started_at_ms}"
 
     @property
     def is_model_engine(self) -> bool:
-        """Whether it runs a model's layers; else it is a plain service."""
+        """Whether it runs layers of a model, rather than a plain service."""
         return bool(self.accelerator)
 
 
 @dataclass(slots=True, eq=False)
 class DirectoryEntry:
-    """One incarnation of a backend server as this entry knows it.
-
-    Compared by identity.
-
-    :param server_id: names the incarnation.
-    :param says_leaving: whether its answers say that it leaves, whatever it registers.
-    :param removal_due_s: when a removal that was read counts, if one was.
-    :param slowness: how many times longer than usual its steps take, as it last told.
+    """One incarnation of a backend server, as this entry knows it.
+
+    Entries compare by identity. Times are on the monotonic clock.
+
+    :param server_id: id of the incarnation.
+    :param slowness: duration of its steps relative to the usual one, as it last
+        reported.
+    :param suspect_since_s: when it became suspect, if it is.
+    :param announced_leaving: whether its answers announced that it leaves, regardless
+        of what it registers.
+    :param removal_due_s: when the removal of its registration takes effect, if it was
+        removed.
     """
 
     server_id: str
@@ -101,37 +109,41 @@
     removal_due_s: float | None = None
 
     def stage(self, layers: LayerRange) -> Stage:
-        """Return it as a stage of a chain."""
+        """Return this incarnation as the stage of a chain that runs ``layers``."""
         started_at_ms = self.registration.started_at_ms
         incarnation = UNKNOWN_INCARNATION if started_at_ms is None else started_at_ms
         return Stage(self.server_id, self.registration.address, incarnation, layers)
 
     def is_other_incarnation(self, started_at_ms: int | None) -> bool:
-        """Return whether somebody who started then is surely another incarnation."""
+        """Return whether a server that started then is known to be another incarnation.
+
+        Returns False if one of the start times isn't known.
+        """
         return _starts_differ(self.registration.started_at_ms, started_at_ms)
 
     @property
     def draining(self) -> bool:
-        """Whether it takes no new work before its end."""
+        """Whether it takes no new requests and will leave."""
         return self.registration.draining or self.announced_leaving
 
     @property
     def routable(self) -> bool:
-        """Whether new work may go there."""
+        """Whether new requests may be sent to it."""
         return self.suspect_since_s is None and not self.draining
 
     @property
     def removal_pending(self) -> bool:
-        """Whether its registration was removed, or lapsed while the store was out."""
+        """Whether its registration is gone but the removal hasn't taken effect yet."""
         return self.removal_due_s is not None
 
 
 @dataclass(frozen=True, slots=True)
 class RegistrationResult:
-    """What became of a registration.
+    """Result of a registration.
 
-    :param entry: the incarnation that it tells of; none if it is outdated.
-    :param ended: incarnations that surely ended, since another one is in their place.
+    :param entry: the registered incarnation; None if the registration is outdated.
+    :param ended: ids of incarnations that have ended, since this one has taken their
+        registered id or address.
     """
 
     entry: DirectoryEntry | None
@@ -141,7 +153,7 @@
 class EngineDirectory:
     """All registered backend servers.
 
-    There is one incarnation of each registered id, and one at each address.
+    Each registered id and each address belongs to at most one incarnation.
     """
 
     def __init__(self) -> None:
@@ -149,7 +161,8 @@
         self._by_registered_id: dict[str, DirectoryEntry] = {}
         self._by_address: dict[str, DirectoryEntry] = {}
         self._departed_started_at_ms: dict[str, int] = {}
-        # Kept beyond their entries: a registration that lapsed may return unchanged.
+        # Ids stay here after their entries are removed, since a lapsed registration may
+        # come back unchanged.
         self._leaving_ids: OrderedDict[str, None] = OrderedDict()
         self._departed_ids: OrderedDict[str, None] = OrderedDict()
         self._recovered_s: float | None = None
@@ -159,7 +172,7 @@
         return iter(self._entries.values())
 
     def get(self, server_id: str) -> DirectoryEntry | None:
-        """Return an incarnation's entry."""
+        """Return the entry of an incarnation."""
         return self._entries.get(server_id)
 
     def get_by_registered_id(self, registered_id: str) -> DirectoryEntry | None:
@@ -171,16 +184,17 @@
         return self._by_address.get(address)
 
     def store_recovered(self, now_s: float) -> None:
-        """The store answers again after an outage."""
+        """Record that the store answers again after an outage."""
         self._recovered_s = now_s
 
     def register(self, registration: Registration) -> RegistrationResult:
-        """Take a registration, new or renewed.
+        """Add or renew a registration.
 
-        A new incarnation under an id or at an address ends the one that was there: a
-        probe of the address would find the dead one well. One that started before
-        what is known under its id was read late, and changes nothing. Starts of
-        different ids aren't compared: their clocks may differ.
+        A new incarnation replaces the one with the same registered id and the one at
+        the same address: a probe of the address would otherwise take the dead one for
+        healthy. A registration that started before the known one of its id was read
+        late and is ignored. Start times of different ids aren't compared, since their
+        hosts' clocks may differ.
         """
         known = self.get_by_registered_id(registration.registered_id)
         at_address = self.get_by_address(registration.address)
@@ -212,11 +226,11 @@
     def _index_registration(
         self, entry: DirectoryEntry, registration: Registration
     ) -> None:
-        """Let an entry say what was registered last."""
+        """Set an entry's registration and index it by id and address."""
         if self._by_address.get(entry.registration.address) is entry:
             del self._by_address[entry.registration.address]
         if registration.started_at_ms is None:
-            # The id alone is no word against the incarnation that is known.
+            # A registration without a start time doesn't contradict the known one.
             started_at_ms = entry.registration.started_at_ms
             registration = replace(registration, started_at_ms=started_at_ms)
         entry.registration = registration
@@ -246,7 +260,7 @@
                 del departed[next(iter(departed))]
 
     def has_left(self, registration: Registration) -> bool:
-        """Return whether this incarnation was seen to leave."""
+        """Return whether this incarnation is draining or has departed."""
         known = self.get_by_registered_id(registration.registered_id)
         if known is not None and not known.is_other_incarnation(
             registration.started_at_ms
@@ -255,9 +269,11 @@
         return registration.server_id in self._departed_ids
 
     def mark_leaving(self, server_id: str) -> bool:
-        """Take that an incarnation's answers say that it leaves; return if that is new.
+        """Record that an incarnation's answers announced that it leaves.
+
+        This can't be revoked: only another incarnation gets new requests.
 
-        Nothing takes it back: only another incarnation gets new work.
+        :returns: whether this wasn't recorded before.
         """
         if server_id in self._leaving_ids:
             return False
@@ -270,13 +286,13 @@
         return True
 
     def pop_departed(self) -> list[DirectoryEntry]:
-        """Return those that have left since the last call, as they were known."""
+        """Return the entries removed since the last call, up to the newest 4096."""
         departed = list(self._departed)
         self._departed.clear()
         return departed
 
     def remove(self, registered_id: str, now_s: float) -> None:
-        """Take the removal of a registration."""
+        """Remove a registration, after a grace period if the store was out recently."""
         entry = self.get_by_registered_id(registered_id)
         if entry is None:
             return
@@ -289,28 +305,28 @@
             entry.removal_due_s = due_s
 
     def withdraw(self, registered_id: str) -> None:
-        """Take a record that names no backend server to use any more.
+        """Remove a backend server whose record no longer describes a usable one.
 
-        Unlike a removal after an outage of the store it counts at once: somebody wrote
-        it, nothing lapsed.
+        Unlike a removal after an outage of the store, it takes effect immediately: the
+        record was written by someone and hasn't just lapsed.
         """
         entry = self.get_by_registered_id(registered_id)
         if entry is not None:
             self._remove_entry(entry)
 
     def expire(self, now_s: float) -> list[str]:
-        """Drop entries whose removal has come to count; return their ids."""
-        due = [
+        """Remove entries whose grace period has passed; return their server ids."""
+        due_entries = [
             entry
             for entry in self._entries.values()
             if entry.removal_due_s is not None and entry.removal_due_s <= now_s
         ]
-        for entry in due:
+        for entry in due_entries:
             self._remove_entry(entry)
-        return [entry.server_id for entry in due]
+        return [entry.server_id for entry in due_entries]
 
     def mark_suspect(self, server_id: str, now_s: float) -> bool:
-        """Give it no new work; return whether it got any before."""
+        """Send a server no new requests; return whether it wasn't suspect before."""
         entry = self._entries.get(server_id)
         if entry is None or entry.suspect_since_s is not None:
             return False
@@ -318,7 +334,7 @@
         return True
 
     def clear_suspicion(self, server_id: str) -> None:
-        """A probe found it well."""
+        """Record that a probe of a server succeeded."""
         entry = self._entries.get(server_id)
         if entry is not None:
             entry.suspect_since_s = None
@@ -328,12 +344,12 @@
         return [e for e in self._entries.values() if e.registration.service == service]
 
     def possibly_departed(self, service: str) -> frozenset[str]:
-        """Return those servers that new work should avoid since they may have left.
+        """Return the ids of servers that new requests should avoid.
 
-        One entry alone may have been without the store, and then a server that is
-        missing has left: without this it would get new work until its removal counts.
-        If the store was out for all, most registrations have lapsed, and none of them
-        is avoided.
+        Their removal is pending. If only this entry was cut off from the store, such a
+        server has left, and it would get new requests until its removal takes effect.
+        If the store was out for all, most registrations have lapsed and their servers
+        are still there; then none of them is avoided.
         """
         routable = [e for e in self.servers_of(service) if e.routable]
         missing = [e for e in routable if e.removal_pending]
@@ -344,9 +360,10 @@
     def replicas(
         self, service: str, region: str, get_load: Callable[[str], ServerLoad]
     ) -> list[Replica]:
-        """Return a plain service's backend servers that may get new work.
+        """Return a plain service's backend servers that may get new requests.
 
-        :param load_of: returns a server's load over all entries.
+        :param region: the region that the replicas get.
+        :param get_load: returns a server's load over all entries, by server id.
         """
         return [
             Replica(
@@ -369,15 +386,16 @@
         get_load: Callable[[str], ServerLoad],
         entries: int,
     ) -> list[Replica]:
-        """Return a model's backend servers that hold layers and may get work.
+        """Return a model's backend servers that hold layers and may get new requests.
 
-        Their load and capacity are counted in tokens: memory for the state of
-        requests is what runs out first.
+        Their load and capacity are counted in tokens, since memory for the state of
+        requests runs out first.
 
-        :param load_of: returns a server's load over all entries.
+        :param region: the region that the replicas get.
+        :param get_load: returns a server's load over all entries, by server id.
         :param entries: how many entries there are.
         """
-        found = []
+        replicas = []
         for entry in self.servers_of(service):
             registration = entry.registration
             layers = registration.layers
@@ -387,7 +405,7 @@
             if registration.model != model.name or not model.has_layers(layers):
                 continue
             capacity = max(1, model.capacity_tokens(accelerator, len(layers)))
-            found.append(
+            replicas.append(
                 Replica(
                     entry.stage(layers),
                     registration.failure_domain,
@@ -399,16 +417,17 @@
                     step_ms=accelerator.step_factor * len(layers) * entry.slowness,
                 )
             )
-        return found
+        return replicas
 
 
 def _estimated_load(load: ServerLoad, entries: int, capacity: int) -> int:
-    """Return the load of all entries as far as it may count against a capacity.
+    """Return an estimate of a server's load from all entries, in tokens.
 
-    Others are taken to have sent where this entry did. Their announced load is the same
-    for all entries: by it all would choose the same servers until the next sum. Only
-    one's own load makes a backend server full: room is freed and taken while others'
-    load is announced, and whether there is some is known better there.
+    It assumes that the other entries sent to the same servers as this one. Their
+    announced load isn't used: it is the same for all entries, so that all would choose
+    the same servers until the next announcement. Only this entry's own load makes a
+    server full: capacity is freed and taken between announcements, and the server
+    itself knows better whether it has any.
     """
     if load.own_tokens >= capacity:
         return load.own_tokens
@@ -416,10 +435,10 @@
 
 
 def _starts_differ(first_ms: int | None, second_ms: int | None) -> bool:
-    """Return whether two starts are known, and aren't the same."""
+    """Return whether both start times are known and differ."""
     return first_ms is not None and second_ms is not None and first_ms != second_ms
 
 
 def _starts_before(first_ms: int | None, second_ms: int | None) -> bool:
-    """Return whether two starts are known, and the first was before the other."""
+    """Return whether both start times are known and the first is earlier."""
     return first_ms is not None and second_ms is not None and first_ms < second_ms
--- a/src/railfold/_internal/decisions/event_cursor.py
+++ b/src/railfold/_internal/decisions/event_cursor.py
@@ -1,8 +1,8 @@
-"""Passing a stream of server-sent events on, so that it can be resumed.
+"""Forwarding of a stream of server-sent events that can be resumed.
 
-Only whole events are passed on. When a backend server breaks off within an
-event, the rest comes whole from the next one, which starts after the last event
-that the client has.
+Only complete events are forwarded. If a backend server's answer ends within an event,
+that event is dropped, and the next attempt starts after the last event that the client
+has received.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 
 class EventCursor:
-    """Position in one answer, over all attempts.
+    """Position of the client in one answer, over all attempts.
 
-    :param last_id: id of the last event that the client has, if any.
+    :param last_id: id of the last event that the client has received, if any.
     """
 
     def __init__(self, last_id: int | None = None) -> None:
@@ -29,21 +29,21 @@
 
     @property
     def last_id(self) -> int | None:
-        """The id of the last event that was passed on."""
+        """The id of the last event that was forwarded."""
         return self._last_id
 
     def resume(self) -> None:
-        """Another attempt continues the answer."""
+        """Prepare for the answer of another attempt, which may repeat events."""
         self._partial = b""
         self._dropping_repeated = True
 
     @property
     def partial(self) -> bool:
-        """Whether an event has begun that isn't whole yet."""
+        """Whether an incomplete event has been received."""
         return bool(self._partial)
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes as they arrive; return the whole events among them."""
+        """Add received bytes; return the complete events that weren't forwarded yet."""
         data = self._partial + data if self._partial else data
         end = _end_of_last_event(data)
         complete, self._partial = data[:end], data[end:]
@@ -58,15 +58,15 @@
         return complete
 
     def _drop_repeated(self, complete: bytes) -> bytes:
-        """Drop events that the client already has from a new attempt's start."""
+        """Drop the first events of an attempt that the client already has."""
         start = 0
         while start < len(complete):
             match = _EVENT_END.search(complete, start)
             end = match.end() if match else len(complete)
-            found = _EVENT_ID.search(complete, start, end)
-            if found is None or self._last_id is None:
+            event_id = _EVENT_ID.search(complete, start, end)
+            if event_id is None or self._last_id is None:
                 break
-            if int(found.group(1)) > self._last_id:
+            if int(event_id.group(1)) > self._last_id:
                 self._dropping_repeated = False
                 break
             start = end
@@ -74,7 +74,8 @@
 
 
 def _end_of_last_event(data: bytes) -> int:
+    """Return the offset after the last blank line; 0 if there is none."""
     end = data.rfind(b"\n\n") + 2
     crlf_end = data.rfind(b"\n\r\n") + 3
-    found = max(end if end > 1 else 0, crlf_end if crlf_end > 2 else 0)
-    return found
+    offset = max(end if end > 1 else 0, crlf_end if crlf_end > 2 else 0)
+    return offset
--- a/src/railfold/_internal/decisions/freshness.py
+++ b/src/railfold/_internal/decisions/freshness.py
@@ -1,4 +1,4 @@
-"""How long what was read from a store may still be relied on."""
+"""Validity period of data read from a store."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 @dataclass(slots=True)
 class FreshnessLease:
-    """A lease that each sound answer of a store renews.
+    """A lease on data read from a store, renewed by each successful answer.
 
-    It counts from the moment when the call was sent, not when its answer came:
-    what the store knew then is all that the answer proves. A read that hangs
-    renews nothing. Times are on the monotonic clock.
+    It runs from the time at which the call was sent, not from the time of the answer,
+    since the answer only proves what the store knew when it got the call. A read that
+    hangs renews nothing. Times are on the monotonic clock.
 
-    :param duration_s: how long an answer may be relied on.
+    :param duration_s: how long an answer is valid.
     """
 
     duration_s: float
@@ -23,29 +23,29 @@
     _ignored_before_s: float = float("-inf")
 
     def ignore_sent_before(self, until_s: float) -> None:
-        """Calls that are sent before then prove nothing: the store may lack something.
+        """Ignore answers to calls sent before ``until_s``; the store may be incomplete.
 
-        What was proved before holds for the rest of its time.
+        Earlier renewals stay valid for the rest of their duration.
         """
         self._ignored_before_s = max(self._ignored_before_s, until_s)
 
     def revoke(self) -> None:
-        """What was taken for a proof isn't one."""
+        """End the lease because the answer that renewed it turned out to be invalid."""
         self._renewed_at_s = None
 
     def renew(self, sent_s: float) -> None:
-        """A call that was sent at ``sent_s`` got a sound answer."""
+        """Renew the lease by a successful answer to a call sent at ``sent_s``."""
         if sent_s < self._ignored_before_s:
             return
         if self._renewed_at_s is None or sent_s > self._renewed_at_s:
             self._renewed_at_s = sent_s
 
     def valid(self, now_s: float) -> bool:
-        """Return whether the lease holds."""
+        """Return whether the lease hasn't expired."""
         return self._renewed_at_s is not None and self.age_s(now_s) < self.duration_s
 
     def age_s(self, now_s: float) -> float:
-        """Return how old the newest proof is; infinite if there is none."""
+        """Return the time since the latest renewal; infinite if there is none."""
         if self._renewed_at_s is None:
             return float("inf")
         return now_s - self._renewed_at_s
--- a/src/railfold/_internal/decisions/planner.py
+++ b/src/railfold/_internal/decisions/planner.py
@@ -1,10 +1,10 @@
-"""Choosing a chain of backend servers that covers every layer once.
+"""Planning of a chain of backend servers that covers every layer exactly once.
 
-The chain is the cheapest path from the first layer to the last over the
-replicas' ranges. Where engines allow it, ranges may overlap: a chain may enter a
-range behind its first layer, and then runs it to its end. A replica's cost is
-its expected step time at its present load, by the share of its layers that the
-chain runs; a hop's cost is the latency between the two failure domains.
+The chain is the cheapest path from the first layer to the last over the replicas' layer
+ranges. If engines can run a part of their layers, ranges may overlap: a chain may enter
+a range after its first layer, and then runs it to its end. The cost of a replica is its
+expected step time at its current load, times the share of its layers that the chain
+runs. The cost of a hop is the latency between the two failure domains.
 """
 
 from __future__ import annotations
@@ -31,8 +31,10 @@
 class Replica:
     """A backend server that can run some layers.
 
-    :param in_flight: sequences it holds, corrected by our own since its report.
-    :param step_ms: recent time of one engine step.
+    :param in_flight: its load, in the unit of ``capacity``: sequences as it last
+        reported them, corrected by those of this process since then, or tokens.
+    :param capacity: the load at which it is full.
+    :param step_ms: recent or expected time of one engine step.
     """
 
     stage: Stage
@@ -44,12 +46,15 @@
 
     @property
     def full(self) -> bool:
-        """Whether it can take no further sequence."""
+        """Whether it can take no further request."""
         return self.in_flight >= self.capacity
 
 
 def without_first_layer(replica: Replica) -> Replica:
-    """Return a replica of at least two layers as one that no chain can begin at."""
+    """Return a replica without its first layer, so that no chain can begin at it.
+
+    :param replica: a replica of at least two layers.
+    """
     stage = replica.stage
     layers = LayerRange(stage.layers.first + 1, stage.layers.last)
     step_ms = replica.step_ms * len(layers) / len(stage.layers)
@@ -59,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Path:
-    """A chain's beginning; ``end`` is the replica that it ends at."""
+    """The first stages of a chain; ``end`` is the replica of the last one."""
 
     cost: float
     stages: tuple[Stage, ...]
@@ -68,7 +73,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkCosts:
-    """One-way latency between places, in milliseconds."""
+    """One-way latency between replicas, in milliseconds.
+
+    :param pairs_ms: latency between two failure domains, where it is known.
+    """
 
     same_domain_ms: float = 0.05
     same_region_ms: float = 0.25
@@ -90,12 +98,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerWeights:
-    """How the planner weighs load against the time of a step.
+    """Weights of load and preference in the cost of a replica.
 
-    :param load_weight: how many step times a full replica costs more than an
-        idle one.
-    :param preferred_factor: factor on a preferred replica's cost. A retry
-        prefers the surviving stages, which hold warm prefixes.
+    :param load_weight: how much more a full replica costs than an idle one, in step
+        times.
+    :param preferred_factor: factor on the cost of a preferred replica. A retry prefers
+        the surviving stages, which have the request's prefix cached.
+    :param jitter: largest random increase of a cost, as a share of it.
     """
 
     load_weight: float = 4.0
@@ -116,9 +125,10 @@
 ) -> Chain:
     """Return the cheapest chain over ``layer_count`` layers.
 
+    :param exclude: hosts that must not be used.
+    :param prefer: hosts whose cost is reduced by ``weights.preferred_factor``.
     :param partial: whether a chain may run only the last part of a range.
-    :raises NoCapacityError: no replicas that are live and have room cover
-        all layers.
+    :raises NoCapacityError: no chain of replicas with capacity covers all layers.
     """
     usable = [r for r in replicas if r.stage.host not in exclude and not r.full]
     cheapest = _cheapest_per_range_and_domain(usable, frozenset(prefer), weights, rng)
@@ -154,7 +164,8 @@
 ) -> Replica:
     """Return the cheapest replica for a plain service call.
 
-    :raises NoCapacityError: none is live and has room.
+    :param exclude: hosts that must not be used.
+    :raises NoCapacityError: no replica has capacity.
     """
     usable = [r for r in replicas if r.stage.host not in exclude and not r.full]
     if not usable:
@@ -171,6 +182,7 @@
     weights: PlannerWeights,
     rng: random.Random,
 ) -> float:
+    """Return the step time of a replica, weighted by load and preference."""
     load = replica.in_flight / max(1, replica.capacity)
     cost = replica.step_ms * (1.0 + weights.load_weight * load)
     if replica.stage.host in preferred:
@@ -184,10 +196,10 @@
     weights: PlannerWeights,
     rng: random.Random,
 ) -> list[tuple[Replica, float]]:
-    """Return candidates and their costs.
+    """Return the cheapest replica, with its cost, per layer range and domain.
 
-    What a path costs beyond its replicas depends only on their places, so that
-    of the replicas of one range in one failure domain the cheapest is enough.
+    Apart from the costs of its replicas, the cost of a path depends only on their layer
+    ranges and failure domains, so that other replicas can't be part of a cheaper one.
     """
     cheapest: dict[tuple[int, int, str], tuple[Replica, float]] = {}
     for replica in usable:
@@ -203,7 +215,7 @@
 def _group_by_entry_layer(
     candidates: list[tuple[Replica, float]], partial: bool
 ) -> dict[int, list[tuple[Replica, float]]]:
-    """Return candidates by the layers at which a chain may enter them."""
+    """Group candidates by each layer at which a chain may enter their ranges."""
     by_layer: dict[int, list[tuple[Replica, float]]] = {}
     for candidate in candidates:
         layers = candidate[0].stage.layers
@@ -220,6 +232,12 @@
     cost: float,
     costs: LinkCosts,
 ) -> _Path:
+    """Return the cheapest of the paths extended by the layers that a replica runs.
+
+    :param run_layers: the layers that the replica runs.
+    :param cost: cost of running them.
+    """
+
     def cost_through(path: _Path) -> float:
         if path.end is None:
             return path.cost
@@ -233,15 +251,18 @@
 
 
 def _keep_cheapest(ends: dict[str, _Path], replica: Replica, path: _Path) -> None:
-    # What follows depends only on where the path ends, so that one path for
-    # each failure domain is enough: the search stays linear in the replicas.
+    """Store a path that ends at ``replica`` if it is the cheapest of its domain."""
+    # The cost of the rest of the chain depends only on the failure domain in which the
+    # path ends, so that one path for each domain is enough. This keeps the search
+    # linear in the replicas.
     cheapest_known = ends.get(replica.failure_domain)
     if cheapest_known is None or path.cost < cheapest_known.cost:
         ends[replica.failure_domain] = path
 
 
 def _describe_gap(usable: list[Replica], layer_count: int) -> str:
+    """Return why the usable replicas form no chain."""
     missing = uncovered((replica.stage.layers for replica in usable), layer_count)
     if not missing:
-        return "the live ranges don't join up"
+        return "the layer ranges of live servers don't form a chain"
     return f"layers not covered: {describe_layers(missing)}"
--- a/src/railfold/_internal/decisions/routing_table.py
+++ b/src/railfold/_internal/decisions/routing_table.py
@@ -1,7 +1,7 @@
 """Routes, services and credentials of one configuration version.
 
-A table is immutable: a request keeps the one it was admitted under, and a newer
-one replaces it whole.
+A routing table is immutable. A request keeps the table it was admitted under; a newer
+configuration version comes with a new table.
 """
 
 from __future__ import annotations
@@ -32,16 +32,16 @@
 ]
 
 
-# Ranks go from 0 to 9.
+# Priorities of routes and workspaces range from 0, the most urgent, to 9.
 _PRIORITY_COUNT = 10
 
 
 class RouteKind(Enum):
-    """How often a request on a route may run, and the form of its answer."""
+    """Whether requests of a route may run more than once, and how they are answered."""
 
     SAFE = auto()  # May run more than once.
     UNSAFE = auto()  # Runs at most once.
-    STREAM = auto()  # A stream of events; may run again only if resumable.
+    STREAM = auto()  # Answered by a stream of events; may run again only if resumable.
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,11 +56,14 @@
 class Route:
     """Where requests of one host and path prefix go.
 
-    :param timeout_s: the longest time a request may be held.
-    :param objective_s: time to the answer, or to its first event.
+    :param timeout_s: longest time that a request may take.
+    :param objective_s: time objective for the answer, or for its first event.
+    :param priority: 0 to 9; requests of a lower number go first.
     :param max_attempts: how many backend servers may run one request.
-    :param allowed_pause_s: the longest pause between two events of an answer that is
-        in time, if it is told.
+    :param public: whether requests need no credential.
+    :param resumable: whether a stream can be resumed at a later event.
+    :param allowed_pause_s: objective for the longest pause between two events of an
+        answer; None if the configuration has none.
     """
 
     name: str
@@ -92,10 +95,10 @@
 class Accelerator:
     """A kind of accelerator.
 
-    :param memory_mb: for layers and the state of requests together.
-    :param step_factor: how many times longer than the model's base a decode
-        step takes.
-    :param prefill_factor: the same for reading a prompt.
+    :param memory_mb: memory for layers and the state of requests together.
+    :param step_factor: duration of a decode step relative to the model's base
+        accelerator.
+    :param prefill_factor: the same for processing a prompt.
     """
 
     memory_mb: float
@@ -103,7 +106,7 @@
     prefill_factor: float = 1.0
 
     def slowed(self, slowness: float) -> Accelerator:
-        """Return one whose steps take ``slowness`` times longer."""
+        """Return an accelerator that takes ``slowness`` times as long."""
         if slowness == 1.0:
             return self
         return replace(
@@ -118,20 +121,22 @@
     """A model whose layers are spread over engines.
 
     :param layer_mb: memory of one layer.
-    :param request_mb_per_token: a request's state of one token in one layer.
-    :param mean_tokens: prompt and answer of a usual request.
+    :param request_mb_per_token: memory of a request's state for one token in one layer.
+    :param mean_tokens: length of a typical request, prompt and answer together.
     :param load_s: time to load all layers at once.
-    :param loads_at_once: how many loads run at full speed at a time.
-    :param step_s: time of one decode step over all layers on a base accelerator.
+    :param loads_at_once: how many loads run at full speed at the same time.
+    :param max_sequences: how many requests an engine can run as a first stage.
+    :param step_s: time of one decode step over all layers on the base accelerator.
     :param tokens_per_event: decode steps between two events of a stream.
-    :param sequence_step_s: what each usual request in flight adds to that time.
-    :param prompt_s: time to read a usual prompt through all layers on a base
+    :param sequence_step_s: time that each typical request in flight adds to ``step_s``.
+    :param prompt_s: time to process a typical prompt through all layers on the base
         accelerator.
-    :param answer_tokens: decode steps of a usual answer.
-    :param activation_bytes: what a stage passes on for each token.
-    :param pipe_bytes_per_s: of the pipe between two failure domains, which all share;
-        0 if it isn't told.
-    :param domain_delays_s: one-way latency between two failure domains, as told.
+    :param answer_tokens: decode steps of a typical answer.
+    :param activation_bytes: size of what a stage sends to the next one for each token.
+    :param pipe_bytes_per_s: bandwidth between two failure domains, shared by all
+        entries; 0 if the configuration has none.
+    :param domain_delays_s: one-way latency between two failure domains, as far as it is
+        configured.
     """
 
     name: str
@@ -153,9 +158,12 @@
     domain_delays_s: Mapping[tuple[str, str], float] = field(default_factory=dict)
 
     def mean_state_tokens(self, prompt_tokens: int, max_answer_tokens: int) -> int:
-        """Return how many tokens a request's state holds, on average over its stay.
+        """Return the size of a request's state in tokens, averaged over its duration.
+
+        It is the prompt and half of the expected answer. Answers are rarely as long as
+        their limit, so that the expected length is at most that of a typical answer.
 
-        Its prompt and half of its answer, which is rarely as long as it may be.
+        :param max_answer_tokens: the request's limit on its answer.
         """
         answer_tokens = min(max_answer_tokens, self.answer_tokens)
         return prompt_tokens + answer_tokens // 2
@@ -165,14 +173,18 @@
         return 0 <= layers.first <= layers.last < self.layer_count
 
     def capacity_tokens(self, accelerator: Accelerator, layers: int) -> int:
-        """Return how many tokens of requests fit beside so many layers."""
+        """Return how many tokens of requests fit in memory beside this many layers."""
         free_mb = accelerator.memory_mb - layers * self.layer_mb
         return max(0, int(free_mb / (layers * self.request_mb_per_token)))
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceSpec:
-    """A service; ``model`` is given if its backend servers are model engines."""
+    """A service.
+
+    :param health_path: path of its backend servers' health check.
+    :param model: the model, if its backend servers are model engines.
+    """
 
     name: str
     health_path: str
@@ -181,7 +193,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CredentialOwner:
-    """The workspace that holds a credential."""
+    """The workspace that a credential belongs to.
+
+    :param priority: the workspace's priority, 0 to 9; None if it has none.
+    """
 
     workspace: str
     priority: int | None
@@ -189,7 +204,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """What a client may send, and how long it may take."""
+    """Limits on the size of a client's requests and on its idle time."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -198,9 +213,10 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingTable:
-    """One configuration version.
+    """Routes, services and credentials of one configuration version.
 
-    :param credentials: owners by credential; ``None`` if none are used.
+    :param services: services by name.
+    :param credentials: owners by credential; None if no credentials are used.
     """
 
     version: int
@@ -225,9 +241,9 @@
             routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def find(self, host: str, path: str) -> Route:
-        """Return the route with the longest prefix of ``path``.
+        """Return the route of the host with the longest prefix of ``path``.
 
-        :raises UnknownTargetError: there is none.
+        :raises UnknownTargetError: there is no such route.
         """
         for route in self._by_host.get(host, ()):
             if path.startswith(route.path_prefix):
@@ -238,9 +254,10 @@
         )
 
     def authorize(self, route: Route, credential: str) -> CredentialOwner | None:
-        """Return who holds a credential; nothing where none is needed.
+        """Return the owner of a credential, or None if no credential is needed.
 
-        :raises UnauthorizedError: the credential isn't known.
+        :raises UnauthorizedError: the credential isn't known and the route isn't
+            public.
         """
         if self.credentials is None:
             return None
@@ -254,9 +271,10 @@
         return owner
 
     def objective_slack(self, route: Route, service: str) -> float:
-        """Return how far a route's objective is from the tightest one of a service.
+        """Return how much shorter the shortest objective of a service's routes is.
 
-        As a share of it: 0 for the tightest route, 0.5 for an objective twice as long.
+        It is a share of the route's own objective: 0 for the route with the shortest
+        one, 0.5 for an objective twice as long.
         """
         tightest_s = self._tightest_objective_s.get(service, route.objective_s)
         return max(0.0, 1.0 - tightest_s / max(1e-9, route.objective_s))
@@ -267,19 +285,21 @@
 
 
 def admission_rank(route: Route, workspace_priority: int | None) -> int:
-    """Return the order in which requests get scarce room; the lowest goes first.
+    """Return the rank by which requests get scarce capacity; the lowest goes first.
+
+    Requests are ordered by the workspace's priority, then by the route's, since
+    workspaces of the same priority still have more and less urgent routes.
 
-    By the workspace's rank, then by the route's: workspaces of one rank still have
-    routes that are more and less urgent.
+    :param workspace_priority: if None, the route's priority takes its place.
     """
     rank = route.priority if workspace_priority is None else workspace_priority
     return _PRIORITY_COUNT * rank + route.priority
 
 
 def require_table(table: RoutingTable | None) -> RoutingTable:
-    """Return the table.
+    """Return the table if there is one.
 
-    :raises NotReadyError: there is no configuration yet.
+    :raises NotReadyError: no configuration has been read yet.
     """
     if table is None:
         raise NotReadyError(
--- a/tests/unit/test_chain_prediction.py
+++ b/tests/unit/test_chain_prediction.py
@@ -1,4 +1,4 @@
-"""What a request gets on a chain, by its load and the figures of its model."""
+"""Predicted latency on a chain grows with its load."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 IDLE = StageState(FAST, 80, 50_000, ServerLoad())
 
 
-def test_an_idle_chain_reads_the_prompt_and_steps_for_the_first_event() -> None:
-    found = predict_chain([IDLE], MODEL, prompt_tokens=800, answer_tokens=200)
-    token_s = found.pause_s / 4
+def test_first_event_on_an_idle_chain_takes_the_prefill_and_its_steps() -> None:
+    prediction = predict_chain([IDLE], MODEL, prompt_tokens=800, answer_tokens=200)
+    token_s = prediction.pause_s / 4
     assert 0.002 <= token_s < 0.0025
-    assert abs(found.first_event_s - (0.012 + 4 * token_s)) < 1e-9
-    assert found.free_tokens == 50_000
+    assert abs(prediction.first_event_s - (0.012 + 4 * token_s)) < 1e-9
+    assert prediction.free_tokens == 50_000
 
 
-def test_prompts_that_wait_and_sequences_in_flight_make_it_later() -> None:
+def test_waiting_prompts_and_sequences_in_flight_delay_a_request() -> None:
     load = ServerLoad(tokens=40_000, sequences=50, unread_tokens=8000)
     loaded = replace(IDLE, load=load)
     idle = predict_chain([IDLE], MODEL, 800, 200)
-    found = predict_chain([loaded], MODEL, 800, 200)
-    assert found.first_event_s > idle.first_event_s + 0.1
-    assert found.pause_s > idle.pause_s
-    assert found.free_tokens == 10_000
+    prediction = predict_chain([loaded], MODEL, 800, 200)
+    assert prediction.first_event_s > idle.first_event_s + 0.1
+    assert prediction.pause_s > idle.pause_s
+    assert prediction.free_tokens == 10_000
--- a/tests/unit/test_chain_search.py
+++ b/tests/unit/test_chain_search.py
@@ -1,4 +1,8 @@
-"""Chains over several failure domains: whole, cheap, with one excursion at most."""
+"""Chains over several failure domains cover all layers and make at most one excursion.
+
+The simulations check that crossings help if a domain lacks layers, and don't overload
+the links between domains.
+"""
 
 from __future__ import annotations
 
@@ -51,33 +55,33 @@
     return CROSSING_COST
 
 
-def hosts(found: list[FoundChain]) -> tuple[str, ...]:
-    return found[0].chain.hosts if found else ()
+def hosts(chains: list[FoundChain]) -> tuple[str, ...]:
+    return chains[0].chain.hosts if chains else ()
 
 
-def test_a_gap_is_bridged_by_another_failure_domain_for_just_those_layers() -> None:
+def test_only_missing_layers_are_run_in_another_failure_domain() -> None:
     engines = [
         candidate("a1", 0, 3, "a"),
         candidate("a2", 6, 7, "a"),
         candidate("b1", 4, 5, "b"),
     ]
-    found = search_chains(engines, LAYERS, "a", crossing_cost)
-    assert hosts(found) == ("a1", "b1", "a2")
-    assert found[0].domains == ("a", "b", "a")
+    chains = search_chains(engines, LAYERS, "a", crossing_cost)
+    assert hosts(chains) == ("a1", "b1", "a2")
+    assert chains[0].domains == ("a", "b", "a")
     assert not search_chains(engines, LAYERS, "a", None)
 
 
-def test_nothing_crosses_while_home_is_as_cheap() -> None:
+def test_chain_stays_home_if_a_crossing_doesnt_pay() -> None:
     engines = [
         candidate("a1", 0, 3, "a"),
         candidate("a2", 4, 7, "a", cost=1.5),
         candidate("b1", 4, 7, "b"),
     ]
-    found = search_chains(engines, LAYERS, "a", crossing_cost)
-    assert hosts(found) == ("a1", "a2")
+    chains = search_chains(engines, LAYERS, "a", crossing_cost)
+    assert hosts(chains) == ("a1", "a2")
 
 
-def test_a_loaded_stage_is_borrowed_once_it_costs_more_than_crossing() -> None:
+def test_loaded_stage_is_replaced_once_it_costs_more_than_a_crossing() -> None:
     engines = [
         candidate("a1", 0, 3, "a"),
         candidate("a2", 4, 7, "a", cost=3.0),
@@ -86,7 +90,7 @@
     assert hosts(search_chains(engines, LAYERS, "a", crossing_cost)) == ("a1", "b1")
 
 
-def test_a_chain_makes_one_excursion_at_most() -> None:
+def test_chain_makes_at_most_one_excursion() -> None:
     engines = [
         candidate("a1", 0, 1, "a"),
         candidate("b1", 2, 3, "b"),
@@ -96,19 +100,23 @@
     assert not search_chains(engines, LAYERS, "a", crossing_cost)
 
 
-def test_a_chain_at_home_is_found_though_a_full_server_could_be_borrowed() -> None:
-    """The cheaper way there led over the server that the request isn't lent."""
+def test_full_server_reached_by_a_crossing_doesnt_hide_a_chain_in_one_domain() -> None:
+    """Requests of other domains may not use the full server.
+
+    The path with a crossing to it is cheaper than the path within its domain, and must
+    not hide that one.
+    """
     full = replace(candidate("b2", 4, 7, "b"), has_capacity=False)
     engines = [
         candidate("a1", 0, 3, "a", cost=0.1),
         candidate("b1", 0, 3, "b", cost=2.0),
         full,
     ]
-    found = search_all_chains(engines, LAYERS, "a", crossing_cost)
-    assert hosts(found) == ("b1", "b2")
+    chains = search_all_chains(engines, LAYERS, "a", crossing_cost)
+    assert hosts(chains) == ("b1", "b2")
 
 
-def test_a_pipe_without_room_isnt_crossed() -> None:
+def test_link_with_infinite_crossing_cost_isnt_crossed() -> None:
     engines = [candidate("a1", 0, 3, "a"), candidate("b1", 4, 7, "b")]
     assert not search_chains(engines, LAYERS, "a", lambda one, other: math.inf)
 
@@ -120,25 +128,27 @@
 @given(
     st.lists(st.tuples(RANGES, st.sampled_from("abc"), st.integers(1, 20)), max_size=8)
 )
-def test_found_is_the_cheapest_chain_with_one_excursion(
+def test_search_finds_the_cheapest_chain_with_at_most_one_excursion(
     drawn: list[tuple[tuple[int, int], str, int]],
 ) -> None:
     engines = [
         candidate(f"h{n}", first, last, domain, cost / 10)
         for n, ((first, last), domain, cost) in enumerate(drawn)
     ]
-    costs = [cost for cost in map(cost_of, orders(engines)) if cost < math.inf]
-    found = search_chains(engines, LAYERS, "a", crossing_cost)
-    assert bool(found) == bool(costs)
-    if found:
-        assert abs(found[0].cost - min(costs)) < 1e-9
+    costs = [
+        cost for cost in map(cost_of, candidate_orders(engines)) if cost < math.inf
+    ]
+    chains = search_chains(engines, LAYERS, "a", crossing_cost)
+    assert bool(chains) == bool(costs)
+    if chains:
+        assert abs(chains[0].cost - min(costs)) < 1e-9
         covered = [
-            n for _, r in found[0].stage_candidates for n in range(r.first, r.last + 1)
+            n for _, r in chains[0].stage_candidates for n in range(r.first, r.last + 1)
         ]
         assert covered == list(range(LAYERS))
 
 
-def orders(engines: list[StageCandidate]) -> list[tuple[StageCandidate, ...]]:
+def candidate_orders(engines: list[StageCandidate]) -> list[tuple[StageCandidate, ...]]:
     return [
         order
         for size in range(1, 5)
@@ -148,7 +158,7 @@
 
 
 def cost_of(order: tuple[StageCandidate, ...]) -> float:
-    """Return what a chain of these engines costs, each run to its end."""
+    """Return the cost of a chain of these engines; infinite if it isn't allowed."""
     layer, cost = 0, 0.0
     for engine in order:
         layers = engine.replica.stage.layers
@@ -164,13 +174,16 @@
     return cost + CROSSING_COST * len(crossings(domains))
 
 
-def play(
+def simulate(
     fleet: str, load_share: float, *, crosses: bool, bounded: bool = True, **k: float
 ) -> Outcome:
-    """Return what comes of a load where layers are missing.
+    """Simulate a fleet in which engines with some layers are missing.
 
-    :param fleet: which layers: the last ones of one failure domain, or of each domain
-        others.
+    :param fleet: "one" if one failure domain lacks its last layers; "each" if each
+        domain lacks other layers.
+    :param load_share: arrival rate as a share of the capacity.
+    :param crosses: whether chains may cross to another domain.
+    :param bounded: whether crossings are limited by the bandwidth of the links.
     """
     gaps = {"one": {"hall-0": 79}, "each": {"hall-0": 5, "hall-1": 35, "hall-2": 75}}
     engines = [
@@ -185,29 +198,32 @@
     return Fleet(engines, load, seed=3).play(choose)
 
 
-def test_a_gap_costs_less_where_chains_cross() -> None:
-    alone = play("one", 0.75, crosses=False)
-    crossing = play("one", 0.75, crosses=True)
-    assert crossing.in_time / crossing.arrived > alone.in_time / alone.arrived + 0.02
+def test_more_requests_are_in_time_if_chains_cross_for_missing_layers() -> None:
+    without_crossings = simulate("one", 0.75, crosses=False)
+    with_crossings = simulate("one", 0.75, crosses=True)
+    assert (
+        with_crossings.in_time / with_crossings.arrived
+        > without_crossings.in_time / without_crossings.arrived + 0.02
+    )
 
 
-def test_gaps_in_every_domain_leave_no_one_unserved_that_pipes_could_carry() -> None:
-    assert play("each", 0.1, crosses=False).in_time == 0
-    played = play("each", 0.1, crosses=True)
-    assert played.in_time / played.arrived > 0.6
+def test_requests_are_served_by_crossing_if_every_domain_lacks_layers() -> None:
+    assert simulate("each", 0.1, crosses=False).in_time == 0
+    result = simulate("each", 0.1, crosses=True)
+    assert result.in_time / result.arrived > 0.6
 
 
-def test_pipes_that_all_share_arent_swamped() -> None:
-    """Without a bound most requests would be late behind the pipes."""
-    swamped = play("one", 0.75, crosses=True, bounded=False)
-    bounded = play("one", 0.75, crosses=True)
-    assert swamped.late_start > 0.2 * swamped.arrived
+def test_shared_links_arent_overloaded_by_crossings() -> None:
+    """Without the limit many requests would wait for the links between domains."""
+    unbounded = simulate("one", 0.75, crosses=True, bounded=False)
+    bounded = simulate("one", 0.75, crosses=True)
+    assert unbounded.late_start > 0.2 * unbounded.arrived
     assert bounded.late_start < 0.02 * bounded.arrived
 
 
-def test_slow_pipes_are_crossed_less() -> None:
-    """They carry a quarter of what the configuration tells."""
-    usual = play("one", 0.6, crosses=True)
-    slow = play("one", 0.6, crosses=True, pipe_share=0.25)
-    assert slow.crossings < 0.7 * usual.crossings
+def test_slow_links_are_crossed_less() -> None:
+    """The links have a quarter of their configured bandwidth."""
+    normal = simulate("one", 0.6, crosses=True)
+    slow = simulate("one", 0.6, crosses=True, pipe_share=0.25)
+    assert slow.crossings < 0.7 * normal.crossings
     assert slow.in_time / slow.arrived > 0.9
--- a/tests/unit/test_engine_directory.py
+++ b/tests/unit/test_engine_directory.py
@@ -1,4 +1,4 @@
-"""What an entry believes of backend servers that register themselves."""
+"""Directory of registered backend servers: eligibility, load and incarnations."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
     return [replica.stage.host for replica in replicas]
 
 
-def test_an_engine_gets_work_once_its_layers_are_registered() -> None:
+def test_engine_gets_requests_once_its_layers_are_registered() -> None:
     directory = EngineDirectory()
     directory.register(replace(ENGINE, layers=None))
     assert hosts(directory) == []
@@ -50,7 +50,9 @@
     assert hosts(directory) == ["i-1"]
 
 
-def test_draining_and_suspect_engines_get_no_work(directory: EngineDirectory) -> None:
+def test_draining_and_suspect_engines_get_no_requests(
+    directory: EngineDirectory,
+) -> None:
     directory.mark_suspect("i-1", 1.0)
     assert hosts(directory) == []
     directory.clear_suspicion("i-1")
@@ -59,12 +61,12 @@
     assert hosts(directory) == []
 
 
-def test_a_removal_counts_at_once(directory: EngineDirectory) -> None:
+def test_removal_takes_effect_immediately(directory: EngineDirectory) -> None:
     directory.remove("i-1", 50.0)
     assert directory.get("i-1") is None
 
 
-def test_a_removal_after_an_outage_waits_for_a_new_registration(
+def test_removal_after_a_store_outage_is_cancelled_by_a_new_registration(
     directory: EngineDirectory,
 ) -> None:
     directory.store_recovered(100.0)
@@ -76,7 +78,7 @@
     assert hosts(directory) == ["i-1"]
 
 
-def test_an_engine_that_stays_away_after_an_outage_is_gone(
+def test_engine_that_doesnt_register_after_a_store_outage_is_removed(
     directory: EngineDirectory,
 ) -> None:
     directory.store_recovered(100.0)
@@ -85,35 +87,47 @@
     assert hosts(directory) == []
 
 
-def load_lookup(own: dict[str, int], entries: int) -> Callable[[str], ServerLoad]:
-    """What one of some entries reckons with that hears none of the others."""
+def load_lookup(
+    own_tokens: dict[str, int], entries: int
+) -> Callable[[str], ServerLoad]:
+    """Return the load lookup of an entry that knows none of the others' load."""
     fleet = FleetLoad(lifetime_s=2.0)
-    for server_id, tokens in own.items():
+    for server_id, tokens in own_tokens.items():
         fleet.add(server_id, LoadPart(tokens, 1))
     return lambda server_id: fleet.load(server_id, entries, now_s=0.0)
 
 
-def test_load_counts_tokens_and_others_are_reckoned(directory: EngineDirectory) -> None:
-    own = {"i-1": 4000}
-    (alone,) = directory.layer_replicas("llm", MODEL, "west", load_lookup(own, 1), 1)
-    (shared,) = directory.layer_replicas("llm", MODEL, "west", load_lookup(own, 5), 5)
+def test_load_counts_tokens_and_estimates_that_of_other_entries(
+    directory: EngineDirectory,
+) -> None:
+    own_tokens = {"i-1": 4000}
+    (alone,) = directory.layer_replicas(
+        "llm", MODEL, "west", load_lookup(own_tokens, 1), 1
+    )
+    (with_others,) = directory.layer_replicas(
+        "llm", MODEL, "west", load_lookup(own_tokens, 5), 5
+    )
     free_mb = 21600.0 - 8 * 1750.0
     assert alone.capacity == int(free_mb / (8 * 0.0115))
-    assert (alone.in_flight, shared.in_flight) == (4000, 20000)
+    assert (alone.in_flight, with_others.in_flight) == (4000, 20000)
 
 
-def test_only_ones_own_load_makes_an_engine_full(directory: EngineDirectory) -> None:
-    own = {"i-1": 60_000}
-    (reckoned,) = directory.layer_replicas(
-        "llm", MODEL, "west", load_lookup(own, 22), 22
+def test_only_the_entrys_own_load_makes_an_engine_full(
+    directory: EngineDirectory,
+) -> None:
+    own_tokens = {"i-1": 60_000}
+    (estimated,) = directory.layer_replicas(
+        "llm", MODEL, "west", load_lookup(own_tokens, 22), 22
+    )
+    assert not estimated.full
+    own_tokens = {"i-1": 100_000}
+    (full,) = directory.layer_replicas(
+        "llm", MODEL, "west", load_lookup(own_tokens, 1), 1
     )
-    assert not reckoned.full
-    own = {"i-1": 100_000}
-    (full,) = directory.layer_replicas("llm", MODEL, "west", load_lookup(own, 1), 1)
     assert full.full
 
 
-def test_others_load_draws_no_entries_to_the_same_engine(
+def test_announced_load_of_other_entries_isnt_used_for_choosing(
     directory: EngineDirectory,
 ) -> None:
     fleet = FleetLoad(lifetime_s=2.0)
@@ -124,40 +138,40 @@
     assert replica.in_flight == 0
 
 
-# Incarnations. A backend server may start again under its id; its start tells which
-# incarnation speaks. Before that was told, an id was one incarnation, so that work on a
-# dead one, its refusals and its slowness passed to its successor.
+# Incarnations. A backend server may restart under the same id; its start time tells
+# which incarnation registered. Without it, the load, suspicion and slowness of a dead
+# incarnation would pass to its successor.
 
 EARLIER = replace(ENGINE, started_at_ms=1000)
 LATER = replace(ENGINE, started_at_ms=2000, layers=None)
 
 
-def test_a_restart_under_the_same_id_is_another_incarnation() -> None:
+def test_restart_under_the_same_id_is_another_incarnation() -> None:
     directory = EngineDirectory()
-    before = directory.register(EARLIER).entry
-    assert before is not None
-    before.slowness = 3.0
-    directory.mark_suspect(before.server_id, 1.0)
-    taken = directory.register(LATER)
-    assert taken.ended == (before.server_id,)
-    assert taken.entry is directory.get_by_registered_id("i-1")
-    assert taken.entry is not None
-    assert taken.entry.slowness == 1.0
+    earlier_entry = directory.register(EARLIER).entry
+    assert earlier_entry is not None
+    earlier_entry.slowness = 3.0
+    directory.mark_suspect(earlier_entry.server_id, 1.0)
+    result = directory.register(LATER)
+    assert result.ended == (earlier_entry.server_id,)
+    assert result.entry is directory.get_by_registered_id("i-1")
+    assert result.entry is not None
+    assert result.entry.slowness == 1.0
     fleet = FleetLoad(lifetime_s=2.0)
-    fleet.add(before.server_id, LoadPart(4000, 1))
-    assert fleet.own_part(taken.entry.server_id) == LoadPart()
-    assert taken.entry.suspect_since_s is None
-    assert directory.get(before.server_id) is None
+    fleet.add(earlier_entry.server_id, LoadPart(4000, 1))
+    assert fleet.own_part(result.entry.server_id) == LoadPart()
+    assert result.entry.suspect_since_s is None
+    assert directory.get(earlier_entry.server_id) is None
 
 
-def test_an_older_incarnation_that_is_read_late_changes_nothing() -> None:
+def test_registration_of_an_older_incarnation_is_ignored() -> None:
     directory = EngineDirectory()
     directory.register(LATER)
     assert directory.register(EARLIER).entry is None
     assert [entry.registration for entry in directory] == [LATER]
 
 
-def test_an_older_incarnation_doesnt_come_back_after_a_removal() -> None:
+def test_older_incarnation_doesnt_come_back_after_a_removal() -> None:
     directory = EngineDirectory()
     directory.register(LATER)
     directory.remove("i-1", 10.0)
@@ -165,7 +179,7 @@
     assert directory.register(LATER).entry is not None
 
 
-def test_the_id_alone_names_a_server_that_doesnt_tell_its_start(
+def test_registration_without_a_start_time_is_the_known_incarnation(
     directory: EngineDirectory,
 ) -> None:
     known = directory.get_by_registered_id("i-1")
@@ -174,24 +188,26 @@
     assert directory.register(LATER).ended == ("i-1",)
 
 
-def test_another_id_at_an_address_ends_the_one_there(
+def test_new_id_at_an_address_replaces_the_previous_server(
     directory: EngineDirectory,
 ) -> None:
-    taken = directory.register(replace(ENGINE, registered_id="i-2"))
-    assert taken.ended == ("i-1",)
+    result = directory.register(replace(ENGINE, registered_id="i-2"))
+    assert result.ended == ("i-1",)
     assert hosts(directory) == ["i-2"]
 
 
-def test_starts_of_different_ids_at_an_address_arent_compared() -> None:
-    """The clock of a host that an address passes to may be behind."""
+def test_start_times_of_different_ids_at_an_address_arent_compared() -> None:
+    """The clock of a host that takes over an address may be behind."""
     directory = EngineDirectory()
     directory.register(LATER)
-    taken = directory.register(replace(EARLIER, registered_id="i-2"))
-    assert taken.entry is not None
-    assert taken.ended == (LATER.server_id,)
+    result = directory.register(replace(EARLIER, registered_id="i-2"))
+    assert result.entry is not None
+    assert result.ended == (LATER.server_id,)
 
 
-def test_a_record_that_names_nobody_counts_at_once(directory: EngineDirectory) -> None:
+def test_withdrawal_takes_effect_immediately_after_a_store_outage(
+    directory: EngineDirectory,
+) -> None:
     directory.store_recovered(100.0)
     directory.withdraw("i-1")
     assert hosts(directory) == []
@@ -220,7 +236,7 @@
 
 
 @given(STEPS)
-def test_one_incarnation_an_id_and_address_in_any_order_of_records(
+def test_each_id_and_address_has_one_incarnation_in_any_order_of_records(
     steps: list[tuple[str, Registration]],
 ) -> None:
     directory = EngineDirectory()
@@ -228,13 +244,13 @@
     for now_s, (step, registration) in enumerate(steps):
         name = registration.registered_id
         if step == "register":
-            taken = directory.register(registration)
-            if taken.entry is not None:
+            result = directory.register(registration)
+            if result.entry is not None:
                 if registration.started_at_ms is not None:
                     assert registration.started_at_ms >= newest.get(name, 0)
                     newest[name] = registration.started_at_ms
-                assert directory.get(taken.entry.server_id) is taken.entry
-            assert all(directory.get(server_id) is None for server_id in taken.ended)
+                assert directory.get(result.entry.server_id) is result.entry
+            assert all(directory.get(server_id) is None for server_id in result.ended)
         elif step == "outage":
             directory.store_recovered(float(now_s))
         elif step == "remove":
@@ -254,7 +270,7 @@
 
 
 def directory_after_outage(count: int, missing: int) -> EngineDirectory:
-    """Return a directory after an outage in which some registrations disappeared."""
+    """Return a directory after a store outage in which some registrations lapsed."""
     directory = EngineDirectory()
     for number in range(count):
         address = f"10.0.0.{number}:80"
@@ -266,17 +282,18 @@
     return directory
 
 
-def test_few_that_are_missing_after_an_outage_are_doubtful() -> None:
-    """They left while this entry alone was without the store."""
+def test_few_missing_servers_after_an_outage_have_possibly_departed() -> None:
+    """They left while only this entry was cut off from the store."""
     assert directory_after_outage(6, 2).possibly_departed("llm") == {"i-0", "i-1"}
     assert directory_after_outage(2, 1).possibly_departed("llm") == {"i-0"}
 
 
-def test_many_that_are_missing_lapsed_with_the_store() -> None:
+def test_many_missing_servers_after_an_outage_arent_avoided() -> None:
+    """Their registrations lapsed because the store was out for all."""
     assert directory_after_outage(6, 3).possibly_departed("llm") == frozenset()
 
 
-def test_one_that_registers_again_isnt_doubtful() -> None:
+def test_server_that_registers_again_isnt_avoided() -> None:
     directory = directory_after_outage(6, 1)
     directory.register(replace(ENGINE, registered_id="i-0", address="10.0.0.0:80"))
     assert directory.possibly_departed("llm") == frozenset()
--- a/tests/unit/test_event_cursor.py
+++ b/tests/unit/test_event_cursor.py
@@ -1,4 +1,4 @@
-"""A resumed stream misses nothing and repeats nothing."""
+"""A resumed stream neither loses nor repeats events."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     return b"id: %d\ndata: token %d" % (number, number) + end
 
 
-def test_only_whole_events_are_passed_on() -> None:
+def test_only_complete_events_are_forwarded() -> None:
     cursor = EventCursor()
     assert cursor.feed(event(1) + b"id: 2\nda") == event(1)
     assert cursor.partial
@@ -23,47 +23,49 @@
     assert (cursor.last_id, cursor.events) == (2, 2)
 
 
-def test_an_event_that_was_broken_off_comes_whole_from_the_next_attempt() -> None:
+def test_incomplete_event_is_replaced_by_that_of_the_next_attempt() -> None:
     cursor = EventCursor()
     cursor.feed(event(1) + b"id: 2\nda")
     cursor.resume()
     assert cursor.feed(event(2) + event(3)) == event(2) + event(3)
 
 
-def test_events_that_the_client_has_are_dropped_after_a_resumption() -> None:
+def test_events_that_the_client_has_are_dropped_after_a_resume() -> None:
     cursor = EventCursor(last_id=4)
     cursor.resume()
     assert cursor.feed(event(3) + event(4)) == b""
     assert cursor.feed(event(5)) == event(5)
-    assert cursor.feed(event(4)) == event(4)  # Only a new attempt's beginning.
+    assert cursor.feed(event(4)) == event(4)  # Only the first events of an attempt.
 
 
 def test_lines_may_end_with_carriage_returns() -> None:
     cursor = EventCursor()
-    whole = event(1, b"\r\n\r\n")
-    assert cursor.feed(whole[:-1]) == b""
-    assert cursor.feed(whole[-1:]) == whole
+    complete = event(1, b"\r\n\r\n")
+    assert cursor.feed(complete[:-1]) == b""
+    assert cursor.feed(complete[-1:]) == complete
 
 
 @given(
-    breaks=st.lists(st.integers(1, 400), max_size=6),
-    cut=st.integers(0, 400),
+    read_boundaries=st.lists(st.integers(1, 400), max_size=6),
+    interruption=st.integers(0, 400),
     repeats=st.integers(0, 3),
 )
-def test_any_cut_and_any_repeat_give_the_same_stream(
-    breaks: list[int], cut: int, repeats: int
+def test_stream_is_the_same_for_any_interruption_and_repetition(
+    read_boundaries: list[int], interruption: int, repeats: int
 ) -> None:
-    whole = b"".join(event(n) for n in range(1, 21))
+    complete = b"".join(event(n) for n in range(1, 21))
     cursor = EventCursor()
-    got = _feed(cursor, whole[: min(cut, len(whole))], breaks)
+    received = _feed(
+        cursor, complete[: min(interruption, len(complete))], read_boundaries
+    )
     cursor.resume()
     next_id = (cursor.last_id or 0) + 1
     rest = b"".join(event(n) for n in range(max(1, next_id - repeats), 21))
-    got += _feed(cursor, rest, breaks)
-    assert got == whole
+    received += _feed(cursor, rest, read_boundaries)
+    assert received == complete
 
 
-def _feed(cursor: EventCursor, data: bytes, breaks: list[int]) -> bytes:
-    points = sorted({0, *(b for b in breaks if b < len(data)), len(data)})
-    parts = itertools.pairwise(points)
+def _feed(cursor: EventCursor, data: bytes, read_boundaries: list[int]) -> bytes:
+    offsets = sorted({0, *(b for b in read_boundaries if b < len(data)), len(data)})
+    parts = itertools.pairwise(offsets)
     return b"".join(cursor.feed(data[a:b]) for a, b in parts)
--- a/tests/unit/test_memory_quota.py
+++ b/tests/unit/test_memory_quota.py
@@ -1,4 +1,4 @@
-"""How an entry's memory is divided between workspaces that send or leave much."""
+"""A workspace that sends much or reads slowly can't use up an entry's memory."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 
 
 def fill(quota: MemoryQuota, workspace: str, step_bytes: int = 10) -> MemoryReservation:
-    """Hold as much for a workspace as it may."""
+    """Reserve as much for a workspace as its quota allows."""
     reservation = MemoryReservation(quota, workspace)
     while reservation.try_reserve(step_bytes):
         pass
     return reservation
 
 
-def test_one_workspace_alone_leaves_half_of_the_memory() -> None:
+def test_single_workspace_gets_at_most_half_of_the_memory() -> None:
     assert fill(MemoryQuota(LIMIT_BYTES), "flood").size_bytes == LIMIT_BYTES / 2
 
 
-def test_a_quiet_workspace_finds_room_beside_floods_of_others() -> None:
+def test_small_workspace_gets_memory_while_others_use_all_they_can() -> None:
     quota = MemoryQuota(LIMIT_BYTES)
     for number in range(4):
         fill(quota, f"flood-{number}")
     assert MemoryReservation(quota, "quiet").try_reserve(30)
 
 
-def test_what_others_hold_shrinks_as_more_want_some() -> None:
+def test_share_of_a_workspace_shrinks_as_others_need_memory() -> None:
     quota = MemoryQuota(LIMIT_BYTES)
     first = fill(quota, "first")
     fill(quota, "second")
     first.release_bytes(300)
-    # It is over a third of the memory, and gets no more before the others do.
+    # After the release it is below its share again and may reserve a little more.
     assert first.try_reserve(10)
     assert first.size_bytes <= LIMIT_BYTES / 2
 
 
-def test_nothing_is_given_back_twice() -> None:
+def test_released_memory_isnt_released_twice() -> None:
     quota = MemoryQuota(LIMIT_BYTES)
     reservation = MemoryReservation(quota, "quality")
     reservation.try_reserve(100)
@@ -58,7 +58,7 @@
         )
     )
 )
-def test_what_is_taken_never_exceeds_the_limit_and_all_comes_back(
+def test_reservations_never_exceed_the_limit_and_are_all_released(
     steps: list[tuple[str, str, int]],
 ) -> None:
     quota = MemoryQuota(LIMIT_BYTES)
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -1,4 +1,4 @@
-"""Chains are whole, cheap, and avoid what they must."""
+"""Planned chains cover all layers, are the cheapest, and avoid excluded hosts."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     return chain.hosts
 
 
-def test_least_loaded_and_fastest_are_chosen() -> None:
+def test_least_loaded_and_fastest_replicas_are_chosen() -> None:
     replicas = [
         replica("a1", 0, 3, load=5),
         replica("a2", 0, 3),
@@ -71,23 +71,23 @@
         plan(replicas, exclude=frozenset({"a1"}))
 
 
-def test_gap_is_named() -> None:
+def test_error_names_the_layers_that_arent_covered() -> None:
     with pytest.raises(NoCapacityError) as caught:
         plan([replica("a1", 0, 3), replica("b1", 5, 7)])
     assert caught.value.why == "layers not covered: 4"
 
 
-def test_survivors_are_preferred_on_a_retry() -> None:
+def test_preferred_hosts_are_chosen_on_a_retry() -> None:
     replicas = [replica("a1", 0, 3, load=1), replica("a2", 0, 3), replica("b1", 4, 7)]
     assert plan(replicas, prefer=("a1",)) == ("a1", "b1")
 
 
-def test_no_service_host_left() -> None:
+def test_service_without_hosts_has_no_capacity() -> None:
     with pytest.raises(NoCapacityError):
         choose_host([], exclude=frozenset(), weights=EXACT, rng=random.Random(1))
 
 
-def test_capacity_is_that_of_the_weakest_layer() -> None:
+def test_pipeline_capacity_is_that_of_the_layer_with_the_least() -> None:
     replicas = [replica("a1", 0, 3), replica("a2", 0, 3), replica("b1", 4, 7)]
     assert pipeline_capacity(replicas, 8) == 10
     assert pipeline_capacity(replicas[:2], 8) == 0
@@ -110,7 +110,7 @@
         max_size=9,
     )
 )
-def test_chain_is_the_cheapest_of_all(
+def test_planned_chain_is_the_cheapest_possible(
     drawn: list[tuple[tuple[int, int], str, int, int]],
 ) -> None:
     replicas = [
@@ -122,7 +122,7 @@
             cost(chosen)
             for size in range(1, 5)
             for chosen in itertools.permutations(replicas, size)
-            if is_whole(chosen)
+            if covers_all_layers(chosen)
         ),
         default=None,
     )
@@ -135,13 +135,13 @@
     assert cost([by_name[host] for host in hosts]) == pytest.approx(best)
 
 
-def is_whole(chosen: tuple[Replica, ...]) -> bool:
-    following = 0
-    for one in chosen:
-        if one.full or one.stage.layers.first != following:
+def covers_all_layers(chosen: tuple[Replica, ...]) -> bool:
+    next_layer = 0
+    for member in chosen:
+        if member.full or member.stage.layers.first != next_layer:
             return False
-        following = one.stage.layers.last + 1
-    return following == 8
+        next_layer = member.stage.layers.last + 1
+    return next_layer == 8
 
 
 def cost(chosen: list[Replica] | tuple[Replica, ...]) -> float:
@@ -150,7 +150,7 @@
     return steps + hops
 
 
-def test_a_chain_may_enter_a_range_behind_its_first_layer() -> None:
+def test_chain_may_enter_a_range_after_its_first_layer() -> None:
     replicas = [replica("a", 0, 4), replica("b", 3, 7)]
     chain = plan_chain(
         replicas,
@@ -165,7 +165,7 @@
     assert [str(stage.layers) for stage in chain.stages] == ["0-4", "5-7"]
 
 
-def test_ranges_are_run_whole_where_engines_cant_run_a_part() -> None:
+def test_ranges_arent_split_if_engines_cant_run_a_part() -> None:
     with pytest.raises(NoCapacityError):
         plan([replica("a", 0, 4), replica("b", 3, 7)])
 
--- a/tests/unit/test_registrations.py
+++ b/tests/unit/test_registrations.py
@@ -1,9 +1,8 @@
-"""Registrations that others write: what can't be meant names no backend server.
+"""Invalid registration records are rejected instead of adding a backend server.
 
-The store's records may come from any writer. One that couldn't be used was taken as a
-ready backend server: with no address, at port 99999, with layers below 0 or beyond the
-model. The latter raised IndexError wherever coverage is reckoned, in all entries at
-once.
+Any writer may put records into the store. A record without an address, with port 99999,
+or with layers below 0 or beyond the model must not be taken for a ready backend server:
+such layers would raise IndexError in all entries at once when they compute coverage.
 """
 
 from __future__ import annotations
@@ -34,7 +33,7 @@
 )
 from tests.lib.models import MODEL
 
-SOUND: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "service": "llm",
     "address": "10.1.64.9:8080",
     "zone": "hall-a",
@@ -49,16 +48,16 @@
     "born": 1_764_716_400_123,
 }
 
-MISSING = object()
+OMITTED = object()
 
-ODD_FIELDS = [
-    ("service", [MISSING, None, "", 5, ["llm"], "x" * 300]),
-    ("address", [MISSING, None, "", 7, "10.1.64.9", "10.1.64.9:", "10.1.64.9:99999"]),
+INVALID_FIELDS = [
+    ("service", [OMITTED, None, "", 5, ["llm"], "x" * 300]),
+    ("address", [OMITTED, None, "", 7, "10.1.64.9", "10.1.64.9:", "10.1.64.9:99999"]),
     ("address", ["host:80", "10.1.64.9:0", "10.1.64.9:-1", "10.1.64.9:8²", ":80"]),
     ("address", ["[fe80::1%a\r\nX: 1]:80", "[fe80::1%é]:80"]),
-    ("zone", [MISSING, None, "", 3]),
-    ("slots", [MISSING, None, 0, -1, "96", 96.0, True, 10**30]),
-    ("state", [MISSING, None, "", "READY", "starting", 1]),
+    ("zone", [OMITTED, None, "", 3]),
+    ("slots", [OMITTED, None, 0, -1, "96", 96.0, True, 10**30]),
+    ("state", [OMITTED, None, "", "READY", "starting", 1]),
     ("version", [None, 1, ["v1"], "v" * 100]),
     ("cold_left_ms", [None, "", "0", [0], -1, -0.5]),
     ("stage", [5, "", ["unified"]]),
@@ -73,15 +72,15 @@
 ]
 
 
-def changed(field: str, value: Any) -> bytes:
-    entry = {name: known for name, known in SOUND.items() if name != field}
-    if value is not MISSING:
+def encode_with(field: str, value: Any) -> bytes:
+    entry = {name: known for name, known in VALID.items() if name != field}
+    if value is not OMITTED:
         entry[field] = value
     return json.dumps(entry).encode()
 
 
-def test_a_sound_registration_is_taken_whole() -> None:
-    assert decode_registration("i-1", json.dumps(SOUND).encode()) == Registration(
+def test_valid_registration_is_decoded_completely() -> None:
+    assert decode_registration("i-1", json.dumps(VALID).encode()) == Registration(
         registered_id="i-1",
         service="llm",
         address="10.1.64.9:8080",
@@ -97,37 +96,37 @@
 
 
 @pytest.mark.parametrize("field", ["models", "layers", "kind", "born", "seq"])
-def test_what_plain_and_older_servers_leave_out_may_be_missing(field: str) -> None:
-    decode_registration("i-1", changed(field, MISSING))
+def test_fields_that_plain_and_older_servers_omit_are_optional(field: str) -> None:
+    decode_registration("i-1", encode_with(field, OMITTED))
 
 
 @pytest.mark.parametrize("layers", [None, {"from": None, "target_version": None}])
-def test_an_engine_that_isnt_placed_yet_holds_nothing(layers: Any) -> None:
-    assert decode_registration("i-1", changed("layers", layers)).layers is None
+def test_engine_without_a_placement_holds_no_layers(layers: Any) -> None:
+    assert decode_registration("i-1", encode_with("layers", layers)).layers is None
 
 
 @pytest.mark.parametrize(
     ("field", "value"),
-    [(field, value) for field, values in ODD_FIELDS for value in values],
+    [(field, value) for field, values in INVALID_FIELDS for value in values],
 )
-def test_a_record_that_means_nothing_is_refused(field: str, value: Any) -> None:
+def test_invalid_field_is_rejected(field: str, value: Any) -> None:
     with pytest.raises(EngineError):
-        decode_registration("i-1", changed(field, value))
+        decode_registration("i-1", encode_with(field, value))
 
 
 @pytest.mark.parametrize(
     "value",
     [b"\xff\xfe", b"{", b"[]", b"null", b"7", b'"ready"', b"{}", b" " * 20_000],
 )
-def test_bytes_that_are_no_record_are_refused(value: bytes) -> None:
+def test_bytes_that_arent_a_record_are_rejected(value: bytes) -> None:
     with pytest.raises(EngineError):
         decode_registration("i-1", value)
 
 
 @pytest.mark.parametrize("key", ["", "i 1", "i-1\r\nX: 1", "i-\ufffd", "x" * 200])
-def test_an_id_that_no_header_can_hold_is_refused(key: str) -> None:
+def test_id_that_doesnt_fit_in_a_header_is_rejected(key: str) -> None:
     with pytest.raises(EngineError):
-        decode_registration(key, json.dumps(SOUND).encode())
+        decode_registration(key, json.dumps(VALID).encode())
 
 
 @pytest.mark.parametrize(
@@ -144,30 +143,30 @@
         b"\xff",
     ],
 )
-def test_a_report_that_means_nothing_is_refused(body: bytes) -> None:
+def test_invalid_report_is_rejected(body: bytes) -> None:
     with pytest.raises(EngineError):
         decode_report(body)
 
 
 @pytest.mark.parametrize("body", [b"ok", b"", b"\xff", b"[]", b'{"born": "1"}'])
-def test_an_answer_need_not_tell_when_its_sender_started(body: bytes) -> None:
+def test_answer_without_a_valid_start_time_has_none(body: bytes) -> None:
     assert decode_started_at_ms(body) is None
 
 
-def test_layers_beyond_the_model_cover_only_what_the_model_has() -> None:
-    held = [LayerRange(-5, 3), LayerRange(70, 4000), LayerRange(200, 300)]
-    assert uncovered_layers(held, 80) == [LayerRange(4, 69)]
+def test_layers_beyond_the_model_count_only_within_the_model() -> None:
+    layer_ranges = [LayerRange(-5, 3), LayerRange(70, 4000), LayerRange(200, 300)]
+    assert uncovered_layers(layer_ranges, 80) == [LayerRange(4, 69)]
 
 
-ANYTHING = st.recursive(
+ANY_JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(),
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
     max_leaves=5,
 )
 
 
-def chains_from(records: list[tuple[str, bytes]]) -> Callable[[], object]:
-    """Take records into a directory; return what plans a chain from it."""
+def planner_of(records: list[tuple[str, bytes]]) -> Callable[[], object]:
+    """Register records; return a function that plans a chain with them."""
     directory = EngineDirectory()
     for key, value in records:
         try:
@@ -175,8 +174,8 @@
         except EngineError:
             directory.withdraw(key)
     replicas = directory.layer_replicas("llm", MODEL, "west", lambda _: ServerLoad(), 3)
-    held = [entry.registration.layers for entry in directory]
-    uncovered_layers(held, MODEL.layer_count)
+    layer_ranges = [entry.registration.layers for entry in directory]
+    uncovered_layers(layer_ranges, MODEL.layer_count)
     return lambda: plan_chain(
         replicas,
         MODEL.layer_count,
@@ -194,24 +193,24 @@
         st.tuples(
             st.sampled_from(["i-1", "i-2", "i-3", ""]) | st.text(max_size=5),
             st.binary(max_size=30)
-            | st.builds(changed, st.sampled_from(sorted(SOUND)), ANYTHING),
+            | st.builds(encode_with, st.sampled_from(sorted(VALID)), ANY_JSON),
         ),
         max_size=8,
     )
 )
-def test_no_record_stops_an_entry_from_planning(
+def test_arbitrary_records_dont_stop_an_entry_from_planning(
     records: list[tuple[str, bytes]],
 ) -> None:
-    plan = chains_from(records)
+    plan = planner_of(records)
     with contextlib.suppress(NoCapacityError):
         plan()
 
 
-@given(st.sampled_from(sorted(SOUND)), ANYTHING)
-def test_others_hold_beside_a_record_that_means_nothing(field: str, value: Any) -> None:
-    whole = {**SOUND, "layers": {"from": 0, "target_version": 80}, "kind": "a100s"}
-    whole["address"] = "10.9.9.9:80"
-    odd = changed(field, value)
-    plan = chains_from([("whole", json.dumps(whole).encode()), ("odd", odd)])
-    if b"10.9.9.9" not in odd:
+@given(st.sampled_from(sorted(VALID)), ANY_JSON)
+def test_invalid_record_doesnt_affect_other_servers(field: str, value: Any) -> None:
+    valid = {**VALID, "layers": {"from": 0, "target_version": 80}, "kind": "a100s"}
+    valid["address"] = "10.9.9.9:80"
+    invalid = encode_with(field, value)
+    plan = planner_of([("whole", json.dumps(valid).encode()), ("odd", invalid)])
+    if b"10.9.9.9" not in invalid:
         plan()
--- a/tests/unit/test_routing_table.py
+++ b/tests/unit/test_routing_table.py
@@ -1,4 +1,4 @@
-"""Routes are found by prefix, credentials by configuration."""
+"""Routes are found by host and path prefix, and credentials are checked."""
 
 from __future__ import annotations
 
@@ -48,17 +48,21 @@
 @pytest.mark.parametrize(
     ("path", "prefix"), [("/a/x", "/a/"), ("/a/b/x", "/a/b/"), ("/a/b", "/a/")]
 )
-def test_longest_prefix_wins(table: RoutingTable, path: str, prefix: str) -> None:
+def test_route_with_the_longest_prefix_is_found(
+    table: RoutingTable, path: str, prefix: str
+) -> None:
     assert table.find("a.example", path).path_prefix == prefix
 
 
 @pytest.mark.parametrize(("host", "path"), [("a.example", "/a"), ("b.example", "/a/x")])
-def test_no_route_is_an_error(table: RoutingTable, host: str, path: str) -> None:
+def test_request_without_a_route_is_rejected(
+    table: RoutingTable, host: str, path: str
+) -> None:
     with pytest.raises(UnknownTargetError):
         table.find(host, path)
 
 
-def test_credentials_are_needed_unless_public(table: RoutingTable) -> None:
+def test_credential_is_required_unless_the_route_is_public(table: RoutingTable) -> None:
     owner = table.authorize(table.find("a.example", "/a/x"), "secret")
     assert owner == CredentialOwner("depot", 1)
     with pytest.raises(UnauthorizedError):
@@ -81,6 +85,6 @@
     assert route("/x/", kind=kind, resumable=resumable).repeatable is repeatable
 
 
-def test_without_a_configuration_nothing_is_refused_for_good() -> None:
+def test_requests_get_a_retryable_error_before_the_first_configuration() -> None:
     with pytest.raises(NotReadyError):
         require_table(None)
