--- a/src/railfold/_internal/decisions/chain_activity.py
+++ b/src/railfold/_internal/decisions/chain_activity.py
@@ -175,6 +175,7 @@
         ]
 
     def _pause_ratio(self, key: ChainKey, now_s: float) -> float:
+        """Return the mean pause of a chain relative to the expected pause."""
         pace = self._pace(key)
         return _decayed_slowness(pace.slowness, now_s - pace.pause_seen_s)
 
@@ -231,6 +232,7 @@
         return bool(active) and 2 * len(active) >= len(other_chains)
 
     def _pace(self, key: ChainKey) -> _HostPace:
+        """Return the means for the chain's first host; the defaults if it is new."""
         return self._paces.get(key[0], _HostPace())
 
 
--- a/src/railfold/_internal/decisions/chain_costs.py
+++ b/src/railfold/_internal/decisions/chain_costs.py
@@ -58,7 +58,8 @@
     """Size and objectives of a request.
 
     :param prompt_tokens: length of its prompt.
-    :param answer_tokens: expected length of its answer.
+    :param answer_tokens: limit on the length of its answer, or the typical length if
+        the request has no limit.
     :param objective_s: longest time to its first event.
     :param allowed_pause_s: longest pause between two of its events.
     :param objective_slack: how much shorter the shortest objective of the service's
@@ -73,7 +74,7 @@
 
     @property
     def total_tokens(self) -> int:
-        """The largest size of its state, in tokens."""
+        """The size to which its state may grow, in tokens."""
         return self.prompt_tokens + self.answer_tokens
 
 
@@ -81,7 +82,8 @@
 class StageCandidate:
     """A replica that could be a stage of a chain, with its costs for one request.
 
-    :param rejection_risk: cost of a likely rejection, however few layers it runs.
+    :param rejection_risk: cost of the risk that its server rejects the request, which
+        doesn't depend on the number of layers it runs.
     :param objective_cost_per_layer: share of the objectives that a layer uses up,
         weighted, and the cost of taking a fast accelerator on a route with slack.
     :param overhead_s: time that the stage takes in addition to running its layers.
--- a/src/railfold/_internal/decisions/chain_search.py
+++ b/src/railfold/_internal/decisions/chain_search.py
@@ -407,6 +407,7 @@
 
 
 def _build_stage(candidate: StageCandidate, layers: LayerRange) -> Stage:
+    """Return the stage in which a candidate runs some of its layers."""
     stage = candidate.replica.stage
     if layers == stage.layers:
         return stage
--- a/src/railfold/_internal/decisions/engine_directory.py
+++ b/src/railfold/_internal/decisions/engine_directory.py
@@ -216,6 +216,7 @@
     def _is_outdated(
         self, registration: Registration, known: DirectoryEntry | None
     ) -> bool:
+        """Return whether a later incarnation of the registered id is known."""
         started_at_ms = registration.started_at_ms
         departed_ms = self._departed_started_at_ms.get(registration.registered_id)
         known_ms = known.registration.started_at_ms if known is not None else None
@@ -241,6 +242,7 @@
         self._by_address[registration.address] = entry
 
     def _remove_entry(self, entry: DirectoryEntry) -> None:
+        """Remove an entry, but remember its id and start time as departed."""
         registration = entry.registration
         self._departed.append(entry)
         self._departed_ids.pop(entry.server_id, None)
@@ -286,7 +288,7 @@
         return True
 
     def pop_departed(self) -> list[DirectoryEntry]:
-        """Return the entries removed since the last call, up to the newest 4096."""
+        """Return the entries removed since the last call, in their last known state."""
         departed = list(self._departed)
         self._departed.clear()
         return departed
--- a/tests/unit/test_chain_choice.py
+++ b/tests/unit/test_chain_choice.py
@@ -91,6 +91,7 @@
     idle_since_s: dict[tuple[int, int], list[float]],
     now_s: float,
 ) -> list[ChainOption]:
+    """Return the chains as an entry sees them that knows only its own requests."""
     options = []
     for chain, (cost, capacity) in enumerate(zip(COSTS, CAPACITIES, strict=True)):
         share = entries * own_in_flight[entry, chain] / capacity
@@ -103,9 +104,10 @@
     return options
 
 
-def returning(
+def returning_clients(
     count: int, entries: int, within_s: float, seed: int
 ) -> list[tuple[float, int]]:
+    """Return arrivals (time, entry) of clients that all come within some time."""
     rng = random.Random(seed)
     return [(rng.uniform(0.0, within_s), rng.randrange(entries)) for _ in range(count)]
 
@@ -116,7 +118,9 @@
     """Return the sum of the results for several seeds."""
     total = SimulationResult()
     for seed in range(seeds):
-        result = simulate(returning(count, entries, within_s, seed), entries, choose)
+        result = simulate(
+            returning_clients(count, entries, within_s, seed), entries, choose
+        )
         total.rejected += result.rejected
         total.connections += result.connections
     return total
--- a/tests/unit/test_chain_search.py
+++ b/tests/unit/test_chain_search.py
@@ -175,12 +175,17 @@
 
 
 def simulate(
-    fleet: str, load_share: float, *, crosses: bool, bounded: bool = True, **k: float
+    fleet: str,
+    load_share: float,
+    *,
+    crosses: bool,
+    bounded: bool = True,
+    **load_options: float,
 ) -> Outcome:
     """Simulate a fleet in which engines with some layers are missing.
 
-    :param fleet: "one" if one failure domain lacks its last layers; "each" if each
-        domain lacks other layers.
+    :param fleet: "one" if the engines of one failure domain that hold the last layer
+        are missing; "each" if each domain lacks the engines that hold another layer.
     :param load_share: arrival rate as a share of the capacity.
     :param crosses: whether chains may cross to another domain.
     :param bounded: whether crossings are limited by the bandwidth of the links.
@@ -193,7 +198,7 @@
         <= gaps[fleet].get(engine.domain, -1)
         <= engine.layers.last
     ]
-    load = Load(rps=load_share * CAPACITY_RPS, duration_s=5.0, **k)  # type: ignore[arg-type]
+    load = Load(rps=load_share * CAPACITY_RPS, duration_s=5.0, **load_options)  # type: ignore[arg-type]
     choose = balanced_choice(crosses=crosses, bounded=bounded)
     return Fleet(engines, load, seed=3).play(choose)
 
--- a/tests/unit/test_memory_quota.py
+++ b/tests/unit/test_memory_quota.py
@@ -77,7 +77,7 @@
                 reservation.release_bytes(size_bytes)
             case "release":
                 reservation.release()
-        assert quota.total_bytes == sum(h.size_bytes for h in reservations.values())
+        assert quota.total_bytes == sum(r.size_bytes for r in reservations.values())
     for reservation in reservations.values():
         reservation.release()
     assert quota.total_bytes == 0
--- a/tests/unit/test_planner.py
+++ b/tests/unit/test_planner.py
@@ -25,10 +25,15 @@
 
 
 def replica(
-    host: str, first: int, last: int, domain: str = "hall-a", load: int = 0, **k: float
+    host: str,
+    first: int,
+    last: int,
+    domain: str = "hall-a",
+    load: int = 0,
+    **figures: float,
 ) -> Replica:
     stage = Stage(host, "10.0.0.1:1", 1, LayerRange(first, last))
-    return Replica(stage, domain, "west", load, 10, k.get("step_ms", 10.0))
+    return Replica(stage, domain, "west", load, 10, figures.get("step_ms", 10.0))
 
 
 def plan(
--- a/tests/unit/test_registrations.py
+++ b/tests/unit/test_registrations.py
@@ -73,6 +73,7 @@
 
 
 def encode_with(field: str, value: Any) -> bytes:
+    """Return an encoded record that is valid but for one field."""
     entry = {name: known for name, known in VALID.items() if name != field}
     if value is not OMITTED:
         entry[field] = value
