--- a/tests/unit/test_chain_choice.py
+++ b/tests/unit/test_chain_choice.py
@@ -171,7 +171,7 @@
     assert load_uncertainty([], 5) == 0.0
 
 
-@pytest.mark.parametrize(("sure", "chosen"), [(2, {1, 2}), (1, {0, 1, 2})])
+@pytest.mark.parametrize(("confirmed_count", "chosen"), [(2, {1, 2}), (1, {0, 1, 2})])
 def test_unconfirmed_chains_are_avoided_unless_they_are_the_majority(
     confirmed_count: int, chosen: set[int]
 ) -> None:
