--- a/src/railfold/_internal/decisions/planner.py
+++ b/src/railfold/_internal/decisions/planner.py
@@ -1,10 +1,10 @@
-"""Choosing a chain of backend servers that covers every layer once.
+"""Planning of a chain of backend servers that covers every layer exactly once.
 
-The chain is the cheapest path from the first layer to the last over the
-replicas' ranges. Where engines allow it, ranges may overlap: a chain may enter a
-range behind its first layer, and then runs it to its end. A replica's cost is
-its expected step time at its present load, by the share of its layers that the
-chain runs; a hop's cost is the latency between the two failure domains.
+The chain is the cheapest path from the first layer to the last over the replicas' layer
+ranges. If engines can run a part of their layers, ranges may overlap: a chain may enter
+a range after its first layer, and then runs it to its end. The cost of a replica is its
+expected step time at its current load, times the share of its layers that the chain
+runs. The cost of a hop is the latency between the two failure domains.
 """
 
 from __future__ import annotations
@@ -31,8 +31,10 @@
 class Replica:
     """A backend server that can run some layers.
 
-    :param in_flight: sequences it holds, corrected by our own since its report.
-    :param step_ms: recent time of one engine step.
+    :param in_flight: its load, in the unit of ``capacity``: sequences as it last
+        reported them, corrected by those of this process since then, or tokens.
+    :param capacity: the load at which it is full.
+    :param step_ms: recent or expected time of one engine step.
     """
 
     stage: Stage
@@ -44,22 +46,25 @@
 
     @property
     def full(self) -> bool:
-        """Whether it can take no further sequence."""
+        """Whether it can take no further request."""
         return self.in_flight >= self.capacity
 
 
 def without_first_layer(replica: Replica) -> Replica:
-    """Return a replica of at least two layers as one that no chain can begin at."""
+    """Return a replica without its first layer, so that no chain can begin at it.
+
+    :param replica: a replica of at least two layers.
+    """
     stage = replica.stage
     layers = LayerRange(stage.layers.first + 1, stage.layers.last)
     step_ms = replica.step_ms * len(layers) / len(stage.layers)
-    later = Stage(stage.host, stage.address, stage.incarnation, layers)
-    return replace(replica, stage=later, step_ms=step_ms)
+    stage_without_first = Stage(stage.host, stage.address, stage.incarnation, layers)
+    return replace(replica, stage=stage_without_first, step_ms=step_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class _Path:
-    """A chain's beginning; ``end`` is the replica that it ends at."""
+    """The first stages of a chain; ``end`` is the replica of the last one."""
 
     cost: float
     stages: tuple[Stage, ...]
@@ -68,7 +73,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkCosts:
-    """One-way latency between places, in milliseconds."""
+    """One-way latency between replicas, in milliseconds.
+
+    :param pairs_ms: latency between two failure domains, where it is known.
+    """
 
     same_domain_ms: float = 0.05
     same_region_ms: float = 0.25
@@ -78,9 +86,9 @@
     def between(self, one: Replica, other: Replica) -> float:
         """Return the latency from one replica to another."""
         key = (one.failure_domain, other.failure_domain)
-        known = self.pairs_ms.get(key)
-        if known is not None:
-            return known
+        cheapest_known = self.pairs_ms.get(key)
+        if cheapest_known is not None:
+            return cheapest_known
         if one.region != other.region:
             return self.other_region_ms
         if one.failure_domain != other.failure_domain:
@@ -90,12 +98,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerWeights:
-    """How the planner weighs load against the time of a step.
+    """Weights of load and preference in the cost of a replica.
 
-    :param load_weight: how many step times a full replica costs more than an
-        idle one.
-    :param preferred_factor: factor on a preferred replica's cost. A retry
-        prefers the surviving stages, which hold warm prefixes.
+    :param load_weight: how much more a full replica costs than an idle one, in step
+        times.
+    :param preferred_factor: factor on the cost of a preferred replica. A retry prefers
+        the surviving stages, which have the request's prefix cached.
+    :param jitter: largest random increase of a cost, as a share of it.
     """
 
     load_weight: float = 4.0
@@ -116,27 +125,30 @@
 ) -> Chain:
     """Return the cheapest chain over ``layer_count`` layers.
 
+    :param exclude: hosts that must not be used.
+    :param prefer: hosts whose cost is reduced by ``weights.preferred_factor``.
     :param partial: whether a chain may run only the last part of a range.
-    :raises NoCapacityError: no replicas that are live and have room cover
-        all layers.
+    :raises NoCapacityError: no chain of replicas with capacity covers all layers.
     """
     usable = [r for r in replicas if r.stage.host not in exclude and not r.full]
-    cheapest = _cheapest_of_each_place(usable, frozenset(prefer), weights, rng)
-    candidates = _by_layer(cheapest, partial)
+    cheapest = _cheapest_per_range_and_domain(usable, frozenset(prefer), weights, rng)
+    candidates = _group_by_entry_layer(cheapest, partial)
     paths: dict[int, dict[str, _Path]] = {0: {"": _Path(0.0, ())}}
     for layer in range(layer_count):
-        arrived = paths.get(layer, {})
-        for replica, cost in candidates.get(layer, ()) if arrived else ():
+        paths_here = paths.get(layer, {})
+        for replica, cost in candidates.get(layer, ()) if paths_here else ():
             layers = replica.stage.layers
-            used = LayerRange(layer, layers.last)
-            share = len(used) / len(layers)
-            path = _extend(arrived.values(), replica, used, cost * share, costs)
+            run_layers = LayerRange(layer, layers.last)
+            share = len(run_layers) / len(layers)
+            path = _extend(
+                paths_here.values(), replica, run_layers, cost * share, costs
+            )
             _keep_cheapest(paths.setdefault(layers.last + 1, {}), replica, path)
     complete = paths.get(layer_count) if layer_count else None
     if not complete:
         raise NoCapacityError(
             "no live backend servers with room cover all layers",
-            why=_gap(usable, layer_count),
+            why=_describe_gap(usable, layer_count),
             hint="come back after Retry-After; operators: see 'railfold status'",
         )
     best = min(complete.values(), key=lambda path: path.cost)
@@ -152,7 +164,8 @@
 ) -> Replica:
     """Return the cheapest replica for a plain service call.
 
-    :raises NoCapacityError: none is live and has room.
+    :param exclude: hosts that must not be used.
+    :raises NoCapacityError: no replica has capacity.
     """
     usable = [r for r in replicas if r.stage.host not in exclude and not r.full]
     if not usable:
@@ -169,6 +182,7 @@
     weights: PlannerWeights,
     rng: random.Random,
 ) -> float:
+    """Return the step time of a replica, weighted by load and preference."""
     load = replica.in_flight / max(1, replica.capacity)
     cost = replica.step_ms * (1.0 + weights.load_weight * load)
     if replica.stage.host in preferred:
@@ -176,32 +190,32 @@
     return cost * (1.0 + weights.jitter * rng.random())
 
 
-def _cheapest_of_each_place(
+def _cheapest_per_range_and_domain(
     usable: list[Replica],
     preferred: frozenset[str],
     weights: PlannerWeights,
     rng: random.Random,
 ) -> list[tuple[Replica, float]]:
-    """Return candidates and their costs.
+    """Return the cheapest replica, with its cost, per layer range and domain.
 
-    What a path costs beyond its replicas depends only on their places, so that
-    of the replicas of one range in one failure domain the cheapest is enough.
+    Apart from the costs of its replicas, the cost of a path depends only on their layer
+    ranges and failure domains, so that other replicas can't be part of a cheaper one.
     """
     cheapest: dict[tuple[int, int, str], tuple[Replica, float]] = {}
     for replica in usable:
         layers = replica.stage.layers
-        place = (layers.first, layers.last, replica.failure_domain)
+        range_and_domain = (layers.first, layers.last, replica.failure_domain)
         cost = _replica_cost(replica, preferred, weights, rng)
-        known = cheapest.get(place)
-        if known is None or cost < known[1]:
-            cheapest[place] = (replica, cost)
+        cheapest_known = cheapest.get(range_and_domain)
+        if cheapest_known is None or cost < cheapest_known[1]:
+            cheapest[range_and_domain] = (replica, cost)
     return list(cheapest.values())
 
 
-def _by_layer(
+def _group_by_entry_layer(
     candidates: list[tuple[Replica, float]], partial: bool
 ) -> dict[int, list[tuple[Replica, float]]]:
-    """Return candidates by the layers at which a chain may enter them."""
+    """Group candidates by each layer at which a chain may enter their ranges."""
     by_layer: dict[int, list[tuple[Replica, float]]] = {}
     for candidate in candidates:
         layers = candidate[0].stage.layers
@@ -212,36 +226,45 @@
 
 
 def _extend(
-    arrived: Iterable[_Path],
+    paths_here: Iterable[_Path],
     replica: Replica,
-    used: LayerRange,
+    run_layers: LayerRange,
     cost: float,
     costs: LinkCosts,
 ) -> _Path:
+    """Return the cheapest of the paths extended by the layers that a replica runs.
+
+    :param run_layers: the layers that the replica runs.
+    :param cost: cost of running them.
+    """
+
     def cost_through(path: _Path) -> float:
         if path.end is None:
             return path.cost
         return path.cost + costs.between(path.end, replica)
 
-    best = min(arrived, key=cost_through)
+    best = min(paths_here, key=cost_through)
     stage = replica.stage
-    if used != stage.layers:
-        stage = Stage(stage.host, stage.address, stage.incarnation, used)
+    if run_layers != stage.layers:
+        stage = Stage(stage.host, stage.address, stage.incarnation, run_layers)
     return _Path(cost_through(best) + cost, (*best.stages, stage), replica)
 
 
 def _keep_cheapest(ends: dict[str, _Path], replica: Replica, path: _Path) -> None:
-    # What follows depends only on where the path ends, so that one path for
-    # each failure domain is enough: the search stays linear in the replicas.
-    known = ends.get(replica.failure_domain)
-    if known is None or path.cost < known.cost:
+    """Store a path that ends at ``replica`` if it is the cheapest of its domain."""
+    # The cost of the rest of the chain depends only on the failure domain in which the
+    # path ends, so that one path for each domain is enough. This keeps the search
+    # linear in the replicas.
+    cheapest_known = ends.get(replica.failure_domain)
+    if cheapest_known is None or path.cost < cheapest_known.cost:
         ends[replica.failure_domain] = path
 
 
-def _gap(usable: list[Replica], layer_count: int) -> str:
+def _describe_gap(usable: list[Replica], layer_count: int) -> str:
+    """Return why the usable replicas form no chain."""
     missing = uncovered_layers(
         (replica.stage.layers for replica in usable), layer_count
     )
     if not missing:
-        return "the live ranges don't join up"
+        return "the layer ranges of live servers don't form a chain"
     return f"layers not covered: {describe_layers(missing)}"
--- a/tests/lib/fleet_simulation.py
+++ b/tests/lib/fleet_simulation.py
@@ -16,12 +16,12 @@
 from dataclasses import dataclass, field
 
 from railfold._internal.core import LayerRange, Stage
-from railfold._internal.decisions.chain_choice import RatedChain, choose_rated
+from railfold._internal.decisions.chain_choice import RatedChain, choose_rated_chain
 from railfold._internal.decisions.chain_costs import (
-    Candidate,
     RequestNeeds,
-    candidate,
-    news_spread,
+    StageCandidate,
+    rate_candidate,
+    unseen_occupancy,
 )
 from railfold._internal.decisions.chain_prediction import StageState, predict_chain
 from railfold._internal.decisions.chain_search import (
@@ -70,7 +70,7 @@
 
     @property
     def capacity_tokens(self) -> int:
-        return MODEL.state_tokens(self.accelerator, len(self.layers))
+        return MODEL.capacity_tokens(self.accelerator, len(self.layers))
 
 
 def make_chain(
@@ -209,7 +209,7 @@
 
     def candidates(
         self, entry: int, needs: RequestNeeds, now_s: float
-    ) -> list[Candidate]:
+    ) -> list[StageCandidate]:
         """Return the candidates that the product's search uses."""
         result = []
         for engine, replica in self.replicas(entry, now_s):
@@ -217,14 +217,17 @@
             state = StageState(
                 engine.accelerator, len(engine.layers), engine.capacity_tokens, load
             )
-            spread = news_spread(state, MODEL, self.workload.entries, self.workload.rps)
-            result.append(candidate(replica, state, MODEL, needs, spread, self.rng))
+            spread = unseen_occupancy(state, MODEL, self.workload.entries, self.workload.rps)
+            result.append(rate_candidate(replica, state, MODEL, needs, spread, self.rng))
         return result
 
     def stages_of(self, found: FoundChain) -> list[tuple[Engine, LayerRange]]:
         """Return the stages of a chain that the product's search found."""
         by_name = {engine.name: engine for engine in self.engines}
-        return [(by_name[c.replica.stage.host], layers) for c, layers in found.used]
+        return [
+            (by_name[c.replica.stage.host], layers)
+            for c, layers in found.stage_candidates
+        ]
 
     def run(self, choose: ChooseChain) -> Outcome:
         """Run the workload and return its outcome."""
@@ -433,7 +436,7 @@
         if not chains:
             return []
         rated = [_rated(found) for found in chains]
-        index = choose_rated(rated, fleet.workload.entries, fleet.rng)
+        index = choose_rated_chain(rated, fleet.workload.entries, fleet.rng)
         return fleet.stages_of(chains[index])
 
     return choose
@@ -441,4 +444,4 @@
 
 def _rated(found: FoundChain) -> RatedChain:
     capacity = min(found.capacity_tokens / MODEL.mean_tokens, MODEL.max_sequences)
-    return RatedChain(found.cost, capacity / found.duration_s, found.has_room, True)
+    return RatedChain(found.cost, capacity / found.duration_s, found.has_capacity, True)
--- a/tests/unit/test_eligibility.py
+++ b/tests/unit/test_eligibility.py
@@ -108,9 +108,9 @@
     server_setup.backoffs.record_retry_after("i-1", 3.0, 9.0)
     assert server_setup.eligibility.reason_against_send("i-1", 10.0) == BackingOff(12.0)
     assert server_setup.eligibility.reason_against_send("i-1", 12.0) is None
-    server_setup.directory.suspect("i-1", 12.0)
+    server_setup.directory.mark_suspect("i-1", 12.0)
     assert server_setup.eligibility.reason_against_send("i-1", 12.0) == NotServing()
-    server_setup.directory.cleared("i-1")
+    server_setup.directory.clear_suspicion("i-1")
     server_setup.directory.register(replace(REGISTRATION, draining=True))
     assert server_setup.eligibility.reason_against_send("i-1", 12.0) == NotServing()
     assert server_setup.eligibility.reason_against_send("i-2", 12.0) == NotServing()
--- a/tests/unit/test_layer_placement.py
+++ b/tests/unit/test_layer_placement.py
@@ -61,7 +61,7 @@
     for server_id, layers in plan_layers(
         make_engines(*DOMAIN_ACCELERATORS), MODEL
     ).items():
-        tokens = MODEL.state_tokens(accelerators[server_id], len(layers))
+        tokens = MODEL.capacity_tokens(accelerators[server_id], len(layers))
         assert tokens >= 0.8 * MODEL.max_sequences * MODEL.mean_tokens
 
 
@@ -130,7 +130,7 @@
 
 def min_token_capacity(members: list[EnginePlacement]) -> int:
     return min(
-        MODEL.state_tokens(e.accelerator, len(e.held_layers))
+        MODEL.capacity_tokens(e.accelerator, len(e.held_layers))
         for e in members
         if e.held_layers
     )
