--- a/benchmarks/fleet_load.py
+++ b/benchmarks/fleet_load.py
@@ -18,7 +18,7 @@
 
 from railfold._internal import clock
 from railfold._internal.decisions.fleet_demand import DemandKey, FleetDemand
-from railfold._internal.decisions.fleet_load import FleetLoad, LoadPart
+from railfold._internal.decisions.fleet_load import EntryLoad, FleetLoad
 from railfold._internal.forwarding.peers.load_exchange import LoadExchange
 from railfold._internal.forwarding.peers.peer_messages import (
     Envelope,
@@ -116,7 +116,7 @@
             routers.append(router)
             for _ in range(in_flight):
                 for server in rng.sample(servers, min(_STAGES, len(servers))):
-                    router.fleet_load.add(server, LoadPart(970, 1, 400))
+                    router.fleet_load.add(server, EntryLoad(970, 1, 400))
             now_s = asyncio.get_running_loop().time()
             for _ in range(in_flight):
                 workspace = f"workspace-{rng.randrange(workspaces)}"
--- a/src/railfold/_internal/decisions/admission/__init__.py
+++ b/src/railfold/_internal/decisions/admission/__init__.py
@@ -11,29 +11,29 @@
     pipeline_capacity,
 )
 from railfold._internal.decisions.admission.shares import (
-    RoomShares,
+    PriorityShedder,
     ServedShares,
-    Standing,
-    max_min_level,
+    SheddingDecision,
+    max_min_fair_share,
 )
 from railfold._internal.decisions.admission.waiting import (
     WaitingRequests,
-    room_wait_limit_s,
+    capacity_wait_limit_s,
 )
 
 __all__ = [
     "AdmissionLimits",
     "AdmissionQueue",
     "Admitted",
+    "PriorityShedder",
     "Queued",
     "Refused",
-    "RoomShares",
     "ServedShares",
-    "Standing",
+    "SheddingDecision",
     "Ticket",
     "WaitingRequests",
+    "capacity_wait_limit_s",
     "entry_share",
-    "max_min_level",
+    "max_min_fair_share",
     "pipeline_capacity",
-    "room_wait_limit_s",
 ]
--- a/src/railfold/_internal/decisions/admission/queue.py
+++ b/src/railfold/_internal/decisions/admission/queue.py
@@ -92,12 +92,12 @@
         )
         self._reserved_share = limits.reserved_share
         self._running: set[Ticket] = set()
-        self._running_of: Counter[str] = Counter()
-        self._per_workspace: Counter[str] = Counter()
+        self._running_by_workspace: Counter[str] = Counter()
+        self._in_flight_by_workspace: Counter[str] = Counter()
         self._waiting: dict[Ticket, None] = {}
-        self._late: list[Ticket] = []
+        self._expired: list[Ticket] = []
         self._mean_service_s = 0.0
-        self._s_per_cost = 0.0
+        self._service_s_per_cost = 0.0
         self._capacity = 0
 
     @property
@@ -121,21 +121,21 @@
         if refusal is not None:
             return Refused(refusal, self.load)
         if self.running < self._capacity and self._may_start(ticket.workspace):
-            self._start(ticket)
+            self._count_running(ticket)
             return Admitted()
         try:
             self._queue.push(
                 ticket.workspace, ticket.weight, ticket.priority, ticket.cost, ticket
             )
-        except QueueFullError as full:
+        except QueueFullError as exc:
             error = OverloadedError(
-                full.what,
+                exc.what,
                 why=f"{self.waiting} requests wait",
                 hint="come back after Retry-After",
             )
             return Refused(error, self.load)
         self._waiting[ticket] = None
-        self._per_workspace[ticket.workspace] += 1
+        self._in_flight_by_workspace[ticket.workspace] += 1
         return Queued()
 
     def _refusal(self, ticket: Ticket, now_s: float) -> RequestError | None:
@@ -144,14 +144,14 @@
                 "no live backend servers cover this pipeline or service",
                 hint="come back after Retry-After; operators: see 'railfold status'",
             )
-        if self._per_workspace[ticket.workspace] >= ticket.max_in_flight:
+        if self._in_flight_by_workspace[ticket.workspace] >= ticket.max_in_flight:
             return OverloadedError(
                 f"workspace {ticket.workspace} has its most requests in flight",
                 why=f"its limit at this entry is {ticket.max_in_flight}",
                 hint="come back after Retry-After, or ask for a higher limit",
             )
         start_s = now_s + self.predicted_wait_s(ticket.workspace)
-        if self._too_late(ticket, start_s):
+        if self._misses_deadline(ticket, start_s):
             return DeadlineExpiredError(
                 "the request would end past its deadline",
                 why=f"{self.waiting} requests wait for {self._capacity} places",
@@ -168,21 +168,25 @@
         """
         if self.running < self._capacity and self._may_start(workspace):
             return 0.0
-        flows = len({ticket.workspace for ticket in self._waiting} | {workspace})
-        own = self._queue.waiting(workspace) + 1
-        places = min(self.waiting + 1, own * flows)
-        return places * self._mean_service_s / max(1, self._capacity)
+        active_workspaces = len(
+            {ticket.workspace for ticket in self._waiting} | {workspace}
+        )
+        own_position = self._queue.waiting(workspace) + 1
+        slots_needed = min(self.waiting + 1, own_position * active_workspaces)
+        return slots_needed * self._mean_service_s / max(1, self._capacity)
 
     def finished(self, ticket: Ticket, service_s: float, now_s: float) -> list[Ticket]:
         """Count a request that ended; return those that may start now."""
-        if self._end(ticket):
-            self._mean_service_s = _smoothed(self._mean_service_s, service_s)
-            self._s_per_cost = _smoothed(self._s_per_cost, service_s / ticket.cost)
+        if self._release(ticket):
+            self._mean_service_s = _moving_average(self._mean_service_s, service_s)
+            self._service_s_per_cost = _moving_average(
+                self._service_s_per_cost, service_s / ticket.cost
+            )
         return self._admit_waiting(now_s)
 
     def withdrawn_early(self, ticket: Ticket, now_s: float) -> list[Ticket]:
         """Give back the place of a request that was admitted but didn't run."""
-        self._end(ticket)
+        self._release(ticket)
         return self._admit_waiting(now_s)
 
     def withdraw(self, ticket: Ticket) -> bool:
@@ -191,7 +195,7 @@
             return False
         self._queue.remove(ticket.workspace, ticket)
         del self._waiting[ticket]
-        self._forget(ticket)
+        self._count_out(ticket)
         return True
 
     def set_capacity(self, capacity: int, now_s: float) -> list[Ticket]:
@@ -204,20 +208,22 @@
         if self._capacity == 0:
             late = list(self._waiting)
         else:
-            soonest_s = now_s + self._mean_service_s / self._capacity
-            late = [t for t in self._waiting if self._too_late(t, soonest_s)]
+            earliest_start_s = now_s + self._mean_service_s / self._capacity
+            late = [
+                t for t in self._waiting if self._misses_deadline(t, earliest_start_s)
+            ]
         for ticket in late:
             self.withdraw(ticket)
-        late += self._late
-        self._late = []
+        late += self._expired
+        self._expired = []
         return late
 
-    def _too_late(self, ticket: Ticket, start_s: float) -> bool:
-        return start_s + self._s_per_cost * ticket.cost > ticket.deadline_s
+    def _misses_deadline(self, ticket: Ticket, start_s: float) -> bool:
+        return start_s + self._service_s_per_cost * ticket.cost > ticket.deadline_s
 
     def _may_start(self, workspace: str) -> bool:
         reserved = round(self._reserved_share * self._capacity)
-        return self._running_of[workspace] < self._capacity - reserved
+        return self._running_by_workspace[workspace] < self._capacity - reserved
 
     def _admit_waiting(self, now_s: float) -> list[Ticket]:
         admitted: list[Ticket] = []
@@ -226,51 +232,55 @@
             if ticket is None:
                 break
             del self._waiting[ticket]
-            self._forget(ticket)
-            if self._too_late(ticket, now_s):
-                self._late.append(ticket)
+            self._count_out(ticket)
+            if self._misses_deadline(ticket, now_s):
+                self._expired.append(ticket)
                 continue
-            self._start(ticket)
+            self._count_running(ticket)
             admitted.append(ticket)
         return admitted
 
-    def _start(self, ticket: Ticket) -> None:
+    def _count_running(self, ticket: Ticket) -> None:
         self._running.add(ticket)
-        self._running_of[ticket.workspace] += 1
-        self._per_workspace[ticket.workspace] += 1
+        self._running_by_workspace[ticket.workspace] += 1
+        self._in_flight_by_workspace[ticket.workspace] += 1
 
-    def _end(self, ticket: Ticket) -> bool:
+    def _release(self, ticket: Ticket) -> bool:
         """Give back a running request's place; return whether it had one."""
         if ticket not in self._running:
             return False
         self._running.discard(ticket)
-        self._running_of[ticket.workspace] -= 1
-        self._forget(ticket)
+        self._running_by_workspace[ticket.workspace] -= 1
+        self._count_out(ticket)
         return True
 
-    def _forget(self, ticket: Ticket) -> None:
-        self._per_workspace[ticket.workspace] -= 1
-        if self._per_workspace[ticket.workspace] <= 0:
-            del self._per_workspace[ticket.workspace]
+    def _count_out(self, ticket: Ticket) -> None:
+        self._in_flight_by_workspace[ticket.workspace] -= 1
+        if self._in_flight_by_workspace[ticket.workspace] <= 0:
+            del self._in_flight_by_workspace[ticket.workspace]
 
 
-def _smoothed(mean: float, value: float) -> float:
+def _moving_average(mean: float, value: float) -> float:
     return value if mean == 0.0 else 0.9 * mean + 0.1 * value
 
 
 def pipeline_capacity(replicas: Iterable[Replica], layer_count: int) -> int:
     """Return how many sequences live replicas can hold on every layer."""
     # A difference array over the layers: linear in replicas plus layers.
-    steps = [0] * (layer_count + 1)
+    capacity_changes = [0] * (layer_count + 1)
     for replica in replicas:
         layers = replica.stage.layers
-        steps[layers.first] += replica.capacity
-        steps[layers.last + 1] -= replica.capacity
-    lowest, level = None, 0
-    for step in steps[:layer_count]:
-        level += step
-        lowest = level if lowest is None else min(lowest, level)
-    return max(0, lowest or 0)
+        capacity_changes[layers.first] += replica.capacity
+        capacity_changes[layers.last + 1] -= replica.capacity
+    min_capacity, layer_capacity = None, 0
+    for change in capacity_changes[:layer_count]:
+        layer_capacity += change
+        min_capacity = (
+            layer_capacity
+            if min_capacity is None
+            else min(min_capacity, layer_capacity)
+        )
+    return max(0, min_capacity or 0)
 
 
 def entry_share(limit: int, entries: int) -> int:
--- a/src/railfold/_internal/decisions/arrival_rate.py
+++ b/src/railfold/_internal/decisions/arrival_rate.py
@@ -10,20 +10,20 @@
 
 # Time over which arrivals are averaged: long enough for a steady figure at one of many
 # entries, which sees one or two requests a second, short enough to follow a burst.
-_WINDOW_S = 4.0
+_AVERAGING_TIME_S = 4.0
 
 # What another entry told counts for this long: three times as long as the longest pause
 # between two of its messages.
-_TOLD_S = 20.0
+_ANNOUNCEMENT_LIFETIME_S = 20.0
 
 # More than any entry sees: ten times what the users plan for all together.
-_MOST_PER_S = 18_000.0
+_MAX_PER_S = 18_000.0
 
 
 @dataclass(slots=True)
 class _Rate:
     per_s: float = 0.0
-    seen_s: float = 0.0
+    updated_s: float = 0.0
 
 
 class ArrivalRates:
@@ -34,25 +34,25 @@
 
     def arrived(self, service: str, now_s: float) -> None:
         """A request for the service arrived."""
-        rate = self._rates.setdefault(service, _Rate(seen_s=now_s))
-        rate.per_s = self._faded(rate, now_s) + 1.0 / _WINDOW_S
-        rate.seen_s = now_s
+        rate = self._rates.setdefault(service, _Rate(updated_s=now_s))
+        rate.per_s = self._decayed_per_s(rate, now_s) + 1.0 / _AVERAGING_TIME_S
+        rate.updated_s = now_s
 
     def per_s(self, service: str, now_s: float) -> float:
         """Return how many requests a second have arrived lately."""
         rate = self._rates.get(service)
-        return self._faded(rate, now_s) if rate is not None else 0.0
+        return self._decayed_per_s(rate, now_s) if rate is not None else 0.0
 
     def all_per_s(self, now_s: float) -> dict[str, float]:
         """Return the rates of all services."""
         return {service: self.per_s(service, now_s) for service in self._rates}
 
-    def _faded(self, rate: _Rate, now_s: float) -> float:
-        return rate.per_s * math.exp(-(now_s - rate.seen_s) / _WINDOW_S)
+    def _decayed_per_s(self, rate: _Rate, now_s: float) -> float:
+        return rate.per_s * math.exp(-(now_s - rate.updated_s) / _AVERAGING_TIME_S)
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
+class _Announcement:
     at_s: float
     per_s: Mapping[str, float]
 
@@ -68,17 +68,17 @@
     """
 
     def __init__(self) -> None:
-        self._told: dict[str, _Told] = {}
+        self._announcements: dict[str, _Announcement] = {}
 
     @property
-    def told_by(self) -> int:
+    def announcing_entries(self) -> int:
         """How many other entries told their arrivals lately."""
-        return len(self._told)
+        return len(self._announcements)
 
-    def told(self, entry: str, per_s: Mapping[str, float], now_s: float) -> None:
+    def announced(self, entry: str, per_s: Mapping[str, float], now_s: float) -> None:
         """Take what another entry says of its own arrivals."""
-        bounded = {s: min(max(0.0, rate), _MOST_PER_S) for s, rate in per_s.items()}
-        self._told[entry] = _Told(now_s, bounded)
+        bounded = {s: min(max(0.0, rate), _MAX_PER_S) for s, rate in per_s.items()}
+        self._announcements[entry] = _Announcement(now_s, bounded)
 
     def total_per_s(
         self, service: str, own_per_s: float, entries: int, now_s: float
@@ -88,12 +88,15 @@
         Those that don't tell are reckoned to get what the others get on average.
         """
         self._forget(now_s)
-        told = [told.per_s.get(service, 0.0) for told in self._told.values()]
-        known = [own_per_s, *told]
-        missing = max(0, entries - len(known))
-        return sum(known) + missing * sum(known) / len(known)
+        announced = [
+            announced.per_s.get(service, 0.0)
+            for announced in self._announcements.values()
+        ]
+        known_rates = [own_per_s, *announced]
+        unknown_entries = max(0, entries - len(known_rates))
+        return sum(known_rates) + unknown_entries * sum(known_rates) / len(known_rates)
 
     def _forget(self, now_s: float) -> None:
-        for entry, told in list(self._told.items()):
-            if now_s - told.at_s > _TOLD_S:
-                del self._told[entry]
+        for entry, announced in list(self._announcements.items()):
+            if now_s - announced.at_s > _ANNOUNCEMENT_LIFETIME_S:
+                del self._announcements[entry]
--- a/src/railfold/_internal/decisions/chain_prediction.py
+++ b/src/railfold/_internal/decisions/chain_prediction.py
@@ -74,5 +74,5 @@
     usual_tokens = max(1, model.mean_tokens - model.answer_tokens)
     usual_s = stage.accelerator.prefill_factor * model.prompt_s
     share = stage.layers / model.layer_count
-    waiting = stage.load.unread_tokens + prompt_tokens
+    waiting = stage.load.pending_prompt_tokens + prompt_tokens
     return share * usual_s * waiting / usual_tokens
--- a/src/railfold/_internal/decisions/eligibility.py
+++ b/src/railfold/_internal/decisions/eligibility.py
@@ -160,5 +160,5 @@
         return self._backoffs.bar(server_id, now_s)
 
     def _is_paused(self, server_id: str, now_s: float) -> bool:
-        load = self._fleet_load.own_part(server_id).tokens
+        load = self._fleet_load.own_load(server_id).tokens
         return self._avoidance.avoided(server_id, now_s, load)
--- a/src/railfold/_internal/decisions/fair_queue.py
+++ b/src/railfold/_internal/decisions/fair_queue.py
@@ -24,8 +24,8 @@
 @dataclass(slots=True)
 class _Flow(Generic[T]):
     weight: float
-    last_tag: float = 0.0
-    queued: bool = False
+    next_start_tag: float = 0.0
+    in_ready_heap: bool = False
     waiting: list[tuple[int, int, float, T]] = field(default_factory=list)
 
 
@@ -46,7 +46,7 @@
         self._ready: list[tuple[float, int, str]] = []
         self._idle: list[tuple[float, int, str]] = []
         self._virtual_time = 0.0
-        self._count = itertools.count()
+        self._sequence_numbers = itertools.count()
         self._length = 0
 
     def __len__(self) -> int:
@@ -72,45 +72,47 @@
             raise QueueFullError(f"workspace {workspace} has its most requests waiting")
         flow.weight = weight
         if not flow.waiting:
-            flow.last_tag = max(flow.last_tag, self._virtual_time)
-        heapq.heappush(flow.waiting, (-priority, next(self._count), cost, item))
+            flow.next_start_tag = max(flow.next_start_tag, self._virtual_time)
+        heapq.heappush(
+            flow.waiting, (-priority, next(self._sequence_numbers), cost, item)
+        )
         self._length += 1
-        self._enqueue(workspace, flow)
+        self._schedule(workspace, flow)
 
     def pop(self, eligible: Callable[[str], bool] | None = None) -> T | None:
         """Take the request whose turn it is.
 
         :param eligible: tells of a workspace whether its turn may come now.
         """
-        passed_over: list[tuple[float, int, str]] = []
+        skipped: list[tuple[float, int, str]] = []
         try:
-            return self._pop(eligible, passed_over)
+            return self._pop(eligible, skipped)
         finally:
-            for entry in passed_over:
+            for entry in skipped:
                 heapq.heappush(self._ready, entry)
 
     def _pop(
         self,
         eligible: Callable[[str], bool] | None,
-        passed_over: list[tuple[float, int, str]],
+        skipped: list[tuple[float, int, str]],
     ) -> T | None:
         while self._ready:
             entry = heapq.heappop(self._ready)
             workspace = entry[2]
             flow = self._flows[workspace]
             if flow.waiting and eligible is not None and not eligible(workspace):
-                passed_over.append(entry)
+                skipped.append(entry)
                 continue
-            flow.queued = False
+            flow.in_ready_heap = False
             if not flow.waiting:
-                self._set_idle(workspace, flow)  # Its requests were withdrawn.
+                self._add_idle(workspace, flow)  # Its requests were withdrawn.
                 continue
             _, _, cost, item = heapq.heappop(flow.waiting)
-            self._virtual_time = max(self._virtual_time, flow.last_tag)
-            flow.last_tag += cost / flow.weight
+            self._virtual_time = max(self._virtual_time, flow.next_start_tag)
+            flow.next_start_tag += cost / flow.weight
             self._length -= 1
-            self._enqueue(workspace, flow)
-            self._forget_idle()
+            self._schedule(workspace, flow)
+            self._remove_idle_flows()
             return item
         return None
 
@@ -127,13 +129,13 @@
         costs = [cost for _, _, cost, waiting in flow.waiting if waiting is item]
         if not self.remove(workspace, item):
             return False
-        self._virtual_time = max(self._virtual_time, flow.last_tag)
-        flow.last_tag += costs[0] / flow.weight
+        self._virtual_time = max(self._virtual_time, flow.next_start_tag)
+        flow.next_start_tag += costs[0] / flow.weight
         # Its place by the tag before doesn't hold any more.
         self._ready = [entry for entry in self._ready if entry[2] != workspace]
         heapq.heapify(self._ready)
-        flow.queued = False
-        self._enqueue(workspace, flow)
+        flow.in_ready_heap = False
+        self._schedule(workspace, flow)
         return True
 
     def remove(self, workspace: str, item: T) -> bool:
@@ -141,32 +143,36 @@
         flow = self._flows.get(workspace)
         if flow is None:
             return False
-        kept = [entry for entry in flow.waiting if entry[3] is not item]
-        if len(kept) == len(flow.waiting):
+        remaining = [entry for entry in flow.waiting if entry[3] is not item]
+        if len(remaining) == len(flow.waiting):
             return False
-        heapq.heapify(kept)
-        flow.waiting = kept
+        heapq.heapify(remaining)
+        flow.waiting = remaining
         self._length -= 1
         return True
 
-    def _enqueue(self, workspace: str, flow: _Flow[T]) -> None:
-        if flow.queued:
+    def _schedule(self, workspace: str, flow: _Flow[T]) -> None:
+        if flow.in_ready_heap:
             return
         if not flow.waiting:
-            self._set_idle(workspace, flow)
+            self._add_idle(workspace, flow)
             return
-        flow.queued = True
-        entry = (flow.last_tag, next(self._count), workspace)
+        flow.in_ready_heap = True
+        entry = (flow.next_start_tag, next(self._sequence_numbers), workspace)
         heapq.heappush(self._ready, entry)
 
-    def _set_idle(self, workspace: str, flow: _Flow[T]) -> None:
-        entry = (flow.last_tag, next(self._count), workspace)
+    def _add_idle(self, workspace: str, flow: _Flow[T]) -> None:
+        entry = (flow.next_start_tag, next(self._sequence_numbers), workspace)
         heapq.heappush(self._idle, entry)
 
-    def _forget_idle(self) -> None:
+    def _remove_idle_flows(self) -> None:
         # An idle flow whose tag has been passed carries no information.
         while self._idle and self._idle[0][0] <= self._virtual_time:
             _, _, workspace = heapq.heappop(self._idle)
             flow = self._flows.get(workspace)
-            if flow and not flow.queued and flow.last_tag <= self._virtual_time:
+            if (
+                flow
+                and not flow.in_ready_heap
+                and flow.next_start_tag <= self._virtual_time
+            ):
                 del self._flows[workspace]
--- a/src/railfold/_internal/decisions/fleet_demand.py
+++ b/src/railfold/_internal/decisions/fleet_demand.py
@@ -10,12 +10,12 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from railfold._internal.decisions.announcements import Announced, Announcements
+from railfold._internal.decisions.announcements import Announcement, Announcements
 
 __all__ = ["DemandKey", "FleetDemand"]
 
 # Time over which arrivals are averaged.
-_WINDOW_S = 2.0
+_AVERAGING_TIME_S = 2.0
 
 
 @dataclass(frozen=True, slots=True, order=True)
@@ -31,12 +31,12 @@
 
 
 @dataclass(slots=True)
-class _Rate:
+class _DecayingRate:
     per_s: float
-    seen_s: float
+    updated_s: float
 
-    def at(self, now_s: float) -> float:
-        return self.per_s * math.exp(-(now_s - self.seen_s) / _WINDOW_S)
+    def at_time(self, now_s: float) -> float:
+        return self.per_s * math.exp(-(now_s - self.updated_s) / _AVERAGING_TIME_S)
 
 
 class FleetDemand:
@@ -47,18 +47,18 @@
 
     def __init__(self, lifetime_s: float) -> None:
         self.lifetime_s = lifetime_s
-        self._own: dict[DemandKey, _Rate] = {}
-        self._announced: Announcements[Mapping[DemandKey, float]] = Announcements()
+        self._own: dict[DemandKey, _DecayingRate] = {}
+        self._announcements: Announcements[Mapping[DemandKey, float]] = Announcements()
 
     def arrived(self, key: DemandKey, tokens: float, now_s: float) -> None:
         """A client's request arrived here."""
-        rate = self._own.setdefault(key, _Rate(0.0, now_s))
-        rate.per_s = rate.at(now_s) + tokens / _WINDOW_S
-        rate.seen_s = now_s
+        rate = self._own.setdefault(key, _DecayingRate(0.0, now_s))
+        rate.per_s = rate.at_time(now_s) + tokens / _AVERAGING_TIME_S
+        rate.updated_s = now_s
 
     def own_per_s(self, now_s: float) -> dict[DemandKey, float]:
         """Return what arrives at this entry."""
-        return {key: rate.at(now_s) for key, rate in self._own.items()}
+        return {key: rate.at_time(now_s) for key, rate in self._own.items()}
 
     def announced(
         self,
@@ -73,16 +73,16 @@
         :param entries: how many entries' arrivals these are the sum of, if ``entry``
             announces those of others, too.
         """
-        announced: Announced[Mapping[DemandKey, float]] = Announced(
+        announcement: Announcement[Mapping[DemandKey, float]] = Announcement(
             at_s, dict(per_s), entries
         )
-        self._announced.take(entry, announced, self.lifetime_s, now_s)
+        self._announcements.add(entry, announcement, self.lifetime_s, now_s)
 
     def forget(self, now_s: float) -> None:
         """Forget old announcements, and what hardly arrives any more."""
-        self._announced.forget(self.lifetime_s, now_s)
+        self._announcements.forget(self.lifetime_s, now_s)
         for key, rate in list(self._own.items()):
-            if now_s - rate.seen_s >= 8.0 * _WINDOW_S:
+            if now_s - rate.updated_s >= 8.0 * _AVERAGING_TIME_S:
                 del self._own[key]
 
     def per_s(self, service: str, entries: int, now_s: float) -> dict[DemandKey, float]:
@@ -90,13 +90,16 @@
 
         :param entries: how many entries there are, with this one.
         """
-        fresh = self._announced.fresh(self.lifetime_s, now_s)
-        parts = [self.own_per_s(now_s), *(announced.content for announced in fresh)]
-        known_entries = 1 + sum(announced.entries for announced in fresh)
-        share = min(1.0, known_entries / max(1, entries))
+        fresh = self._announcements.fresh(self.lifetime_s, now_s)
+        demands = [
+            self.own_per_s(now_s),
+            *(announcement.content for announcement in fresh),
+        ]
+        known_entries = 1 + sum(announcement.entries for announcement in fresh)
+        known_share = min(1.0, known_entries / max(1, entries))
         total: dict[DemandKey, float] = {}
-        for part in parts:
-            for key, per_s in part.items():
+        for demand in demands:
+            for key, per_s in demand.items():
                 if key.service == service:
-                    total[key] = total.get(key, 0.0) + per_s / share
+                    total[key] = total.get(key, 0.0) + per_s / known_share
         return total
--- a/src/railfold/_internal/decisions/fleet_load.py
+++ b/src/railfold/_internal/decisions/fleet_load.py
@@ -14,13 +14,13 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, replace
 
-from railfold._internal.decisions.announcements import Announced, Announcements
+from railfold._internal.decisions.announcements import Announcement, Announcements
 
-__all__ = ["FleetLoad", "LoadPart", "ServerLoad"]
+__all__ = ["EntryLoad", "FleetLoad", "ServerLoad"]
 
 
 @dataclass(frozen=True, slots=True)
-class LoadPart:
+class EntryLoad:
     """What one entry has under way at one backend server.
 
     :param tokens: that its requests to a model hold on average; at a plain service the
@@ -31,10 +31,10 @@
 
     tokens: int = 0
     sequences: int = 0
-    unread_tokens: int = 0
+    pending_prompt_tokens: int = 0
 
 
-_NOTHING = LoadPart()
+_NO_LOAD = EntryLoad()
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,7 +52,7 @@
 
     tokens: float = 0.0
     sequences: float = 0.0
-    unread_tokens: float = 0.0
+    pending_prompt_tokens: float = 0.0
     known_share: float = 0.0
     age_s: float = 0.0
     known_tokens: int = 0
@@ -62,7 +62,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Reported:
+class _ServerReport:
     """What a server said of itself; fields as in :class:`LoadPart`."""
 
     at_s: float
@@ -80,49 +80,49 @@
 
     def __init__(self, lifetime_s: float) -> None:
         self.lifetime_s = lifetime_s
-        self._own: dict[str, LoadPart] = {}
-        self._announced: Announcements[Mapping[str, LoadPart]] = Announcements()
-        self._reported: dict[str, _Reported] = {}
+        self._own: dict[str, EntryLoad] = {}
+        self._announcements: Announcements[Mapping[str, EntryLoad]] = Announcements()
+        self._reports: dict[str, _ServerReport] = {}
         self._full_until_s: dict[str, float] = {}
         self._announced_full_until_s: dict[str, float] = {}
 
     @property
-    def own(self) -> Mapping[str, LoadPart]:
+    def own(self) -> Mapping[str, EntryLoad]:
         """The parts of the entry itself, by server."""
         return self._own
 
-    def own_part(self, server_id: str) -> LoadPart:
+    def own_load(self, server_id: str) -> EntryLoad:
         """Return the part of the entry itself at one server."""
-        return self._own.get(server_id, _NOTHING)
+        return self._own.get(server_id, _NO_LOAD)
 
-    def add(self, server_id: str, part: LoadPart) -> None:
+    def add(self, server_id: str, amount: EntryLoad) -> None:
         """Count what was sent to a server."""
-        known = self.own_part(server_id)
-        self._own[server_id] = LoadPart(
-            known.tokens + part.tokens,
-            known.sequences + part.sequences,
-            known.unread_tokens + part.unread_tokens,
+        current = self.own_load(server_id)
+        self._own[server_id] = EntryLoad(
+            current.tokens + amount.tokens,
+            current.sequences + amount.sequences,
+            current.pending_prompt_tokens + amount.pending_prompt_tokens,
         )
 
-    def subtract(self, server_id: str, part: LoadPart) -> None:
+    def subtract(self, server_id: str, amount: EntryLoad) -> None:
         """Take back what was counted, at its end or once its prompt is read."""
-        known = self._own.get(server_id)
-        if known is None:
+        current = self._own.get(server_id)
+        if current is None:
             return
-        left = LoadPart(
-            max(0, known.tokens - part.tokens),
-            max(0, known.sequences - part.sequences),
-            max(0, known.unread_tokens - part.unread_tokens),
+        remaining = EntryLoad(
+            max(0, current.tokens - amount.tokens),
+            max(0, current.sequences - amount.sequences),
+            max(0, current.pending_prompt_tokens - amount.pending_prompt_tokens),
         )
-        if left == _NOTHING:
+        if remaining == _NO_LOAD:
             del self._own[server_id]
         else:
-            self._own[server_id] = left
+            self._own[server_id] = remaining
 
     def announced(
         self,
         entry: str,
-        parts: Mapping[str, LoadPart],
+        loads: Mapping[str, EntryLoad],
         at_s: float,
         now_s: float,
         entries: int = 1,
@@ -132,18 +132,18 @@
         :param entries: how many entries' parts these are the sum of, if ``entry``
             announces those of others, too.
         """
-        announced: Announced[Mapping[str, LoadPart]] = Announced(
-            at_s, dict(parts), entries
+        announcement: Announcement[Mapping[str, EntryLoad]] = Announcement(
+            at_s, dict(loads), entries
         )
-        self._announced.take(entry, announced, self.lifetime_s, now_s)
+        self._announcements.add(entry, announcement, self.lifetime_s, now_s)
 
     def reported(
         self, server_id: str, tokens: int, sequences: int, at_s: float
     ) -> None:
         """Take what a server said of itself; it counts for a lifetime."""
-        known = self._reported.get(server_id)
-        if known is None or known.at_s < at_s:
-            self._reported[server_id] = _Reported(at_s, tokens, sequences)
+        current = self._reports.get(server_id)
+        if current is None or current.at_s < at_s:
+            self._reports[server_id] = _ServerReport(at_s, tokens, sequences)
 
     def rejected(self, server_id: str, until_s: float) -> None:
         """A server rejected a request for want of room: it is full until then."""
@@ -154,7 +154,7 @@
         """Another entry announces that a server rejected a request."""
         self._announced_full_until_s[server_id] = until_s
 
-    def room_freed(self, server_id: str) -> None:
+    def capacity_freed(self, server_id: str) -> None:
         """A request that ran at a server has ended."""
         self._full_until_s.pop(server_id, None)
         self._announced_full_until_s.pop(server_id, None)
@@ -180,39 +180,42 @@
         known = set(known_servers)
         for server_id in set(self._own) - known:
             del self._own[server_id]
-        for server_id, reported in list(self._reported.items()):
+        for server_id, reported in list(self._reports.items()):
             if server_id not in known or now_s - reported.at_s >= self.lifetime_s:
-                del self._reported[server_id]
-        for marks in (self._full_until_s, self._announced_full_until_s):
-            for server_id, until_s in list(marks.items()):
+                del self._reports[server_id]
+        for full_until_s in (self._full_until_s, self._announced_full_until_s):
+            for server_id, until_s in list(full_until_s.items()):
                 if server_id not in known or now_s >= until_s:
-                    del marks[server_id]
-        self._announced.forget(self.lifetime_s, now_s)
+                    del full_until_s[server_id]
+        self._announcements.forget(self.lifetime_s, now_s)
 
     def load(self, server_id: str, entries: int, now_s: float) -> ServerLoad:
         """Return the load of a server over all entries.
 
         :param entries: how many entries there are, with this one.
         """
-        own = self.own_part(server_id)
+        own = self.own_load(server_id)
         fresh = self._fresh(now_s)
-        parts = [own, *(a.content.get(server_id, _NOTHING) for a in fresh)]
-        known_entries = 1 + sum(announced.entries for announced in fresh)
-        share = min(1.0, known_entries / max(1, entries))
-        tokens = sum(part.tokens for part in parts)
-        sequences = sum(part.sequences for part in parts)
+        loads = [
+            own,
+            *(a.content.get(server_id, _NO_LOAD) for a in fresh),
+        ]
+        known_entries = 1 + sum(announcement.entries for announcement in fresh)
+        known_share = min(1.0, known_entries / max(1, entries))
+        tokens = sum(entry_load.tokens for entry_load in loads)
+        sequences = sum(entry_load.sequences for entry_load in loads)
         load = ServerLoad(
-            tokens / share,
-            sequences / share,
-            sum(part.unread_tokens for part in parts) / share,
-            share,
-            max((now_s - announced.at_s for announced in fresh), default=0.0),
+            tokens / known_share,
+            sequences / known_share,
+            sum(entry_load.pending_prompt_tokens for entry_load in loads) / known_share,
+            known_share,
+            max((now_s - announcement.at_s for announcement in fresh), default=0.0),
             tokens,
             sequences,
             own.tokens,
             own.sequences,
         )
-        reported = self._reported.get(server_id)
+        reported = self._reports.get(server_id)
         if reported is None or now_s - reported.at_s >= self.lifetime_s:
             return load
         tokens = max(tokens, reported.tokens)
@@ -227,12 +230,12 @@
 
     def known_entries(self, now_s: float) -> int:
         """Return how many entries' parts are known, with this one's."""
-        return 1 + sum(announced.entries for announced in self._fresh(now_s))
+        return 1 + sum(announcement.entries for announcement in self._fresh(now_s))
 
     def age_s(self, now_s: float) -> float:
         """Return how old the oldest of the parts is that count."""
-        ages_s = (now_s - announced.at_s for announced in self._fresh(now_s))
+        ages_s = (now_s - announcement.at_s for announcement in self._fresh(now_s))
         return max(ages_s, default=0.0)
 
-    def _fresh(self, now_s: float) -> list[Announced[Mapping[str, LoadPart]]]:
-        return self._announced.fresh(self.lifetime_s, now_s)
+    def _fresh(self, now_s: float) -> list[Announcement[Mapping[str, EntryLoad]]]:
+        return self._announcements.fresh(self.lifetime_s, now_s)
--- a/src/railfold/_internal/decisions/fleet_size.py
+++ b/src/railfold/_internal/decisions/fleet_size.py
@@ -20,27 +20,27 @@
 from collections import deque
 from dataclasses import dataclass
 
-__all__ = ["Deal", "FleetSize"]
+__all__ = ["FleetSize", "PartitionAssignment"]
 
 # While a deal is new, partitions move from one member to another and some are with
 # nobody. Members renew every 0.75 s, and have all done so once after this time.
-_SETTLED_S = 1.0
+_SETTLE_TIME_S = 1.0
 
 # The store's shares are uneven: of 240 partitions five members hold 40 or 50 each. One
 # that is further from an even one is of another number of members. Parts by a list that
 # is wrong by less add up to no more than 1.25 of what is divided, which is 0.8 of a
 # limit.
-_UNEVEN_SHARE = 0.2
+_MAX_UNEVENNESS = 0.2
 
 # The share of its part that an entry has which has just come. Together they have no
 # more than this of the whole, beside the parts of those that were there or, if all have
 # just been started again, beside what those spent before. Entries divide 0.8 of a
 # limit, so that a quarter of that is what is left.
-_NEWCOMER_SHARE = 0.25
+_NEW_MEMBER_SHARE = 0.25
 
 
 @dataclass(frozen=True, slots=True)
-class Deal:
+class PartitionAssignment:
     """What one member was dealt.
 
     :param generation: rises with every change of members.
@@ -49,22 +49,24 @@
     """
 
     generation: int
-    own: int
-    total: int
+    own_partitions: int
+    total_partitions: int
 
     @property
     def members(self) -> int:
         """How many members there are; at least so many if this one holds nothing."""
-        return max(1, round(self.total / max(1, self.own)))
+        return max(1, round(self.total_partitions / max(1, self.own_partitions)))
 
-    def fits(self, members: int) -> bool:
+    def is_consistent_with(self, members: int) -> bool:
         """Return whether so many members may have been dealt such shares."""
-        even = self.total / members
-        return abs(self.own - even) <= 1.0 + _UNEVEN_SHARE * even
+        even_share = self.total_partitions / members
+        return (
+            abs(self.own_partitions - even_share) <= 1.0 + _MAX_UNEVENNESS * even_share
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class _Reckoned:
+class _SizeEstimate:
     at_s: float
     members: int
 
@@ -81,64 +83,80 @@
     """
 
     def __init__(
-        self, window_s: float, lapse_s: float, founded_by_s: float = float("-inf")
+        self,
+        window_s: float,
+        member_lease_s: float,
+        initial_members_until_s: float = float("-inf"),
     ) -> None:
         self._window_s = window_s
-        self._lapse_s = lapse_s
-        self._founded_by_s = founded_by_s
-        self._known_from_s: float | None = None
-        self._listed: int | None = None
-        self._deal: Deal | None = None
-        self._dealt_s = 0.0
-        self._renewed_s = 0.0
-        self._reckoned: deque[_Reckoned] = deque()
-        self._first_members: int | None = None
-
-    def dealt(self, deal: Deal, sent_s: float) -> None:
+        self._member_lease_s = member_lease_s
+        self._initial_members_until_s = initial_members_until_s
+        self._full_share_from_s: float | None = None
+        self._listed_entries: int | None = None
+        self._assignment: PartitionAssignment | None = None
+        self._assignment_changed_s = 0.0
+        self._last_renewal_s = 0.0
+        self._estimates: deque[_SizeEstimate] = deque()
+        self._initial_estimate: int | None = None
+
+    def assignment_received(
+        self, assignment: PartitionAssignment, sent_s: float
+    ) -> None:
         """Take what a renewal that was sent at ``sent_s`` was answered with."""
-        self._note_coming(sent_s)
-        if self._deal is None or deal.generation != self._deal.generation:
-            self._dealt_s = sent_s
-        self._deal = deal
-        self._renewed_s = sent_s
-        if sent_s - self._dealt_s >= _SETTLED_S:
-            self._note(self._listed_if_it_fits(deal) or deal.members, sent_s)
-        elif deal.own:
+        self._check_membership(sent_s)
+        if (
+            self._assignment is None
+            or assignment.generation != self._assignment.generation
+        ):
+            self._assignment_changed_s = sent_s
+        self._assignment = assignment
+        self._last_renewal_s = sent_s
+        if sent_s - self._assignment_changed_s >= _SETTLE_TIME_S:
+            self._record_estimate(
+                self._consistent_listed_entries(assignment) or assignment.members,
+                sent_s,
+            )
+        elif assignment.own_partitions:
             # All that a process that has just started can go by.
-            self._first_members = deal.members
+            self._initial_estimate = assignment.members
 
-    def _note_coming(self, sent_s: float) -> None:
+    def _check_membership(self, sent_s: float) -> None:
         """Look whether the store counts this entry anew.
 
         Others may have taken its part meanwhile. They give it up once they hear of it;
         one that doesn't hear has it for a lapse and a window, and what it spends last
         counts for another window.
         """
-        if self._known_from_s is None:
-            is_founder = sent_s < self._founded_by_s
-        elif sent_s - self._renewed_s < self._lapse_s:
+        if self._full_share_from_s is None:
+            is_initial_member = sent_s < self._initial_members_until_s
+        elif sent_s - self._last_renewal_s < self._member_lease_s:
             return
         else:
-            is_founder = False
-            self._deal = None  # What it is dealt now has to settle, too.
-        wait_s = 0.0 if is_founder else self._lapse_s + 2 * self._window_s
-        self._known_from_s = sent_s + wait_s
+            is_initial_member = False
+            self._assignment = None  # What it is dealt now has to settle, too.
+        wait_s = 0.0 if is_initial_member else self._member_lease_s + 2 * self._window_s
+        self._full_share_from_s = sent_s + wait_s
 
-    def listed(self, entries: int) -> None:
+    def set_listed_entries(self, entries: int) -> None:
         """Take how many entries there are by their own list, with those that are away.
 
         Whoever has just come can go by it before its deal has settled.
         """
-        self._listed = entries
-
-    def _listed_if_it_fits(self, deal: Deal) -> int:
-        listed = self._listed
-        return listed if listed is not None and deal.fits(listed) else 0
-
-    def _note(self, members: int, now_s: float) -> None:
-        if self._reckoned and self._reckoned[-1].members == members:
+        self._listed_entries = entries
+
+    def _consistent_listed_entries(self, assignment: PartitionAssignment) -> int:
+        listed_entries = self._listed_entries
+        return (
+            listed_entries
+            if listed_entries is not None
+            and assignment.is_consistent_with(listed_entries)
+            else 0
+        )
+
+    def _record_estimate(self, members: int, now_s: float) -> None:
+        if self._estimates and self._estimates[-1].members == members:
             return
-        self._reckoned.append(_Reckoned(now_s, members))
+        self._estimates.append(_SizeEstimate(now_s, members))
 
     @property
     def members(self) -> int | None:
@@ -146,30 +164,39 @@
 
         The list tells exactly, but also holds some that are away.
         """
-        if not self._reckoned:
-            return self._first_members
-        listed = self._listed_if_it_fits(self._deal) if self._deal else 0
-        return listed or self._reckoned[-1].members
-
-    def part(self, now_s: float) -> float:
+        if not self._estimates:
+            return self._initial_estimate
+        listed_entries = (
+            self._consistent_listed_entries(self._assignment) if self._assignment else 0
+        )
+        return listed_entries or self._estimates[-1].members
+
+    def share(self, now_s: float) -> float:
         """Return which part of the whole this entry may spend in a window now.
 
         The most entries of two windows count. One that the store doesn't hear any more
         goes on for a window after it has lapsed there; when the others take its part,
         another window later, all that it spent lies outside.
         """
-        unheard_s = now_s - self._renewed_s
-        if self._known_from_s is None or unheard_s >= self._lapse_s + self._window_s:
+        since_renewal_s = now_s - self._last_renewal_s
+        if (
+            self._full_share_from_s is None
+            or since_renewal_s >= self._member_lease_s + self._window_s
+        ):
             return 0.0
-        share = 1.0 if now_s >= self._known_from_s else _NEWCOMER_SHARE
-        return share / self._most_members(now_s)
+        share = 1.0 if now_s >= self._full_share_from_s else _NEW_MEMBER_SHARE
+        return share / self._max_recent_members(now_s)
 
-    def _most_members(self, now_s: float) -> float:
+    def _max_recent_members(self, now_s: float) -> float:
         """Return how many entries there were at most of late; no number is too many."""
-        listed = self._listed or 0
-        if not self._reckoned:
-            return max(listed, self._first_members or 0) if listed else float("inf")
+        listed_entries = self._listed_entries or 0
+        if not self._estimates:
+            return (
+                max(listed_entries, self._initial_estimate or 0)
+                if listed_entries
+                else float("inf")
+            )
         since_s = now_s - 2 * self._window_s
-        while len(self._reckoned) > 1 and self._reckoned[1].at_s <= since_s:
-            self._reckoned.popleft()
-        return max(reckoned.members for reckoned in self._reckoned)
+        while len(self._estimates) > 1 and self._estimates[1].at_s <= since_s:
+            self._estimates.popleft()
+        return max(estimate.members for estimate in self._estimates)
--- a/src/railfold/_internal/decisions/leadership.py
+++ b/src/railfold/_internal/decisions/leadership.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-from railfold._internal.decisions.fleet_size import Deal
+from railfold._internal.decisions.fleet_size import PartitionAssignment
 
 __all__ = ["Candidacy", "Leadership", "LeaseGrant"]
 
@@ -26,7 +26,7 @@
 
     holding: bool
     fencing: int
-    deal: Deal | None = None
+    deal: PartitionAssignment | None = None
     epoch: int = 0
     is_candidate: bool = False
 
--- a/src/railfold/_internal/decisions/peers.py
+++ b/src/railfold/_internal/decisions/peers.py
@@ -16,17 +16,17 @@
 
 from railfold._internal.core import Address
 
-__all__ = ["FANOUT", "MessageMemory", "Peer", "PeerView"]
+__all__ = ["FANOUT", "Peer", "PeerView", "SeenMessages"]
 
 # How many others are told at a time.
 FANOUT = 8
 
 # So many entries are known at most: several times the 380 hosts to design for.
-_PEERS_KEPT = 2000
+_MAX_PEERS = 2000
 
 # Messages that were passed on are remembered up to this number: a minute of a crash a
 # second under which ten contents were seen to begin.
-_MESSAGES_KEPT = 4096
+_MAX_MESSAGES = 4096
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,11 +61,11 @@
 
     def names_by_domain(self) -> dict[str, list[str]]:
         """Return who announces load, by failure domain, with this entry."""
-        found: dict[str, list[str]] = {}
+        domains: dict[str, list[str]] = {}
         for peer in (self.own, *self._peers.values()):
             if peer.failure_domain:
-                found.setdefault(peer.failure_domain, []).append(peer.name)
-        return found
+                domains.setdefault(peer.failure_domain, []).append(peer.name)
+        return domains
 
     def get(self, name: str) -> Peer | None:
         """Return an entry, if it is known."""
@@ -73,7 +73,7 @@
 
     def join(self, peer: Peer) -> bool:
         """Take an entry's own word; return whether it is news."""
-        if peer.name == self.own.name or len(self._peers) >= _PEERS_KEPT:
+        if peer.name == self.own.name or len(self._peers) >= _MAX_PEERS:
             return False
         known = self._peers.get(peer.name)
         if known is not None and known.started_at_ms >= peer.started_at_ms:
@@ -91,27 +91,27 @@
                 self.join(known[peer.name])
 
     @property
-    def relays(self) -> bool:
+    def needs_relay(self) -> bool:
         """Whether there are too many for the first one to tell all."""
         return len(self._peers) > FANOUT
 
-    def draw(self, rng: random.Random, exclude: Collection[str]) -> list[Peer]:
+    def sample(self, rng: random.Random, exclude: Collection[str]) -> list[Peer]:
         """Return whom to tell now."""
         others = [p for p in self._peers.values() if p.name not in exclude]
         return rng.sample(others, min(FANOUT, len(others)))
 
 
-class MessageMemory:
+class SeenMessages:
     """Which messages were taken before."""
 
     def __init__(self) -> None:
-        self._known: OrderedDict[bytes, None] = OrderedDict()
+        self._seen_ids: OrderedDict[bytes, None] = OrderedDict()
 
-    def is_new(self, message_id: bytes) -> bool:
+    def add(self, message_id: bytes) -> bool:
         """Return whether a message wasn't taken before, and remember it."""
-        if message_id in self._known:
+        if message_id in self._seen_ids:
             return False
-        self._known[message_id] = None
-        if len(self._known) > _MESSAGES_KEPT:
-            self._known.popitem(last=False)
+        self._seen_ids[message_id] = None
+        if len(self._seen_ids) > _MAX_MESSAGES:
+            self._seen_ids.popitem(last=False)
         return True
--- a/src/railfold/_internal/decisions/proof_exchange.py
+++ b/src/railfold/_internal/decisions/proof_exchange.py
@@ -27,8 +27,8 @@
 # At which age of its proof, as a share of the lease, an entry reads the store: if
 # others ask it, if others answer it, and alone. With a lease of 5 s those are 0.6, 1.4
 # and 1.85 s, so that a store that is lost leaves most of the lease.
-_READ_IF_ASKED_SHARE = 0.12
-_READ_IF_ANSWERED_SHARE = 0.28
+_READER_SHARE = 0.12
+_READ_IF_REPLIES_SHARE = 0.28
 _READ_ALONE_SHARE = 0.37
 
 # Entries that start together would all read at the same age.
@@ -39,39 +39,39 @@
 _ASK_INTERVAL_S = 0.3
 
 # A question that isn't answered by then is lost: peers answer within milliseconds.
-_ANSWER_S = 0.25
+_REPLY_TIMEOUT_S = 0.25
 
 # One that didn't answer, or whose proof was old, isn't asked again for this share of
 # the lease, unless all others were passed over as well.
-_PASSED_OVER_SHARE = 0.4
+_SKIP_SHARE = 0.4
 
 # Whoever was asked so often in the last second reads for others too.
-_ASKED_WITHIN_S = 1.0
-_ASKED_OFTEN = 2
+_QUESTIONS_WINDOW_S = 1.0
+_READER_MIN_QUESTIONS = 2
 
 # Entries are divided into groups of about so many that ask the same one: each asks
 # twice a second, of 0.1 ms each.
-_GROUP = 20
+_GROUP_SIZE = 20
 
 # Answers a second: 0.1 ms of a core each, 1.5 % of the smallest entries' 0.39. Who gets
 # none asks the next one.
-_ANSWERS_PER_S = 60
+_MAX_REPLIES_PER_S = 60
 
 # Answers are relied on to be there for this long.
-_ANSWERED_WITHIN_S = 1.5
+_REPLY_VALIDITY_S = 1.5
 
 # An entry whose proof is older than this share of the lease isn't getting a new one: a
 # read alone comes before. What is left of the lease is the time that the balancer has
 # to lead clients elsewhere.
-_LAPSING_SHARE = 0.5
+_EXPIRING_SHARE = 0.5
 
 # An entry that doesn't hear so many others is cut off, perhaps with some more. Where
 # only the store is out, nearly all answer.
-_SILENT_SHARE = 1.0 / 3.0
+_UNANSWERED_SHARE = 1.0 / 3.0
 
 # From this age on others are asked by chance: those that come first by name may be cut
 # off together with this one.
-_SAMPLED_SHARE = _READ_IF_ANSWERED_SHARE
+_RANDOM_PEER_SHARE = _READ_IF_REPLIES_SHARE
 
 
 @dataclass(frozen=True, slots=True)
@@ -109,17 +109,17 @@
         self._rng = rng
         self._jitter = 1.0
         self._draw_jitter()
-        self._asked_s: deque[float] = deque(maxlen=_ANSWERS_PER_S)
-        self._question_s = float("-inf")
-        self._unanswered = ""
-        self._answered_s = float("-inf")
-        self._heard_s = float("-inf")
-        self._heard_proof_s = float("-inf")
-        self._passed_over_s: dict[str, float] = {}
+        self._questions_received_s: deque[float] = deque(maxlen=_MAX_REPLIES_PER_S)
+        self._last_question_s = float("-inf")
+        self._pending_peer = ""
+        self._last_fresh_reply_s = float("-inf")
+        self._last_reply_s = float("-inf")
+        self._newest_peer_proof_s = float("-inf")
+        self._skipped_until_s: dict[str, float] = {}
         # When each other entry was last asked, and the proof that it told then.
-        self._asked_entries_s: dict[str, float] = {}
-        self._told_proof_s: dict[str, float] = {}
-        self._lapses_alone = False
+        self._asked_peers_s: dict[str, float] = {}
+        self._peer_proofs_s: dict[str, float] = {}
+        self._expiring_alone = False
 
     def _draw_jitter(self) -> None:
         self._jitter = 1.0 + _JITTER * (2.0 * self._rng.random() - 1.0)
@@ -130,41 +130,43 @@
         :param age_s: how old this entry's proof is.
         :param peers: the other entries' names.
         """
-        asked = self._ask(now_s, age_s, peers)
-        if asked is not None:
-            return AskPeer(asked)
-        if age_s >= self._read_share(now_s) * self._jitter * self.lease_s:
+        peer = self._peer_to_ask(now_s, age_s, peers)
+        if peer is not None:
+            return AskPeer(peer)
+        if age_s >= self._read_age_share(now_s) * self._jitter * self.lease_s:
             self._draw_jitter()
             return ReadStore()
         return Wait()
 
-    def _ask(self, now_s: float, age_s: float, peers: Sequence[str]) -> str | None:
+    def _peer_to_ask(
+        self, now_s: float, age_s: float, peers: Sequence[str]
+    ) -> str | None:
         """Return whom to ask now, if anybody."""
         # Whoever is asked reads, and has nothing to ask, unless it can't.
-        reads = self._is_asked_often(now_s)
-        asks_from_share = 2 * _READ_IF_ASKED_SHARE if reads else _ASK_SHARE
-        if age_s < asks_from_share * self.lease_s:
+        is_reader = self._is_reader(now_s)
+        ask_from_share = 2 * _READER_SHARE if is_reader else _ASK_SHARE
+        if age_s < ask_from_share * self.lease_s:
             return None
-        if self._unanswered and now_s >= self._question_s + _ANSWER_S:
-            self._pass_over(self._unanswered, now_s)
-        if now_s < self._question_s + _ASK_INTERVAL_S:
+        if self._pending_peer and now_s >= self._last_question_s + _REPLY_TIMEOUT_S:
+            self._skip_peer(self._pending_peer, now_s)
+        if now_s < self._last_question_s + _ASK_INTERVAL_S:
             return None
-        self._forget_passed_over(now_s)
-        if age_s < _SAMPLED_SHARE * self.lease_s:
-            asked = self._next_to_ask(peers)
+        self._expire_skips(now_s)
+        if age_s < _RANDOM_PEER_SHARE * self.lease_s:
+            peer = self._preferred_peer(peers)
         else:
-            asked = self._drawn(peers)
-        if asked is not None:
-            self._question_s = now_s
-            self._unanswered = asked
-            self._asked_entries_s[asked] = now_s
-            self._told_proof_s.pop(asked, None)
-        return asked
-
-    def _next_to_ask(self, peers: Sequence[str]) -> str | None:
+            peer = self._random_peer(peers)
+        if peer is not None:
+            self._last_question_s = now_s
+            self._pending_peer = peer
+            self._asked_peers_s[peer] = now_s
+            self._peer_proofs_s.pop(peer, None)
+        return peer
+
+    def _preferred_peer(self, peers: Sequence[str]) -> str | None:
         """Return the first other one of this entry's group, or of all."""
         names = sorted([*peers, self._name])
-        groups = max(1, round(len(names) / _GROUP))
+        groups = max(1, round(len(names) / _GROUP_SIZE))
         first = names.index(self._name) % groups
         ordered = [*names[first::groups], *names]
         others = [name for name in ordered if name != self._name]
@@ -172,54 +174,59 @@
             return None
         # The first that wasn't passed over; of those that were, the one longest ago.
         never_s = float("-inf")
-        return min(others, key=lambda name: self._passed_over_s.get(name, never_s))
+        return min(others, key=lambda name: self._skipped_until_s.get(name, never_s))
 
-    def _drawn(self, peers: Sequence[str]) -> str | None:
+    def _random_peer(self, peers: Sequence[str]) -> str | None:
         """Return any other one, rather one that wasn't passed over."""
         others = [name for name in peers if name != self._name]
-        preferred = [name for name in others if name not in self._passed_over_s]
+        preferred = [name for name in others if name not in self._skipped_until_s]
         return self._rng.choice(preferred or others) if others else None
 
-    def _pass_over(self, name: str, now_s: float) -> None:
+    def _skip_peer(self, name: str, now_s: float) -> None:
         """Ask others than this one for some time."""
-        self._passed_over_s[name] = now_s + _PASSED_OVER_SHARE * self.lease_s
-        self._unanswered = ""
-
-    def _forget_passed_over(self, now_s: float) -> None:
-        over = [n for n, until_s in self._passed_over_s.items() if until_s <= now_s]
-        for name in over:
-            del self._passed_over_s[name]
-
-    def _read_share(self, now_s: float) -> float:
-        if self._is_asked_often(now_s):
-            return _READ_IF_ASKED_SHARE
-        if now_s - self._answered_s < _ANSWERED_WITHIN_S:
-            return _READ_IF_ANSWERED_SHARE
+        self._skipped_until_s[name] = now_s + _SKIP_SHARE * self.lease_s
+        self._pending_peer = ""
+
+    def _expire_skips(self, now_s: float) -> None:
+        expired = [
+            n for n, until_s in self._skipped_until_s.items() if until_s <= now_s
+        ]
+        for name in expired:
+            del self._skipped_until_s[name]
+
+    def _read_age_share(self, now_s: float) -> float:
+        if self._is_reader(now_s):
+            return _READER_SHARE
+        if now_s - self._last_fresh_reply_s < _REPLY_VALIDITY_S:
+            return _READ_IF_REPLIES_SHARE
         return _READ_ALONE_SHARE
 
-    def _is_asked_often(self, now_s: float) -> bool:
-        since_s = now_s - _ASKED_WITHIN_S
-        return sum(1 for at_s in self._asked_s if at_s > since_s) >= _ASKED_OFTEN
+    def _is_reader(self, now_s: float) -> bool:
+        since_s = now_s - _QUESTIONS_WINDOW_S
+        return (
+            sum(1 for at_s in self._questions_received_s if at_s > since_s)
+            >= _READER_MIN_QUESTIONS
+        )
 
-    def asked(self, now_s: float) -> bool:
+    def question_received(self, now_s: float) -> bool:
         """Another entry asks; return whether to answer."""
-        full = len(self._asked_s) == _ANSWERS_PER_S
-        if full and self._asked_s[0] > now_s - 1.0:
+        full = len(self._questions_received_s) == _MAX_REPLIES_PER_S
+        if full and self._questions_received_s[0] > now_s - 1.0:
             return False
-        self._asked_s.append(now_s)
+        self._questions_received_s.append(now_s)
         return True
 
-    def answered(self, name: str, now_s: float, age_s: float) -> None:
+    def reply_received(self, name: str, now_s: float, age_s: float) -> None:
         """Another entry told how old its proof is, counted from the question."""
-        if name == self._unanswered:
-            self._unanswered = ""
-        self._heard_s = now_s
-        self._heard_proof_s = max(self._heard_proof_s, now_s - age_s)
-        self._told_proof_s[name] = now_s - age_s
-        if age_s > _READ_IF_ANSWERED_SHARE * self.lease_s:
-            self._pass_over(name, now_s)
+        if name == self._pending_peer:
+            self._pending_peer = ""
+        self._last_reply_s = now_s
+        self._newest_peer_proof_s = max(self._newest_peer_proof_s, now_s - age_s)
+        self._peer_proofs_s[name] = now_s - age_s
+        if age_s > _READ_IF_REPLIES_SHARE * self.lease_s:
+            self._skip_peer(name, now_s)
             return
-        self._answered_s = now_s
+        self._last_fresh_reply_s = now_s
 
     def others_have_proof(self, now_s: float) -> bool:
         """Return whether others can tell that credentials hold, while this one can't.
@@ -227,24 +234,24 @@
         If others were heard of late, by what they told. If not, this one is cut off,
         and others probably aren't.
         """
-        if now_s - self._heard_s > _ANSWERED_WITHIN_S:
+        if now_s - self._last_reply_s > _REPLY_VALIDITY_S:
             return True
-        return now_s - self._heard_proof_s < self.lease_s
+        return now_s - self._newest_peer_proof_s < self.lease_s
 
-    def lapses_alone(self, now_s: float, age_s: float) -> bool:
+    def is_expiring_alone(self, now_s: float, age_s: float) -> bool:
         """Return whether this entry's proof runs out while most others' don't.
 
         Once it does, it does until the entry has a fresh proof.
 
         :param age_s: how old this entry's proof is.
         """
-        if age_s < _SAMPLED_SHARE * self.lease_s:
-            self._lapses_alone = False
-        elif age_s >= _LAPSING_SHARE * self.lease_s and not self._lapses_alone:
-            self._lapses_alone = self._is_alone(now_s, age_s)
-        return self._lapses_alone
+        if age_s < _RANDOM_PEER_SHARE * self.lease_s:
+            self._expiring_alone = False
+        elif age_s >= _EXPIRING_SHARE * self.lease_s and not self._expiring_alone:
+            self._expiring_alone = self._others_have_newer_proof(now_s, age_s)
+        return self._expiring_alone
 
-    def _is_alone(self, now_s: float, age_s: float) -> bool:
+    def _others_have_newer_proof(self, now_s: float, age_s: float) -> bool:
         """Return whether others seem to have the proof that this entry lacks.
 
         That is so if another one told a fresh proof, which is then of a configuration
@@ -252,11 +259,16 @@
         answer. Where most answer with proofs as old, the store is out for all, and
         clients that go elsewhere gain nothing.
         """
-        since_s = now_s - age_s + _SAMPLED_SHARE * self.lease_s
-        asked = {n for n, at_s in self._asked_entries_s.items() if at_s >= since_s}
-        asked.discard(self._unanswered)
-        told_s = [self._told_proof_s[n] for n in asked if n in self._told_proof_s]
-        if any(now_s - proof_s < _LAPSING_SHARE * self.lease_s for proof_s in told_s):
+        since_s = now_s - age_s + _RANDOM_PEER_SHARE * self.lease_s
+        asked_peers = {n for n, at_s in self._asked_peers_s.items() if at_s >= since_s}
+        asked_peers.discard(self._pending_peer)
+        reported_proofs_s = [
+            self._peer_proofs_s[n] for n in asked_peers if n in self._peer_proofs_s
+        ]
+        if any(
+            now_s - proof_s < _EXPIRING_SHARE * self.lease_s
+            for proof_s in reported_proofs_s
+        ):
             return True
-        silent = len(asked) - len(told_s)
-        return silent > 0 and silent >= _SILENT_SHARE * len(asked)
+        unanswered = len(asked_peers) - len(reported_proofs_s)
+        return unanswered > 0 and unanswered >= _UNANSWERED_SHARE * len(asked_peers)
--- a/src/railfold/_internal/forwarding/fleet_limits.py
+++ b/src/railfold/_internal/forwarding/fleet_limits.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from railfold._internal.decisions.fleet_size import Deal, FleetSize
+from railfold._internal.decisions.fleet_size import FleetSize, PartitionAssignment
 from railfold._internal.decisions.retry_budget import RetryLimits
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.settings import ForwardingSettings
@@ -38,11 +38,11 @@
     @property
     def part(self) -> float:
         """The part that the entry has, from 0 to 1."""
-        return self._fleet.part(self._loop.time())
+        return self._fleet.share(self._loop.time())
 
-    def dealt(self, deal: Deal, sent_s: float) -> None:
+    def dealt(self, deal: PartitionAssignment, sent_s: float) -> None:
         """Take what a renewal of the lease tells of the number of entries."""
-        self._fleet.dealt(deal, sent_s)
+        self._fleet.assignment_received(deal, sent_s)
         members = self._fleet.members
         if members is not None:
             self._router.entries = self._router.limits.members = members
@@ -51,7 +51,7 @@
 
     def listed(self, entries: int) -> None:
         """Take how many entries the store lists, with this one."""
-        self._fleet.listed(entries)
+        self._fleet.set_listed_entries(entries)
         self.divide()
 
     def divide(self) -> None:
--- a/src/railfold/_internal/forwarding/peers/arrival_exchange.py
+++ b/src/railfold/_internal/forwarding/peers/arrival_exchange.py
@@ -89,4 +89,4 @@
     def told(self, message: ArrivalsNotice) -> None:
         """Another entry tells what arrives there."""
         now_s = self._loop.time()
-        self._router.fleet_arrivals.told(message.name, message.per_s, now_s)
+        self._router.fleet_arrivals.announced(message.name, message.per_s, now_s)
--- a/src/railfold/_internal/forwarding/peers/load_exchange.py
+++ b/src/railfold/_internal/forwarding/peers/load_exchange.py
@@ -16,14 +16,14 @@
 from absl import logging
 
 from railfold._internal.decisions.fleet_demand import DemandKey
-from railfold._internal.decisions.fleet_load import LoadPart
+from railfold._internal.decisions.fleet_load import EntryLoad
 from railfold._internal.decisions.load_rounds import (
+    AmountsByKey,
     DomainSum,
     LoadRounds,
-    Parts,
+    OtherEntriesLoad,
     PublishSum,
-    SendPart,
-    SumTaken,
+    SendContribution,
 )
 from railfold._internal.decisions.routing_table import (
     Route,
@@ -123,7 +123,7 @@
             return
         for action in self._rounds.step(now_s, members, lambda: self._own(now_s)):
             match action:
-                case SendPart(to=to, round=number, part=part):
+                case SendContribution(to=to, round=number, contribution=part):
                     for rows in _pages(part):
                         message = LoadPartNotice(self._name, number, rows)
                         self._channel.tell_one(to, message)
@@ -146,7 +146,11 @@
                 dict(action.seen),
             )
             self._channel.tell_each(action.to, message)
-        for rows in _pages(_bounded(action.home)) if action.foreign else ():
+        for rows in (
+            _pages(_bounded(action.domain_total))
+            if action.other_domain_receivers
+            else ()
+        ):
             domain_message = DomainLoadNotice(
                 self._router.failure_domain,
                 action.round,
@@ -154,8 +158,8 @@
                 rows,
                 dict(action.seen),
             )
-            self._channel.tell_each(action.foreign, domain_message)
-        for known in action.handed_over:
+            self._channel.tell_each(action.other_domain_receivers, domain_message)
+        for known in action.forwarded_sums:
             self._hand_over(known, action.next_collector)
         self._router.metrics.count("load.sums_published")
         taken = self._rounds.sum_received(
@@ -174,7 +178,7 @@
 
     def _hand_over(self, known: DomainSum, collector: str) -> None:
         seen = {self._router.failure_domain: known.seen} if known.seen else {}
-        for rows in _pages(known.parts) if collector != self._name else ():
+        for rows in _pages(known.amounts_by_key) if collector != self._name else ():
             message = DomainLoadNotice(
                 known.domain, known.round, known.entries, rows, seen, hops=1
             )
@@ -197,14 +201,14 @@
             return
         match message:
             case LoadPartNotice(name=name, round=number):
-                if self._rounds.part_received(name, number, parts):
+                if self._rounds.contribution_received(name, number, parts):
                     self._step()  # It may be the last one.
                 else:
                     self._router.metrics.count("load.parts_late")
             case DomainLoadNotice(domain=domain, round=number, entries=entries):
                 seen = message.seen.get(self._router.failure_domain)
                 foreign = DomainSum(domain, number, entries, parts, seen)
-                self._rounds.foreign_sum_received(foreign, now_s)
+                self._rounds.domain_sum_received(foreign, now_s)
             case LoadSumNotice(name=name, round=number, entries=entries):
                 taken = self._rounds.sum_received(
                     name,
@@ -220,7 +224,7 @@
                 if taken is not None:
                     self._take(taken, now_s)
 
-    def _assemble(self, message: LoadMessage) -> Parts | None:
+    def _assemble(self, message: LoadMessage) -> AmountsByKey | None:
         sender = (
             message.domain if isinstance(message, DomainLoadNotice) else message.name
         )
@@ -247,10 +251,10 @@
         self._router.metrics.count("peers.refused")
         logging.info("another entry's load is passed over: %s", cause)
 
-    def _take(self, taken: SumTaken, now_s: float) -> None:
+    def _take(self, taken: OtherEntriesLoad, now_s: float) -> None:
         """Take what the other entries have under way, and what arrives there."""
         router = self._router
-        loads: dict[str, LoadPart] = {}
+        loads: dict[str, EntryLoad] = {}
         servers = {_load_key(e.server_id): e.server_id for e in router.directory}
         demand_keys = self._known_demand_keys()
         demand: dict[DemandKey, float] = {}
@@ -259,9 +263,11 @@
                 if digest in demand_keys:
                     demand[demand_keys[digest]] = float(amounts[0])
             elif digest in servers:
-                tokens, sequences, unread_tokens, full = amounts
-                loads[servers[digest]] = LoadPart(
-                    tokens * _TOKENS_UNIT, sequences, unread_tokens * _TOKENS_UNIT
+                tokens, sequences, pending_prompt_tokens, full = amounts
+                loads[servers[digest]] = EntryLoad(
+                    tokens * _TOKENS_UNIT,
+                    sequences,
+                    pending_prompt_tokens * _TOKENS_UNIT,
                 )
                 if full:
                     router.fleet_load.announced_full(servers[digest], now_s + _FULL_S)
@@ -274,16 +280,16 @@
 
     # This entry's own part
 
-    def _own(self, now_s: float) -> Parts:
+    def _own(self, now_s: float) -> AmountsByKey:
         router = self._router
         own: dict[int, tuple[int, ...]] = {}
         full = set(router.fleet_load.full_servers(now_s))
         for server_id in full | set(router.fleet_load.own):
-            part = router.fleet_load.own_part(server_id)
+            part = router.fleet_load.own_load(server_id)
             own[_load_key(server_id)] = (
                 _units(part.tokens),
                 part.sequences,
-                _units(part.unread_tokens),
+                _units(part.pending_prompt_tokens),
                 int(server_id in full),
             )
         arriving = router.fleet_demand.own_per_s(now_s)
@@ -303,7 +309,7 @@
 
     # Pace
 
-    def _pace(self, total: Parts, members: Mapping[str, Sequence[str]]) -> None:
+    def _pace(self, total: AmountsByKey, members: Mapping[str, Sequence[str]]) -> None:
         """Let the interval follow from what a round takes of the budget.
 
         On average an entry sends a part and a sum, and receives as much, where parts
@@ -378,7 +384,7 @@
     return sorted(found)
 
 
-def _bounded(parts: Parts) -> Parts:
+def _bounded(parts: AmountsByKey) -> AmountsByKey:
     """Return parts without arrivals but the largest."""
     demand = sorted((key for key in parts if key % 2), key=lambda key: -parts[key][0])
     left_out = set(demand[_MOST_DEMAND_ROWS_OF_SUM:])
@@ -391,7 +397,7 @@
     return -(-tokens // _TOKENS_UNIT)
 
 
-def _pages(parts: Parts) -> list[LoadRows]:
+def _pages(parts: AmountsByKey) -> list[LoadRows]:
     """Return rows in pages that fit in a datagram each."""
     pages: list[list[list[int]]] = [[]]
     left = MOST_ROWS_BYTES
--- a/src/railfold/_internal/forwarding/peers/peer_channel.py
+++ b/src/railfold/_internal/forwarding/peers/peer_channel.py
@@ -15,7 +15,7 @@
 
 from railfold._internal import clock
 from railfold._internal.core import Address
-from railfold._internal.decisions.peers import MessageMemory, Peer, PeerView
+from railfold._internal.decisions.peers import Peer, PeerView, SeenMessages
 from railfold._internal.errors import PeerMessageError
 from railfold._internal.forwarding.peers.peer_messages import (
     Envelope,
@@ -55,7 +55,7 @@
         self._rng = rng
         self._on_message = on_message
         self._codec: PeerMessageCodec | None = None
-        self._memory = MessageMemory()
+        self._memory = SeenMessages()
         self._transport: asyncio.DatagramTransport | None = None
         self._refused_before = ""
 
@@ -97,11 +97,11 @@
 
     def tell(self, message: PeerMessage) -> None:
         """Tell other entries something, which they pass on."""
-        self._tell(message, self._view.draw(self._rng, ()), direct=False)
+        self._tell(message, self._view.sample(self._rng, ()), direct=False)
 
     def tell_some(self, message: PeerMessage) -> None:
         """Tell some other entries something, which they don't pass on."""
-        self._tell(message, self._view.draw(self._rng, ()), direct=True)
+        self._tell(message, self._view.sample(self._rng, ()), direct=True)
 
     def tell_one(self, name: str, message: PeerMessage) -> None:
         """Tell one entry something."""
@@ -129,7 +129,7 @@
             message,
             direct,
         )
-        self._memory.is_new(envelope.message_id)
+        self._memory.add(envelope.message_id)
         if self._codec is not None:
             self._send(self._codec.encode(envelope), peers)
 
@@ -151,11 +151,11 @@
         except PeerMessageError as error:
             self._refuse(str(error), addr)
             return
-        if not self._memory.is_new(envelope.message_id):
+        if not self._memory.add(envelope.message_id):
             return
         self._metrics.count("peers.received")
-        if self._view.relays and not envelope.direct:
-            self._send(data, self._view.draw(self._rng, (envelope.sender,)))
+        if self._view.needs_relay and not envelope.direct:
+            self._send(data, self._view.sample(self._rng, (envelope.sender,)))
         self._on_message(envelope.message)
 
     def _refuse(self, cause: str, addr: tuple[str, int]) -> None:
--- a/src/railfold/_internal/forwarding/peers/proof_keeper.py
+++ b/src/railfold/_internal/forwarding/peers/proof_keeper.py
@@ -202,7 +202,7 @@
         table, lease = self._router.table, self._router.lease
         age_s = lease.age_s(now_s)
         known = table is not None and age_s < _OLDEST_S and self._channel is not None
-        if not known or not self._exchange.asked(now_s):
+        if not known or not self._exchange.question_received(now_s):
             return
         assert table is not None
         assert self._channel is not None
@@ -228,7 +228,7 @@
             return
         now_s = self._loop.time()
         proved_s = asked_s - message.age_ms / 1000.0
-        self._exchange.answered(message.name, now_s, now_s - proved_s)
+        self._exchange.reply_received(message.name, now_s, now_s - proved_s)
         self._note_version(message.version)
         if message.version == table.version:
             self._router.lease.renew(proved_s)
@@ -250,4 +250,4 @@
         """Return whether credentials soon can't be checked here, but elsewhere."""
         if self._channel is None or not self._channel.peers:
             return False
-        return self._exchange.lapses_alone(now_s, self._router.lease.age_s(now_s))
+        return self._exchange.is_expiring_alone(now_s, self._router.lease.age_s(now_s))
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -24,7 +24,7 @@
     SendCall,
 )
 from railfold._internal.decisions.event_cursor import EventCursor
-from railfold._internal.decisions.fleet_load import LoadPart
+from railfold._internal.decisions.fleet_load import EntryLoad
 from railfold._internal.decisions.routing_table import RouteKind
 from railfold._internal.errors import (
     DeadlineExpiredError,
@@ -123,7 +123,7 @@
         # Whether its answer asks for a backoff.
         self._backed_off = False
         # What the attempt under way adds to its servers' load.
-        self._part = LoadPart(1, 1)
+        self._part = EntryLoad(1, 1)
         self._kind: AnswerKind | None = None
         self._gathered: GatheredAnswer | None = None
         self._cursor = EventCursor(routed.request.last_event_id)
@@ -251,9 +251,11 @@
         # A call to a plain service is one, whatever its headers say of tokens.
         is_model = destination.chain is not None
         size = self._request.size
-        self._part = LoadPart(1, 1)
+        self._part = EntryLoad(1, 1)
         if is_model:
-            self._part = LoadPart(self._held_tokens(destination), 1, size.prompt_tokens)
+            self._part = EntryLoad(
+                self._held_tokens(destination), 1, size.prompt_tokens
+            )
         prediction = None
         if destination.chain is not None:
             prediction = predict(router, destination.chain, size)
@@ -368,10 +370,10 @@
 
     def _count_as_read(self) -> None:
         """The prompt of the attempt under way was read."""
-        unread = LoadPart(unread_tokens=self._part.unread_tokens)
-        if self._destination is not None and unread.unread_tokens:
+        unread = EntryLoad(pending_prompt_tokens=self._part.pending_prompt_tokens)
+        if self._destination is not None and unread.pending_prompt_tokens:
             self._router.uncount(self._destination, unread)
-            self._part = replace(self._part, unread_tokens=0)
+            self._part = replace(self._part, pending_prompt_tokens=0)
 
     def answer_body(self, data: bytes) -> None:
         """Bytes of a body came."""
--- a/src/railfold/_internal/forwarding/requests/room_queue.py
+++ b/src/railfold/_internal/forwarding/requests/room_queue.py
@@ -12,10 +12,10 @@
 from typing import Protocol
 
 from railfold._internal.decisions.admission import (
-    RoomShares,
-    Standing,
+    PriorityShedder,
+    SheddingDecision,
     WaitingRequests,
-    room_wait_limit_s,
+    capacity_wait_limit_s,
 )
 from railfold._internal.decisions.fleet_demand import DemandKey
 from railfold._internal.decisions.routing_table import RoutingTable
@@ -52,7 +52,7 @@
 
     key: DemandKey
     tokens: int
-    standing: Standing
+    standing: SheddingDecision
     arrived_s: float
     deadline_s: float
     objective_s: float
@@ -77,7 +77,7 @@
     def __init__(self, router: Router) -> None:
         self._router = router
         self._loop = asyncio.get_running_loop()
-        self._shares = RoomShares()
+        self._shares = PriorityShedder()
         self._waiting: dict[str, WaitingRequests[RoomWaiter]] = {}
         self._waits: dict[RoomWaiter, tuple[Contender, float, float]] = {}
         self._no_retry_s: dict[str, float] = {}
@@ -118,16 +118,16 @@
     def must_wait(self, contender: Contender) -> bool:
         """Return whether others that wait go before a request."""
         waiting = self._waiting.get(contender.key.service)
-        return waiting is not None and waiting.ahead(contender.standing.level) > 0
+        return waiting is not None and waiting.count_ahead(contender.standing.level) > 0
 
     def wait(self, waiter: RoomWaiter, contender: Contender, *, begun: bool) -> bool:
         """Let a request wait for room; return whether it may have its turn in time."""
         service = contender.key.service
         waiting = self._waiting.setdefault(service, WaitingRequests())
         now_s = self._loop.time()
-        limit_s = room_wait_limit_s(contender.objective_s, begun=begun)
+        limit_s = capacity_wait_limit_s(contender.objective_s, started=begun)
         limit_s = min(limit_s, contender.deadline_s - now_s)
-        standing = Standing(_BEGUN_LEVEL) if begun else contender.standing
+        standing = SheddingDecision(_BEGUN_LEVEL) if begun else contender.standing
         contender.predicted_wait_s = waiting.predicted_wait_s(standing.level)
         if contender.waited_s + contender.predicted_wait_s > limit_s:
             return False
@@ -177,7 +177,7 @@
         """Return whether a request leaves scarce retries to those that go before."""
         empty_s = self._no_retry_s.get(contender.key.service, float("-inf"))
         scarce = self._loop.time() - empty_s < _SCARCE_RETRIES_S
-        return scarce and contender.standing.others_lack
+        return scarce and contender.standing.preceding_unserved
 
     def rejected(self, contender: Contender) -> None:
         """An engine rejected a request that was sent."""
@@ -226,7 +226,7 @@
         """Look for room for those that wait, until some find none."""
         missed: set[RoomWaiter] = set()
         while len(missed) < _MOST_MISSED:
-            in_turn = waiting.in_turn(_MOST_MISSED)
+            in_turn = waiting.next_items(_MOST_MISSED)
             left = [waiter for waiter in in_turn if waiter not in missed]
             if not left:
                 return
--- a/src/railfold/_internal/forwarding/router.py
+++ b/src/railfold/_internal/forwarding/router.py
@@ -20,7 +20,7 @@
     EngineDirectory,
 )
 from railfold._internal.decisions.fleet_demand import DemandKey, FleetDemand
-from railfold._internal.decisions.fleet_load import FleetLoad, LoadPart, ServerLoad
+from railfold._internal.decisions.fleet_load import EntryLoad, FleetLoad, ServerLoad
 from railfold._internal.decisions.freshness import FreshnessLease
 from railfold._internal.decisions.placement import (
     stage_residence_s,
@@ -295,7 +295,7 @@
         model = self.model_of(chain)
         if model is None:
             return 0.0
-        own_tokens = self.fleet_load.own_part(chain.stages[0].host).tokens
+        own_tokens = self.fleet_load.own_load(chain.stages[0].host).tokens
         requests = min(
             own_tokens * self.entries / model.mean_tokens, model.max_sequences
         )
@@ -339,22 +339,22 @@
         Announced load is the same for all entries: by it all would choose the same
         servers until the next sum.
         """
-        own = self.fleet_load.own_part(server_id)
+        own = self.fleet_load.own_load(server_id)
         return ServerLoad(
             float(own.tokens * self.entries),
             float(own.sequences * self.entries),
-            float(own.unread_tokens * self.entries),
+            float(own.pending_prompt_tokens * self.entries),
             known_share=1.0 / max(1, self.entries),
         )
 
-    def count(self, destination: Destination, part: LoadPart) -> None:
+    def count(self, destination: Destination, part: EntryLoad) -> None:
         """Add what was sent to the load of a destination's backend servers."""
         for server_id in destination.server_ids:
             if self.directory.get(server_id) is not None:
                 self.fleet_load.add(server_id, part)
 
     def uncount(
-        self, destination: Destination, part: LoadPart, *, ran: bool = False
+        self, destination: Destination, part: EntryLoad, *, ran: bool = False
     ) -> None:
         """Take back what was counted.
 
@@ -363,7 +363,7 @@
         for server_id in destination.server_ids:
             self.fleet_load.subtract(server_id, part)
             if ran:
-                self.fleet_load.room_freed(server_id)
+                self.fleet_load.capacity_freed(server_id)
 
     def record_arrival(
         self, route: Route, priority: int, workspace: str, tokens: int
--- a/src/railfold/_internal/forwarding/servers/placement.py
+++ b/src/railfold/_internal/forwarding/servers/placement.py
@@ -282,7 +282,7 @@
             round(now.throughput_rps, 1),
             round(then.throughput_rps, 1),
             round(wanted.needed_rps, 1),
-            self._router.fleet_arrivals.told_by,
+            self._router.fleet_arrivals.announcing_entries,
             [str(chain) for chain in then.chains],
             {server_id: str(layers) for server_id, layers in plan.items()},
         )
@@ -300,7 +300,7 @@
             kind.slowed(entry.slowness),
             self._targets.get(entry.server_id, entry.registration.layers),
             under_order=entry.server_id in self._targets,
-            busy=self._router.fleet_load.own_part(entry.server_id).tokens > 0,
+            busy=self._router.fleet_load.own_load(entry.server_id).tokens > 0,
         )
 
     def _give(
--- a/src/railfold/_internal/forwarding/servers/probes.py
+++ b/src/railfold/_internal/forwarding/servers/probes.py
@@ -17,7 +17,7 @@
 
 from railfold._internal.core import Chain, Stage
 from railfold._internal.decisions.engine_directory import DirectoryEntry
-from railfold._internal.decisions.probe_pace import ProbePace
+from railfold._internal.decisions.probe_backoff import ProbeBackoff
 from railfold._internal.errors import EngineError
 from railfold._internal.forwarding.dialect import NotExecuted
 from railfold._internal.forwarding.requests.stream_watch import Silence
@@ -81,7 +81,7 @@
         self.calls = calls
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.pace = ProbePace()
+        self.pace = ProbeBackoff()
         # Called with each backend server that was found well.
         self.on_well: Callable[[str], None] = lambda server_id: None
         self._checking: set[str] = set()
@@ -142,7 +142,7 @@
         self, entry: DirectoryEntry, load: int, *, misplaced: bool = False
     ) -> None:
         now_s = self._loop.time()
-        own_tokens = self._router.fleet_load.own_part(entry.server_id).tokens
+        own_tokens = self._router.fleet_load.own_load(entry.server_id).tokens
         self._router.avoidance.refused(entry.server_id, now_s, own_tokens, load)
         if not misplaced:
             self._router.record_rejection(entry)
@@ -187,7 +187,7 @@
         to begin elsewhere anyway.
         """
         move_now = silence.stalled and not self._router.replaceable(silence.suspects)
-        if self.pace.take(chain.hosts[0], self._loop.time()):
+        if self.pace.allow_probe(chain.hosts[0], self._loop.time()):
             self._spawn(self._probe_suspects(chain, silence, request_id, move_now))
         if move_now:
             self._router.report_stalled(chain)
@@ -205,7 +205,7 @@
 
     def ask_first(self, chain: Chain, request_id: str, silent_s: float) -> None:
         """Ask the first backend server of a silent stream whom it waits for."""
-        if self.pace.take(chain.hosts[0], self._loop.time()):
+        if self.pace.allow_probe(chain.hosts[0], self._loop.time()):
             self._spawn(self._ask_first(chain, request_id, silent_s))
 
     async def _ask_first(self, chain: Chain, request_id: str, silent_s: float) -> None:
@@ -244,7 +244,7 @@
         )
         self._suspect_all(verdict.unheard)
         if verdict.lost:
-            self.pace.found(chain.hosts[0])
+            self.pace.dead_server_found(chain.hosts[0])
             self._give_up(verdict.lost)
         return bool(verdict.lost)
 
--- a/src/railfold/_internal/platform/store.py
+++ b/src/railfold/_internal/platform/store.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from railfold._internal.core import Address
-from railfold._internal.decisions.fleet_size import Deal
+from railfold._internal.decisions.fleet_size import PartitionAssignment
 from railfold._internal.decisions.leadership import LeaseGrant
 from railfold._internal.decisions.log_epoch import fencing_token
 from railfold._internal.errors import (
@@ -343,7 +343,7 @@
         self._generation = joined.generation if same_history else 0
         holding = (self._topics[0], _PARTITION) in rows and same_history
         token = fencing_token(epoch, self._first_generation + joined.generation)
-        deal = Deal(token, len(joined.parts), self._partitions)
+        deal = PartitionAssignment(token, len(joined.parts), self._partitions)
         is_candidate = not rows.isdisjoint(self._candidate_rows)
         return LeaseGrant(holding, token, deal, epoch, is_candidate)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,10 +8,10 @@
 import pytest
 
 from tests.lib.hosts import Host, new_host
-from tests.lib.properties import fix_examples
+from tests.lib.properties import load_example_profile
 
 # Before any test is read: settings are taken as a test is defined.
-fix_examples()
+load_example_profile()
 
 KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
--- a/tests/forwarding/test_requests.py
+++ b/tests/forwarding/test_requests.py
@@ -239,7 +239,9 @@
     await connection.send("/draft/1", "r-1", events=60)
     await connection.read_head()
     await until(lambda: bool(fleet_load.own))
-    await until(lambda: all(p.unread_tokens == 0 for p in fleet_load.own.values()))
+    await until(
+        lambda: all(p.pending_prompt_tokens == 0 for p in fleet_load.own.values())
+    )
     assert deployment.entry.router.table is not None
     model = deployment.entry.router.table.services[MODEL_SERVICE].model
     assert model is not None
--- a/tests/lib/fleet_draws.py
+++ b/tests/lib/fleet_draws.py
@@ -30,7 +30,7 @@
     search_chains,
 )
 from railfold._internal.decisions.domain_pipes import DomainPipes
-from railfold._internal.decisions.fleet_load import FleetLoad, LoadPart, ServerLoad
+from railfold._internal.decisions.fleet_load import EntryLoad, FleetLoad, ServerLoad
 from railfold._internal.decisions.planner import Replica
 from railfold._internal.decisions.routing_table import Accelerator, EngineModel
 
@@ -166,7 +166,7 @@
         self.load = load
         self.rng = random.Random(seed)
         self.known = [FleetLoad(LIFETIME_S) for _ in range(load.entries)]
-        self.held: dict[str, LoadPart] = {e.name: LoadPart() for e in engines}
+        self.held: dict[str, EntryLoad] = {e.name: EntryLoad() for e in engines}
         self.firsts: Counter[str] = Counter()
         self.pipes = [DomainPipes() for _ in range(load.entries)]
         self.busy_until_s: dict[tuple[str, ...], float] = {}
@@ -289,7 +289,7 @@
                 ServerLoad(
                     self.held[e.name].tokens,
                     self.held[e.name].sequences + 1,
-                    self.held[e.name].unread_tokens,
+                    self.held[e.name].pending_prompt_tokens,
                 ),
             )
             for e, layers in chain
@@ -311,8 +311,8 @@
         outcome.late_pause += not on_pause
         outcome.in_time += on_start and on_pause
         self.firsts[first] += 1
-        unread = LoadPart(0, 0, needs.prompt_tokens)
-        held = LoadPart(needs.total_tokens, 1, 0)
+        unread = EntryLoad(0, 0, needs.prompt_tokens)
+        held = EntryLoad(needs.total_tokens, 1, 0)
         names = [engine.name for engine, _ in chain]
         self._count(names, entry, held)
         self._count(names, entry, unread)
@@ -342,15 +342,15 @@
         return begins_s + prompt_s - now_s
 
     def _count(
-        self, names: list[str], entry: int, part: LoadPart, *, back: bool = False
+        self, names: list[str], entry: int, part: EntryLoad, *, back: bool = False
     ) -> None:
         sign = -1 if back else 1
         for name in names:
             known = self.held[name]
-            self.held[name] = LoadPart(
+            self.held[name] = EntryLoad(
                 known.tokens + sign * part.tokens,
                 known.sequences + sign * part.sequences,
-                known.unread_tokens + sign * part.unread_tokens,
+                known.pending_prompt_tokens + sign * part.pending_prompt_tokens,
             )
             if back:
                 self.known[entry].subtract(name, part)
--- a/tests/lib/properties.py
+++ b/tests/lib/properties.py
@@ -13,18 +13,18 @@
 
 from hypothesis import settings
 
-__all__ = ["examples", "fix_examples"]
+__all__ = ["examples", "load_example_profile"]
 
-_FACTOR = int(os.environ.get("RAILFOLD_FRESH_EXAMPLES", "0"))
+_FRESH_EXAMPLES_FACTOR = int(os.environ.get("RAILFOLD_FRESH_EXAMPLES", "0"))
 
 
-def fix_examples() -> None:
+def load_example_profile() -> None:
     """Let all property tests draw the same examples, unless fresh are asked for."""
     settings.register_profile("fixed", derandomize=True, deadline=None, database=None)
     settings.register_profile("fresh", deadline=None)
-    settings.load_profile("fresh" if _FACTOR else "fixed")
+    settings.load_profile("fresh" if _FRESH_EXAMPLES_FACTOR else "fixed")
 
 
 def examples(count: int) -> settings:
     """Return settings for so many examples; with fresh ones, a multiple of it."""
-    return settings(max_examples=count * max(1, _FACTOR))
+    return settings(max_examples=count * max(1, _FRESH_EXAMPLES_FACTOR))
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -32,13 +32,13 @@
     return Ticket(workspace, deadline_s=60.0, **{**defaults, **fields})  # type: ignore[arg-type]
 
 
-def queue_of(capacity: int, **limits: int) -> AdmissionQueue:
+def queue_with_capacity(capacity: int, **limits: int) -> AdmissionQueue:
     queue = AdmissionQueue(AdmissionLimits(**limits))
     queue.set_capacity(capacity, 0.0)
     return queue
 
 
-def drain_order(queue: FairQueue[str], count: int) -> list[str]:
+def pop_items(queue: FairQueue[str], count: int) -> list[str]:
     return [item for _ in range(count) if (item := queue.pop()) is not None]
 
 
@@ -46,9 +46,9 @@
     queue: FairQueue[str] = FairQueue(1000, 10_000)
     for _ in range(500):
         queue.push("flood", 1.0, 0, 1.0, "flood")
-    drain_order(queue, 100)
+    pop_items(queue, 100)
     queue.push("quiet", 1.0, 0, 1.0, "quiet")
-    assert "quiet" in drain_order(queue, 2)
+    assert "quiet" in pop_items(queue, 2)
 
 
 def test_shares_follow_weights_and_cost() -> None:
@@ -57,35 +57,37 @@
         queue.push("heavy", 3.0, 0, 1.0, "heavy")
         queue.push("light", 1.0, 0, 1.0, "light")
         queue.push("large", 1.0, 0, 4.0, "large")
-    served = Counter(drain_order(queue, 1700))
+    served = Counter(pop_items(queue, 1700))
     assert served["heavy"] / served["light"] == pytest.approx(3.0, rel=0.02)
     assert served["light"] / served["large"] == pytest.approx(4.0, rel=0.02)
 
 
-def test_idle_workspace_saves_no_credit() -> None:
+def test_idle_workspace_accumulates_no_credit() -> None:
     queue: FairQueue[str] = FairQueue(1000, 10_000)
     queue.push("early", 1.0, 0, 1.0, "early")
     for _ in range(100):
         queue.push("steady", 1.0, 0, 1.0, "steady")
-    drain_order(queue, 60)
+    pop_items(queue, 60)
     for _ in range(40):
         queue.push("early", 1.0, 0, 1.0, "early")
-    assert Counter(drain_order(queue, 20))["early"] <= 11
+    assert Counter(pop_items(queue, 20))["early"] <= 11
 
 
-def test_priority_goes_first_within_its_workspace_only() -> None:
+def test_priority_orders_requests_only_within_a_workspace() -> None:
     queue: FairQueue[str] = FairQueue(100, 100)
     queue.push("a", 1.0, 0, 1.0, "a-low")
     queue.push("a", 1.0, 5, 1.0, "a-high")
     queue.push("b", 1.0, 0, 1.0, "b")
-    assert drain_order(queue, 3) == ["a-high", "b", "a-low"]
+    assert pop_items(queue, 3) == ["a-high", "b", "a-low"]
 
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(st.lists(st.tuples(st.integers(0, 3), st.integers(0, 2)), max_size=80))
-def test_queue_gives_each_request_once(events: list[tuple[int, int]]) -> None:
+def test_each_queued_request_is_popped_or_removed_once(
+    events: list[tuple[int, int]],
+) -> None:
     queue: FairQueue[object] = FairQueue(5, 12)
-    inside: dict[int, tuple[str, object]] = {}
+    queued: dict[int, tuple[str, object]] = {}
     for kind, flow in events:
         workspace = f"w{flow}"
         match kind:
@@ -93,24 +95,24 @@
                 item = object()
                 try:
                     queue.push(workspace, 1.0 + flow, kind, 1.0, item)
-                    inside[id(item)] = (workspace, item)
+                    queued[id(item)] = (workspace, item)
                 except QueueFullError:
-                    assert len(inside) == 12 or queue.waiting(workspace) == 5
+                    assert len(queued) == 12 or queue.waiting(workspace) == 5
             case 2:
                 popped = queue.pop()
-                assert (popped is None) == (not inside)
-                inside.pop(id(popped), None)
-            case 3 if inside:
-                key, (name, item) = next(iter(inside.items()))
+                assert (popped is None) == (not queued)
+                queued.pop(id(popped), None)
+            case 3 if queued:
+                key, (name, item) = next(iter(queued.items()))
                 assert queue.remove(name, item)
-                del inside[key]
+                del queued[key]
             case _:
                 pass
-        assert len(queue) == len(inside)
+        assert len(queue) == len(queued)
 
 
 def test_capacity_admits_and_queues() -> None:
-    queue = queue_of(2)
+    queue = queue_with_capacity(2)
     first = ticket()
     assert queue.offer(first, 0.0) == Admitted()
     assert queue.offer(ticket(), 0.0) == Admitted()
@@ -119,8 +121,8 @@
     assert queue.finished(first, 1.0, 1.0) == [waiting]
 
 
-def test_wait_past_the_deadline_is_refused_at_once() -> None:
-    queue = queue_of(1)
+def test_predicted_wait_past_the_deadline_is_refused_at_once() -> None:
+    queue = queue_with_capacity(1)
     running = ticket()
     queue.offer(running, 0.0)
     queue.finished(running, 25.0, 25.0)
@@ -132,7 +134,7 @@
 
 
 def test_request_that_would_end_too_late_is_refused_or_shed_at_its_turn() -> None:
-    queue = queue_of(1)
+    queue = queue_with_capacity(1)
     first = ticket(cost=10.0)
     queue.offer(first, 0.0)
     queue.finished(first, 10.0, 10.0)
@@ -145,20 +147,20 @@
     assert isinstance(queue.offer(ticket(cost=70.0), 0.0), Refused)
 
 
-def test_place_is_kept_from_a_workspace_that_holds_the_rest() -> None:
-    queue = queue_of(20)
+def test_one_workspace_cannot_take_the_reserved_capacity() -> None:
+    queue = queue_with_capacity(20)
     flood = [ticket("flood") for _ in range(40)]
     assert [queue.offer(t, 0.0) for t in flood].count(Admitted()) == 19
     assert queue.offer(ticket("quiet"), 0.0) == Admitted()
     assert queue.finished(flood[0], 1.0, 1.0) == [flood[19]]
 
 
-def test_one_place_serves_one_workspace() -> None:
-    assert queue_of(1).offer(ticket(), 0.0) == Admitted()
+def test_capacity_of_one_reserves_nothing() -> None:
+    assert queue_with_capacity(1).offer(ticket(), 0.0) == Admitted()
 
 
-def test_limit_of_a_workspace() -> None:
-    queue = queue_of(10)
+def test_workspace_in_flight_limit_is_enforced() -> None:
+    queue = queue_with_capacity(10)
     assert queue.offer(ticket(max_in_flight=1), 0.0) == Admitted()
     refused = queue.offer(ticket(max_in_flight=1), 0.0)
     assert isinstance(refused, Refused)
@@ -166,8 +168,8 @@
     assert queue.offer(ticket("other", max_in_flight=1), 0.0) == Admitted()
 
 
-def test_dead_capacity_refuses_and_sheds() -> None:
-    queue = queue_of(1)
+def test_lost_capacity_refuses_new_and_sheds_waiting_requests() -> None:
+    queue = queue_with_capacity(1)
     queue.offer(ticket(), 0.0)
     waiting = ticket()
     queue.offer(waiting, 0.0)
@@ -178,8 +180,8 @@
     assert refused.error.code == "no_capacity"
 
 
-def test_bounded_queue_refuses() -> None:
-    queue = queue_of(1, max_waiting=1)
+def test_full_queue_refuses_new_requests() -> None:
+    queue = queue_with_capacity(1, max_waiting=1)
     queue.offer(ticket(), 0.0)
     assert queue.offer(ticket(), 0.0) == Queued()
     refused = queue.offer(ticket(), 0.0)
@@ -193,7 +195,7 @@
     assert entry_share(10, 0) == 10
 
 
-def test_retries_are_a_share_of_first_attempts() -> None:
+def test_retries_are_limited_to_a_share_of_first_attempts() -> None:
     budget = RetryBudget(RetryLimits(share=0.2, slack=3.0))
     assert [budget.spend(0.0) for _ in range(4)] == [True, True, True, False]
     for _ in range(5):
@@ -201,7 +203,7 @@
     assert [budget.spend(0.0), budget.spend(0.0)] == [True, False]
 
 
-def test_retries_are_allowed_again_once_those_before_are_a_window_old() -> None:
+def test_retries_are_allowed_again_after_the_window_has_passed() -> None:
     budget = RetryBudget(RetryLimits(share=0.2, slack=2.0, window_s=10.0))
     assert [budget.spend(at_s) for at_s in (0.0, 4.0, 9.9)] == [True, True, False]
     assert [budget.spend(at_s) for at_s in (10.0, 13.9)] == [True, False]
@@ -209,7 +211,7 @@
 
 
 @given(st.lists(st.tuples(st.floats(0, 60), st.booleans()), max_size=300))
-def test_no_window_holds_more_retries_than_its_limits(
+def test_retries_in_any_window_stay_within_the_limits(
     attempts: list[tuple[float, bool]],
 ) -> None:
     limits = RetryLimits(share=0.25, slack=3.0, window_s=10.0)
@@ -229,7 +231,7 @@
         assert spent <= limits.slack + limits.share * earned
 
 
-def test_services_have_budgets_of_their_own() -> None:
+def test_retry_budgets_are_separate_per_service() -> None:
     budgets = RetryBudgets(RetryLimits(slack=1.0))
     assert [budgets.of("a").spend(0.0) for _ in range(2)] == [True, False]
     assert budgets.of("b").spend(0.0)
@@ -237,7 +239,7 @@
     assert budgets.of("a").spend(0.0)
 
 
-def test_refused_callers_come_back_later_under_load() -> None:
+def test_retry_after_grows_with_load_up_to_a_limit() -> None:
     assert jittered_retry_after_s(1.0, 0.0) < jittered_retry_after_s(2.0, 0.0)
     assert jittered_retry_after_s(1.0, 0.0) < jittered_retry_after_s(1.0, 1.0)
     assert jittered_retry_after_s(1000.0, 1.0) <= 45.0
--- a/tests/unit/test_arrival_rate.py
+++ b/tests/unit/test_arrival_rate.py
@@ -7,7 +7,7 @@
 from railfold._internal.decisions.arrival_rate import ArrivalRates, FleetArrivals
 
 
-def test_a_steady_rate_is_found() -> None:
+def test_steady_rate_is_measured() -> None:
     rates = ArrivalRates()
     for n in range(200):
         rates.arrived("draft", n * 0.1)
@@ -15,7 +15,7 @@
     assert rates.per_s("other", 19.9) == 0.0
 
 
-def test_a_burst_shows_within_a_few_seconds_and_fades() -> None:
+def test_burst_is_measured_within_seconds_and_decays() -> None:
     rates = ArrivalRates()
     for n in range(40):
         rates.arrived("draft", 10.0 + n * 0.1)
@@ -29,12 +29,12 @@
 
 
 # Requests a second at five entries in three failure domains; one domain has one entry.
-UNLIKE = {"a-1": 4.0, "a-2": 4.0, "b-1": 4.0, "b-2": 4.0, "c-1": 8.0}
+UNEVEN_RATES = {"a-1": 4.0, "a-2": 4.0, "b-1": 4.0, "b-2": 4.0, "c-1": 8.0}
 
 
-@pytest.mark.parametrize("who", UNLIKE)
-def test_whoever_places_layers_reckons_with_the_same_load(
-    fleet: FleetArrivals, who: str
+@pytest.mark.parametrize("own_entry", UNEVEN_RATES)
+def test_every_entry_computes_the_same_fleet_rate(
+    fleet: FleetArrivals, own_entry: str
 ) -> None:
     """One reckoned 20 requests a second and the other 40, where 24 arrived.
 
@@ -42,25 +42,30 @@
     domain that had lost an engine was spread anew instead of repaired, and nothing was
     served there for two seconds. Which entry placed layers differed from run to run.
     """
-    assert fleet.total_per_s("draft", UNLIKE[who], 5, 1.0) == 5 * UNLIKE[who]
-    for name, rate in UNLIKE.items():
-        if name != who:
-            fleet.told(name, {"draft": rate}, 1.0)
-    assert fleet.total_per_s("draft", UNLIKE[who], 5, 2.0) == pytest.approx(24.0)
-
-
-def test_those_that_dont_tell_count_as_the_others_do(fleet: FleetArrivals) -> None:
-    fleet.told("a-2", {"draft": 2.0}, 1.0)
+    assert (
+        fleet.total_per_s("draft", UNEVEN_RATES[own_entry], 5, 1.0)
+        == 5 * UNEVEN_RATES[own_entry]
+    )
+    for name, rate in UNEVEN_RATES.items():
+        if name != own_entry:
+            fleet.announced(name, {"draft": rate}, 1.0)
+    assert fleet.total_per_s("draft", UNEVEN_RATES[own_entry], 5, 2.0) == pytest.approx(
+        24.0
+    )
+
+
+def test_silent_entries_count_with_the_average_rate(fleet: FleetArrivals) -> None:
+    fleet.announced("a-2", {"draft": 2.0}, 1.0)
     assert fleet.total_per_s("draft", 4.0, 6, 2.0) == pytest.approx(18.0)
     assert fleet.total_per_s("other", 0.0, 6, 2.0) == 0.0
 
 
-def test_what_was_told_is_forgotten(fleet: FleetArrivals) -> None:
-    fleet.told("a-2", {"draft": 100.0}, 1.0)
+def test_announcements_expire(fleet: FleetArrivals) -> None:
+    fleet.announced("a-2", {"draft": 100.0}, 1.0)
     assert fleet.total_per_s("draft", 4.0, 2, 30.0) == pytest.approx(8.0)
 
 
-def test_a_mad_figure_is_bounded(fleet: FleetArrivals) -> None:
-    fleet.told("a-2", {"draft": 1e300, "other": -5.0}, 1.0)
+def test_implausible_announcement_is_bounded(fleet: FleetArrivals) -> None:
+    fleet.announced("a-2", {"draft": 1e300, "other": -5.0}, 1.0)
     assert fleet.total_per_s("draft", 4.0, 2, 2.0) < 20_000.0
     assert fleet.total_per_s("other", 1.0, 2, 2.0) == 1.0
--- a/tests/unit/test_chain_prediction.py
+++ b/tests/unit/test_chain_prediction.py
@@ -37,7 +37,7 @@
 
 
 def test_prompts_that_wait_and_sequences_in_flight_make_it_later() -> None:
-    load = ServerLoad(tokens=40_000, sequences=50, unread_tokens=8000)
+    load = ServerLoad(tokens=40_000, sequences=50, pending_prompt_tokens=8000)
     loaded = replace(IDLE, load=load)
     idle = predict_chain([IDLE], MODEL, 800, 200)
     found = predict_chain([loaded], MODEL, 800, 200)
--- a/tests/unit/test_eligibility.py
+++ b/tests/unit/test_eligibility.py
@@ -112,5 +112,5 @@
     assert setting.bar(Role.FIRST_STAGE) == Full()
     assert setting.bar(Role.LATER_STAGE) == Full()
     assert setting.bar(Role.FIRST_STAGE, Terms(relaxed=True)) is None
-    setting.fleet_load.room_freed("i-1")
+    setting.fleet_load.capacity_freed("i-1")
     assert setting.bar(Role.FIRST_STAGE) is None
--- a/tests/unit/test_engine_directory.py
+++ b/tests/unit/test_engine_directory.py
@@ -14,7 +14,7 @@
     EngineDirectory,
     Registration,
 )
-from railfold._internal.decisions.fleet_load import FleetLoad, LoadPart, ServerLoad
+from railfold._internal.decisions.fleet_load import EntryLoad, FleetLoad, ServerLoad
 from tests.lib.models import MODEL
 
 ENGINE = Registration(
@@ -89,7 +89,7 @@
     """What one of some entries reckons with that hears none of the others."""
     fleet = FleetLoad(lifetime_s=2.0)
     for server_id, tokens in own.items():
-        fleet.add(server_id, LoadPart(tokens, 1))
+        fleet.add(server_id, EntryLoad(tokens, 1))
     return lambda server_id: fleet.load(server_id, entries, now_s=0.0)
 
 
@@ -115,7 +115,7 @@
     directory: EngineDirectory,
 ) -> None:
     fleet = FleetLoad(lifetime_s=2.0)
-    fleet.announced("entry-2", {"i-1": LoadPart(100_000, 90)}, at_s=0.0, now_s=0.0)
+    fleet.announced("entry-2", {"i-1": EntryLoad(100_000, 90)}, at_s=0.0, now_s=0.0)
     (replica,) = directory.layer_replicas(
         "llm", MODEL, "west", lambda server_id: fleet.load(server_id, 2, now_s=0.0), 2
     )
@@ -142,8 +142,8 @@
     assert taken.entry is not None
     assert taken.entry.slowness == 1.0
     fleet = FleetLoad(lifetime_s=2.0)
-    fleet.add(before.server_id, LoadPart(4000, 1))
-    assert fleet.own_part(taken.entry.server_id) == LoadPart()
+    fleet.add(before.server_id, EntryLoad(4000, 1))
+    assert fleet.own_load(taken.entry.server_id) == EntryLoad()
     assert taken.entry.suspect_since_s is None
     assert directory.get(before.server_id) is None
 
--- a/tests/unit/test_fleet_balance.py
+++ b/tests/unit/test_fleet_balance.py
@@ -10,7 +10,7 @@
 
 from railfold._internal.core import LayerRange
 from railfold._internal.decisions.chain_costs import RequestNeeds
-from railfold._internal.decisions.fleet_load import LoadPart
+from railfold._internal.decisions.fleet_load import EntryLoad
 from tests.lib.fleet_draws import (
     CAPACITY_RPS,
     Choose,
@@ -45,7 +45,7 @@
 
 def least_of_own(fleet: Fleet, entry: int, needs: RequestNeeds, now_s: float) -> Chain:
     def own_tokens(engines: list[Engine]) -> tuple[int, float]:
-        part = fleet.known[entry].own.get(engines[0].name, LoadPart())
+        part = fleet.known[entry].own.get(engines[0].name, EntryLoad())
         return part.tokens, fleet.rng.random()
 
     return whole(min(parallel_chains(fleet.engines), key=own_tokens))
--- a/tests/unit/test_fleet_size.py
+++ b/tests/unit/test_fleet_size.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from railfold._internal.core import Address
-from railfold._internal.decisions.fleet_size import Deal, FleetSize
+from railfold._internal.decisions.fleet_size import FleetSize, PartitionAssignment
 from railfold._internal.decisions.retry_budget import RetryBudget, RetryLimits
 from railfold._internal.forwarding import fleet_limits
 from railfold._internal.platform.store import GroupLease
@@ -40,27 +40,31 @@
 @pytest.fixture
 def fleet() -> FleetSize:
     """An entry that was there from the beginning."""
-    return FleetSize(WINDOW_S, LAPSE_S, founded_by_s=1.0)
+    return FleetSize(WINDOW_S, LAPSE_S, initial_members_until_s=1.0)
 
 
-def settle(fleet: FleetSize, generation: int, own: int, now_s: float) -> float:
+def settle_assignment(
+    fleet: FleetSize, generation: int, own: int, now_s: float
+) -> float:
     """Let a deal stand until it counts; return when it does."""
     for _ in range(4):
-        fleet.dealt(Deal(generation, own, PARTITIONS), now_s)
+        fleet.assignment_received(
+            PartitionAssignment(generation, own, PARTITIONS), now_s
+        )
         now_s += 0.75
     return now_s
 
 
 @pytest.mark.parametrize(("own", "members"), [(408, 1), (6, 68), (1, 408), (0, 408)])
-def test_a_share_tells_how_many_there_are(
+def test_member_count_follows_from_the_partition_share(
     fleet: FleetSize, own: int, members: int
 ) -> None:
-    settle(fleet, 1, own, 0.0)
+    settle_assignment(fleet, 1, own, 0.0)
     assert fleet.members == members
 
 
 @pytest.mark.parametrize("partitions", [1, 12, 24, 500])
-def test_no_more_topics_are_asked_for_than_the_store_deals(partitions: int) -> None:
+def test_lease_requests_no_more_topics_than_the_store_assigns(partitions: int) -> None:
     """With 34 topics of 12, five entries took themselves for eight to ten.
 
     Users saw two levels of service on one day: load was reckoned 1.7 times too large,
@@ -72,95 +76,93 @@
     assert len(lease._topics) == min(MOST_TOPICS_DEALT, -(-400 // partitions))
 
 
-async def test_entries_reckon_as_many_as_there_are(five_entries: Deployment) -> None:
+async def test_entries_estimate_the_actual_fleet_size(five_entries: Deployment) -> None:
     """By the stand-in's deal, which passes over topics as the store does."""
     entries = five_entries.entries
     await until(lambda: {e.router.entries for e in entries} == {5}, 10.0)
 
 
 @pytest.mark.parametrize(("entries", "partitions"), [(68, 240), (383, 240), (380, 20)])
-def test_parts_add_up_where_partitions_are_few(entries: int, partitions: int) -> None:
-    parts = []
+def test_shares_add_up_with_few_partitions(entries: int, partitions: int) -> None:
+    shares = []
     for number in range(entries):
-        fleet = FleetSize(WINDOW_S, LAPSE_S, founded_by_s=1.0)
-        fleet.listed(entries)
+        fleet = FleetSize(WINDOW_S, LAPSE_S, initial_members_until_s=1.0)
+        fleet.set_listed_entries(entries)
         own = len(range(number, partitions, entries))
         for now_s in (0.0, 0.75, 1.5):
-            fleet.dealt(Deal(1, own, partitions), now_s)
+            fleet.assignment_received(PartitionAssignment(1, own, partitions), now_s)
         assert fleet.members == entries
-        parts.append(fleet.part(1.5))
-    assert 0.95 <= sum(parts) <= 1.0 + 1e-9
+        shares.append(fleet.share(1.5))
+    assert 0.95 <= sum(shares) <= 1.0 + 1e-9
 
 
-def test_a_list_with_many_that_are_away_doesnt_count(fleet: FleetSize) -> None:
-    fleet.listed(12)
-    now_s = settle(fleet, 1, 82, 0.0)
+def test_list_with_many_absent_entries_is_ignored(fleet: FleetSize) -> None:
+    fleet.set_listed_entries(12)
+    now_s = settle_assignment(fleet, 1, 82, 0.0)
     assert fleet.members == 5
-    assert fleet.part(now_s) == 1 / 5
+    assert fleet.share(now_s) == 1 / 5
 
 
-def test_nothing_may_be_spent_before_anything_is_known(fleet: FleetSize) -> None:
+def test_share_is_zero_before_the_first_assignment(fleet: FleetSize) -> None:
     assert fleet.members is None
-    assert fleet.part(0.0) == 0.0
+    assert fleet.share(0.0) == 0.0
 
 
-def test_partitions_that_move_dont_count_as_a_larger_fleet(fleet: FleetSize) -> None:
-    now_s = settle(fleet, 1, 82, 0.0)
-    fleet.dealt(Deal(2, 0, PARTITIONS), now_s)
+def test_rebalancing_is_not_taken_for_a_larger_fleet(fleet: FleetSize) -> None:
+    now_s = settle_assignment(fleet, 1, 82, 0.0)
+    fleet.assignment_received(PartitionAssignment(2, 0, PARTITIONS), now_s)
     assert fleet.members == 5
-    assert fleet.part(now_s) == 1 / 5
+    assert fleet.share(now_s) == 1 / 5
 
 
-def test_a_part_grows_once_what_others_spent_is_outside_the_window(
+def test_share_grows_only_after_two_windows(
     fleet: FleetSize,
 ) -> None:
-    now_s = settle(fleet, 1, 41, 0.0)
-    now_s = settle(fleet, 2, 82, now_s)
+    now_s = settle_assignment(fleet, 1, 41, 0.0)
+    now_s = settle_assignment(fleet, 2, 82, now_s)
     assert fleet.members == 5
-    assert fleet.part(now_s) == 1 / 10
+    assert fleet.share(now_s) == 1 / 10
     later_s = now_s + 2 * WINDOW_S
     while now_s < later_s:
-        fleet.dealt(Deal(2, 82, PARTITIONS), now_s)
+        fleet.assignment_received(PartitionAssignment(2, 82, PARTITIONS), now_s)
         now_s += 0.75
-    assert fleet.part(now_s) == 1 / 5
+    assert fleet.share(now_s) == 1 / 5
 
 
-def test_one_that_comes_has_a_share_of_its_part_until_nobody_reckons_without_it() -> (
-    None
-):
+def test_new_member_has_a_reduced_share_until_all_others_count_it() -> None:
     fleet = FleetSize(WINDOW_S, LAPSE_S)
-    assert fleet.part(0.0) == 0.0
-    fleet.dealt(Deal(1, 136, PARTITIONS), 0.0)
-    assert fleet.part(0.1) == 0.0  # Its deal may be that of a moment.
-    fleet.listed(4)
-    assert fleet.part(0.1) == 0.25 / 4
-    now_s = settle(fleet, 1, 102, 0.0)
+    assert fleet.share(0.0) == 0.0
+    fleet.assignment_received(PartitionAssignment(1, 136, PARTITIONS), 0.0)
+    assert fleet.share(0.1) == 0.0  # Its deal may be that of a moment.
+    fleet.set_listed_entries(4)
+    assert fleet.share(0.1) == 0.25 / 4
+    now_s = settle_assignment(fleet, 1, 102, 0.0)
     while now_s < LAPSE_S + 2 * WINDOW_S:
-        assert fleet.part(now_s) == 0.25 / 4
-        fleet.dealt(Deal(1, 102, PARTITIONS), now_s)
+        assert fleet.share(now_s) == 0.25 / 4
+        fleet.assignment_received(PartitionAssignment(1, 102, PARTITIONS), now_s)
         now_s += 0.75
-    assert fleet.part(now_s) == 1 / 4
+    assert fleet.share(now_s) == 1 / 4
 
 
-def test_so_has_one_that_the_store_didnt_hear_for_a_while(fleet: FleetSize) -> None:
-    now_s = settle(fleet, 1, 82, 0.0)
+def test_returning_member_has_a_reduced_share(fleet: FleetSize) -> None:
+    now_s = settle_assignment(fleet, 1, 82, 0.0)
     back_s = now_s + 25.0
-    fleet.dealt(Deal(3, 82, PARTITIONS), back_s)
-    assert fleet.part(back_s) == 0.25 / 5
+    fleet.assignment_received(PartitionAssignment(3, 82, PARTITIONS), back_s)
+    assert fleet.share(back_s) == 0.25 / 5
 
 
-def test_one_that_isnt_heard_gives_its_part_up_before_others_take_it(
+def test_disconnected_member_gives_up_its_share_before_others_take_it(
     fleet: FleetSize,
 ) -> None:
-    now_s = settle(fleet, 1, 82, 0.0)
-    assert fleet.part(now_s + WINDOW_S) == 1 / 5
-    assert fleet.part(now_s + WINDOW_S + LAPSE_S) == 0.0
+    now_s = settle_assignment(fleet, 1, 82, 0.0)
+    assert fleet.share(now_s + WINDOW_S) == 1 / 5
+    assert fleet.share(now_s + WINDOW_S + LAPSE_S) == 0.0
 
 
 # When the first event may come; all entries know each other by then.
-FIRST_S = 100.0
+EVENTS_FROM_S = 100.0
 STEP_S = 0.25
-WHOLE = 320.0
+LIMIT = 320.0
 
 
 @dataclass
@@ -168,12 +170,14 @@
     """An entry of the simulated fleet."""
 
     fleet: FleetSize = field(
-        default_factory=lambda: FleetSize(WINDOW_S, LAPSE_S, founded_by_s=FIRST_S)
+        default_factory=lambda: FleetSize(
+            WINDOW_S, LAPSE_S, initial_members_until_s=EVENTS_FROM_S
+        )
     )
     budget: RetryBudget = field(
         default_factory=lambda: RetryBudget(RetryLimits(0.0, 0.0, WINDOW_S))
     )
-    renew_s: float = 0.0
+    next_renewal_s: float = 0.0
     cut_until_s: float = 0.0
     down_until_s: float = 0.0
 
@@ -182,17 +186,17 @@
 class Store:
     """Deals partitions evenly among the members that it heard of late."""
 
-    heard_s: dict[int, float] = field(default_factory=dict)
+    last_renewals_s: dict[int, float] = field(default_factory=dict)
     generation: int = 0
 
-    def join(self, name: int, now_s: float) -> Deal:
-        known = set(self.heard_s)
-        live = {n: at for n, at in self.heard_s.items() if now_s - at < LAPSE_S}
-        self.heard_s = {**live, name: now_s}
-        self.generation += set(self.heard_s) != known
-        members = sorted(self.heard_s)
+    def join(self, name: int, now_s: float) -> PartitionAssignment:
+        known = set(self.last_renewals_s)
+        live = {n: at for n, at in self.last_renewals_s.items() if now_s - at < LAPSE_S}
+        self.last_renewals_s = {**live, name: now_s}
+        self.generation += set(self.last_renewals_s) != known
+        members = sorted(self.last_renewals_s)
         own = len(range(members.index(name), PARTITIONS, len(members)))
-        return Deal(self.generation, own, PARTITIONS)
+        return PartitionAssignment(self.generation, own, PARTITIONS)
 
 
 LAST_STEP = 360
@@ -221,7 +225,7 @@
 )
 @examples(60)
 @given(EVENTS, SPENDERS, st.integers(4, 8), st.booleans())
-def test_parts_add_up_to_no_more_than_the_whole_in_any_window(
+def test_spending_in_any_window_stays_within_the_limit(
     events: list[tuple[int, str, set[int], float]],
     spenders: list[tuple[int, set[int]]],
     size: int,
@@ -233,27 +237,29 @@
     spent: list[tuple[float, int]] = []
     # Each entry has known its part for a while when the first event comes.
     for step in range(-40, LAST_STEP + 1):
-        now_s = FIRST_S + step * STEP_S
+        now_s = EVENTS_FROM_S + step * STEP_S
         for at, kind, names, for_s in events:
             if at == step:
                 for name in names & set(members):
-                    strike(members, name, kind, now_s, for_s)
+                    apply_event(members, name, kind, now_s, for_s)
                     if listed:
-                        members[name].fleet.listed(size)
+                        members[name].fleet.set_listed_entries(size)
         for name, member in members.items():
-            if now_s >= max(member.renew_s, member.cut_until_s, member.down_until_s):
-                member.fleet.dealt(store.join(name, now_s), now_s)
-                member.renew_s = now_s + 0.75
+            if now_s >= max(
+                member.next_renewal_s, member.cut_until_s, member.down_until_s
+            ):
+                member.fleet.assignment_received(store.join(name, now_s), now_s)
+                member.next_renewal_s = now_s + 0.75
         for at, names in spenders:
             if at == step:
                 for name in names & set(members):
                     spent.append((now_s, spend_all(members[name], now_s)))
     for end_s, _ in spent:
         in_window = [n for at_s, n in spent if end_s - WINDOW_S < at_s <= end_s]
-        assert sum(in_window) <= WHOLE
+        assert sum(in_window) <= LIMIT
 
 
-def strike(
+def apply_event(
     members: dict[int, Member], name: int, kind: str, now_s: float, for_s: float
 ) -> None:
     member = members[name]
@@ -264,14 +270,14 @@
     else:
         back_s = now_s + for_s
         fleet = FleetSize(WINDOW_S, LAPSE_S)
-        members[name] = Member(fleet, renew_s=back_s, down_until_s=back_s)
+        members[name] = Member(fleet, next_renewal_s=back_s, down_until_s=back_s)
 
 
 def spend_all(member: Member, now_s: float) -> int:
     """Spend all that an entry is allowed now."""
     if now_s < member.down_until_s:
         return 0
-    slack = WHOLE * fleet_limits._RETRY_SAFETY * member.fleet.part(now_s)
+    slack = LIMIT * fleet_limits._RETRY_SAFETY * member.fleet.share(now_s)
     member.budget.limits = RetryLimits(0.0, slack, WINDOW_S)
     count = 0
     while member.budget.spend(now_s):
@@ -279,21 +285,21 @@
     return count
 
 
-def test_small_parts_of_many_entries_add_up_to_what_they_are() -> None:
+def test_fractional_budgets_of_many_entries_add_up_to_the_limit() -> None:
     """Each of 68 entries may spend 3.76 of 256: whole numbers alone made it 204."""
     rng = random.Random(11)
     limits = RetryLimits(0.0, 256 / 68, WINDOW_S)
     rounded = [RetryBudget(limits, rng.random()) for _ in range(68)]
-    spent = sum(spent_by(budget) for budget in rounded)
-    assert sum(spent_by(RetryBudget(limits)) for _ in range(68)) == 204
+    spent = sum(spend_until_refused(budget) for budget in rounded)
+    assert sum(spend_until_refused(RetryBudget(limits)) for _ in range(68)) == 204
     assert 245 <= spent <= 267
 
 
-def test_rounding_gives_nothing_where_nothing_is_allowed() -> None:
-    assert spent_by(RetryBudget(RetryLimits(0.0, 0.0, WINDOW_S), 0.99)) == 0
+def test_rounding_adds_nothing_to_an_empty_budget() -> None:
+    assert spend_until_refused(RetryBudget(RetryLimits(0.0, 0.0, WINDOW_S), 0.99)) == 0
 
 
-def spent_by(budget: RetryBudget) -> int:
+def spend_until_refused(budget: RetryBudget) -> int:
     count = 0
     while budget.spend(1.0):
         count += 1
--- a/tests/unit/test_load_rounds.py
+++ b/tests/unit/test_load_rounds.py
@@ -11,13 +11,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from railfold._internal.decisions.fleet_load import FleetLoad, LoadPart
+from railfold._internal.decisions.fleet_load import EntryLoad, FleetLoad
 from railfold._internal.decisions.load_rounds import (
     DomainSum,
     LoadRounds,
+    OtherEntriesLoad,
     PublishSum,
-    SendPart,
-    SumTaken,
+    SendContribution,
 )
 from tests.lib.properties import examples
 
@@ -41,8 +41,8 @@
         self.fleet = FleetLoad(LIFETIME_S)
 
     def load(self, entries: int, now_s: float) -> float:
-        if not self.fleet.own_part("i-1").tokens:
-            self.fleet.add("i-1", LoadPart(self.tokens, 1))
+        if not self.fleet.own_load("i-1").tokens:
+            self.fleet.add("i-1", EntryLoad(self.tokens, 1))
         return self.fleet.load("i-1", entries, now_s).tokens
 
 
@@ -60,7 +60,7 @@
         for entry in self.entries.values():
             self.members.setdefault(entry.domain, []).append(entry.name)
         self.now_s = 0.0
-        self.lost = self.doubled = self.delay_s = 0.0
+        self.loss_probability = self.duplicate_probability = self.delay_s = 0.0
         self.sent = dict.fromkeys(self.entries, 0)
         self._order = itertools.count()
         self._due: list[tuple[float, int, str, str, object]] = []
@@ -70,8 +70,8 @@
             self.sent[sender] += 1
             if self.entries[sender].cut_until_s > self.now_s:
                 continue
-            for _ in range(2 if self.rng.random() < self.doubled else 1):
-                if self.rng.random() < self.lost:
+            for _ in range(2 if self.rng.random() < self.duplicate_probability else 1):
+                if self.rng.random() < self.loss_probability:
                     continue
                 at_s = self.now_s + 0.001 + self.delay_s * self.rng.random()
                 item = (at_s, next(self._order), sender, name, message)
@@ -93,38 +93,38 @@
     def _step(self, entry: Entry) -> None:
         own = {KEY: (entry.tokens,)}
         for action in entry.rounds.step(self.now_s, self.members, lambda: own):
-            if isinstance(action, SendPart):
+            if isinstance(action, SendContribution):
                 self._send(entry.name, [action.to], action)
                 continue
             self._send(entry.name, action.to, action)
             seen = action.seen
-            for name in action.foreign:
+            for name in action.other_domain_receivers:
                 domain = self.entries[name].domain
                 known = DomainSum(
                     entry.domain,
                     action.round,
                     len(action.included),
-                    action.home,
+                    action.domain_total,
                     seen.get(domain),
                 )
                 self._send(entry.name, [name], (known, 0))
-            for known in action.handed_over:
+            for known in action.forwarded_sums:
                 self._send(entry.name, [action.next_collector], (known, 1))
             self._take(entry, entry.name, action)
 
     def _deliver(self, sender: str, entry: Entry, message: object) -> None:
         match message:
-            case SendPart(round=number, part=part):
-                entry.rounds.part_received(sender, number, part)
+            case SendContribution(round=number, contribution=contribution):
+                entry.rounds.contribution_received(sender, number, contribution)
             case PublishSum():
                 self._take(entry, sender, message)
             case (DomainSum() as known, int(hops)):
-                home = self.members[entry.domain]
-                collector = entry.rounds.next_collector(home, self.now_s)
+                domain_members = self.members[entry.domain]
+                collector = entry.rounds.next_collector(domain_members, self.now_s)
                 if collector != entry.name and hops < 2:
                     self._send(entry.name, [collector], (known, hops + 1))
                     return
-                entry.rounds.foreign_sum_received(known, self.now_s)
+                entry.rounds.domain_sum_received(known, self.now_s)
 
     def _take(self, entry: Entry, sender: str, published: PublishSum) -> None:
         taken = entry.rounds.sum_received(
@@ -142,10 +142,10 @@
         assert taken.entries < len(self.entries)
         (tokens,) = taken.others.get(KEY, (0,))
         assert tokens >= 0
-        parts = {"i-1": LoadPart(tokens, 1)}
+        parts = {"i-1": EntryLoad(tokens, 1)}
         entry.fleet.announced("others", parts, taken.at_s, self.now_s, taken.entries)
 
-    def known(self) -> list[int]:
+    def known_entry_counts(self) -> list[int]:
         return [e.fleet.known_entries(self.now_s) for e in self.entries.values()]
 
     def assert_all_know_the_sum(self) -> None:
@@ -162,36 +162,36 @@
     network.assert_all_know_the_sum()
 
 
-def test_a_change_is_known_in_the_own_domain_within_two_intervals() -> None:
+def test_change_reaches_the_own_domain_within_two_intervals() -> None:
     network = Network((7,), random.Random(3))
     network.run(20 * INTERVAL_S)
     network.assert_all_know_the_sum()
     for entry in network.entries.values():
         entry.tokens += 50
-        entry.fleet.add("i-1", LoadPart(50))
+        entry.fleet.add("i-1", EntryLoad(50))
     network.run(2 * INTERVAL_S)
     network.assert_all_know_the_sum()
 
 
-def test_no_entry_sends_more_than_its_share_over_time() -> None:
+def test_sending_is_spread_evenly_over_entries() -> None:
     network = Network((14,) * 5, random.Random(3))
     network.run(200 * INTERVAL_S)
     mean = sum(network.sent.values()) / len(network.sent)
     assert max(network.sent.values()) < 2.0 * mean
 
 
-def test_a_lost_collector_costs_its_domain_one_round() -> None:
+def test_lost_collector_costs_its_domain_one_round() -> None:
     network = Network((7,), random.Random(3))
     network.run(20 * INTERVAL_S)
     network.entries["0-3"].cut_until_s = float("inf")
     for _ in range(40):
         network.run(INTERVAL_S)
-        known = network.known()
+        known = network.known_entry_counts()
         del known[3]
         assert min(known) >= 6
 
 
-def test_entries_that_are_cut_off_reckon_by_themselves_after_the_lifetime() -> None:
+def test_isolated_entry_extrapolates_from_its_own_load() -> None:
     network = Network((3, 3), random.Random(3))
     network.run(20 * INTERVAL_S)
     cut = network.entries["0-0"]
@@ -201,7 +201,7 @@
     assert cut.load(6, network.now_s) == 6 * cut.tokens
 
 
-def in_round_one() -> LoadRounds:
+def rounds_after_first_contribution() -> LoadRounds:
     """One of two entries of a domain, which has sent its part for the first round."""
     rounds = LoadRounds("0-0", "domain-0", INTERVAL_S, lambda: 0.0)
     members = {"domain-0": ["0-0", "0-1"]}
@@ -210,40 +210,40 @@
     return rounds
 
 
-def taken(rounds: LoadRounds, *, includes_own: bool) -> SumTaken | None:
+def receive_sum(rounds: LoadRounds, *, includes_own: bool) -> OtherEntriesLoad | None:
     return rounds.sum_received(
         "0-1", 1, {KEY: (8,)}, 2, 0.4, includes_own=includes_own, age_s=0.0, seen={}
     )
 
 
-def test_a_sum_that_may_be_old_isnt_taken() -> None:
+def test_sum_without_the_own_contribution_is_ignored() -> None:
     """Only a sum with the own part in it was surely made after that was sent."""
-    assert taken(in_round_one(), includes_own=False) is None
-    found = taken(in_round_one(), includes_own=True)
-    assert found == SumTaken(0.75 * INTERVAL_S, {KEY: (3,)}, 1)
+    assert receive_sum(rounds_after_first_contribution(), includes_own=False) is None
+    found = receive_sum(rounds_after_first_contribution(), includes_own=True)
+    assert found == OtherEntriesLoad(0.75 * INTERVAL_S, {KEY: (3,)}, 1)
 
 
-def test_a_collector_that_was_missed_twice_is_passed_over() -> None:
+def test_collector_is_skipped_after_two_missed_rounds() -> None:
     rounds = LoadRounds("0-0", "domain-0", INTERVAL_S, lambda: 0.0)
     members = {"domain-0": ["0-0", "0-1", "0-2"]}
     sent_to = [
         action.to
         for step in range(400)
         for action in rounds.step(step * STEP_S, members, dict)
-        if isinstance(action, SendPart)
+        if isinstance(action, SendContribution)
     ]
     assert sorted(set(sent_to)) == ["0-1", "0-2"]
     # In 50 intervals nobody answers; each is tried twice, and again after 20 of them.
     assert max(sent_to.count(name) for name in set(sent_to)) <= 6
 
 
-def test_another_domains_sum_is_as_old_as_the_round_that_is_known_there() -> None:
+def test_age_of_another_domains_sum_is_that_of_the_round_it_names() -> None:
     published = {}
     for seen in (None, 1):
-        rounds = in_round_one()
-        taken(rounds, includes_own=True)
-        foreign = DomainSum("domain-1", 7, 3, {KEY: (30,)}, seen)
-        rounds.foreign_sum_received(foreign, 0.9)
+        rounds = rounds_after_first_contribution()
+        receive_sum(rounds, includes_own=True)
+        other_sum = DomainSum("domain-1", 7, 3, {KEY: (30,)}, seen)
+        rounds.domain_sum_received(other_sum, 0.9)
         members = {"domain-0": ["0-0"], "domain-1": ["1-0"]}
         actions = rounds.step(1.0, members, lambda: {KEY: (5,)})
         (published[seen],) = (a for a in actions if isinstance(a, PublishSum))
@@ -270,17 +270,21 @@
     st.floats(0.0, 3 * INTERVAL_S),
     st.integers(0, 1000),
 )
-def test_whatever_the_network_does_load_is_never_old_and_converges_afterwards(
+def test_load_stays_fresh_under_network_faults_and_converges_afterwards(
     events: list[tuple[str, int, float]],
     sizes: tuple[int, ...],
-    lost: float,
-    doubled: float,
+    loss_probability: float,
+    duplicate_probability: float,
     delay_s: float,
     seed: int,
 ) -> None:
     rng = random.Random(seed)
     network = Network(sizes, rng)
-    network.lost, network.doubled, network.delay_s = lost, doubled, delay_s
+    network.loss_probability, network.duplicate_probability, network.delay_s = (
+        loss_probability,
+        duplicate_probability,
+        delay_s,
+    )
     names = list(network.entries)
     for kind, index, for_s in events:
         entry = network.entries[names[index % len(names)]]
@@ -295,6 +299,6 @@
             # A sum is never older than what the entry has sent for it.
             assert known.fleet.age_s(network.now_s) < LIFETIME_S
             assert known.load(len(names), network.now_s) >= known.tokens
-    network.lost = network.doubled = network.delay_s = 0.0
+    network.loss_probability = network.duplicate_probability = network.delay_s = 0.0
     network.run(40 * INTERVAL_S)
     network.assert_all_know_the_sum()
--- a/tests/unit/test_peers.py
+++ b/tests/unit/test_peers.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from railfold._internal.core import Address
-from railfold._internal.decisions.peers import MessageMemory, Peer, PeerView
+from railfold._internal.decisions.peers import Peer, PeerView, SeenMessages
 from railfold._internal.errors import PeerMessageError
 from railfold._internal.forwarding.peers.peer_messages import (
     MOST_CRASHES_SENT,
@@ -46,7 +46,7 @@
     return Peer(name, Address("10.0.0.1", 7355), started_at_ms)
 
 
-def view_of(size: int) -> PeerView:
+def view_with_size(size: int) -> PeerView:
     view = PeerView(peer("entry-0"))
     for number in range(1, size):
         view.join(peer(f"entry-{number}"))
@@ -54,70 +54,72 @@
 
 
 @pytest.mark.parametrize("size", [1, 2, 9])
-def test_a_few_are_all_told_directly(size: int) -> None:
-    view = view_of(size)
-    assert len(view.draw(random.Random(1), ())) == size - 1
-    assert not view.relays
+def test_small_fleet_is_notified_directly(size: int) -> None:
+    view = view_with_size(size)
+    assert len(view.sample(random.Random(1), ())) == size - 1
+    assert not view.needs_relay
 
 
 @pytest.mark.parametrize(
-    ("size", "lost"), [(21, 0.0), (68, 0.0), (380, 0.0), (380, 0.05)]
+    ("size", "loss_probability"), [(21, 0.0), (68, 0.0), (380, 0.0), (380, 0.05)]
 )
-def test_news_reaches_nearly_all_of_many(size: int, lost: float) -> None:
+def test_gossip_reaches_nearly_all_of_a_large_fleet(
+    size: int, loss_probability: float
+) -> None:
     """With datagrams lost, in 200 spreads each; who misses one hears the next."""
     rng = random.Random(7)
     names = [f"entry-{n}" for n in range(size)]
-    missed = longest = most_sent = 0
+    missed = max_rounds = max_sent = 0
     for _ in range(200):
         rounds = {names[0]: 0}
         waiting = deque([names[0]])
         while waiting:
-            teller = waiting.popleft()
-            others = [n for n in names if n != teller]
-            told = rng.sample(others, 8)
-            most_sent = max(most_sent, len(told))
-            for name in told:
-                if name not in rounds and rng.random() >= lost:
-                    rounds[name] = rounds[teller] + 1
+            sender = waiting.popleft()
+            others = [n for n in names if n != sender]
+            receivers = rng.sample(others, 8)
+            max_sent = max(max_sent, len(receivers))
+            for name in receivers:
+                if name not in rounds and rng.random() >= loss_probability:
+                    rounds[name] = rounds[sender] + 1
                     waiting.append(name)
         missed += size - len(rounds)
-        longest = max(longest, *rounds.values())
+        max_rounds = max(max_rounds, *rounds.values())
     assert missed / (200 * size) < 0.001
-    assert longest <= 6
-    assert most_sent == 8
+    assert max_rounds <= 6
+    assert max_sent == 8
 
 
-def test_a_later_start_replaces_an_earlier_one_and_not_the_other_way_round() -> None:
-    view = view_of(1)
+def test_only_a_later_incarnation_replaces_a_peer() -> None:
+    view = view_with_size(1)
     assert view.join(peer("entry-5", 20))
     assert not view.join(peer("entry-5", 20))
     assert not view.join(peer("entry-5", 10))
     assert view.join(peer("entry-5", 30))
     view.replace([peer("entry-5", 20), peer("entry-6")])
-    starts = {p.name: p.started_at_ms for p in view.draw(random.Random(1), ())}
+    starts = {p.name: p.started_at_ms for p in view.sample(random.Random(1), ())}
     assert starts == {"entry-5": 30, "entry-6": 1}
 
 
-def test_an_entry_that_left_the_list_is_told_no_more() -> None:
-    view = view_of(4)
+def test_peer_that_left_the_list_gets_no_messages() -> None:
+    view = view_with_size(4)
     view.replace([peer("entry-1")])
-    assert [p.name for p in view.draw(random.Random(1), ())] == ["entry-1"]
+    assert [p.name for p in view.sample(random.Random(1), ())] == ["entry-1"]
 
 
-def test_nobody_tells_itself_nor_whom_it_has_it_from() -> None:
-    view = view_of(4)
+def test_message_is_not_sent_to_oneself_or_back_to_its_sender() -> None:
+    view = view_with_size(4)
     assert not view.join(peer("entry-0", 99))
-    told = {p.name for p in view.draw(random.Random(1), ("entry-2",))}
-    assert told == {"entry-1", "entry-3"}
+    receivers = {p.name for p in view.sample(random.Random(1), ("entry-2",))}
+    assert receivers == {"entry-1", "entry-3"}
 
 
-def test_messages_that_were_taken_are_known_in_bounded_memory() -> None:
-    memory = MessageMemory()
-    assert memory.is_new(b"1")
-    assert not memory.is_new(b"1")
+def test_seen_messages_are_remembered_in_bounded_memory() -> None:
+    memory = SeenMessages()
+    assert memory.add(b"1")
+    assert not memory.add(b"1")
     for number in range(10_000):
-        memory.is_new(number.to_bytes(8))
-    assert len(memory._known) <= 4096
+        memory.add(number.to_bytes(8))
+    assert len(memory._seen_ids) <= 4096
 
 
 @pytest.fixture
@@ -152,14 +154,14 @@
         DomainLoadNotice("west-b", 3, 2, LoadRows([]), {"west-a": 1}, hops=1),
     ],
 )
-def test_each_message_survives_its_way(
+def test_messages_survive_encoding_and_decoding(
     codec: PeerMessageCodec, message: object
 ) -> None:
     envelope = Envelope("entry-1", b"8 bytes.", int(NOW_S * 1000), message)  # type: ignore[arg-type]
     assert codec.decode(codec.encode(envelope), NOW_S) == envelope
 
 
-def test_a_sum_of_a_large_failure_domain_fits_in_a_datagram(
+def test_sum_of_a_large_failure_domain_fits_in_a_datagram(
     codec: PeerMessageCodec,
 ) -> None:
     """Domains of over 64 entries had no sums: their messages were refused."""
@@ -170,14 +172,14 @@
     assert codec.decode(codec.encode(envelope), NOW_S) == envelope
 
 
-def test_a_wrong_key_isnt_heard(codec: PeerMessageCodec) -> None:
+def test_message_with_a_wrong_key_is_refused(codec: PeerMessageCodec) -> None:
     envelope = Envelope("entry-1", b"8 bytes.", int(NOW_S * 1000), TrialBegun(DIGEST))
     forged = PeerMessageCodec(b"x" * 32).encode(envelope)
     with pytest.raises(PeerMessageError, match="authentication"):
         codec.decode(forged, NOW_S)
 
 
-def test_a_recorded_message_that_comes_again_later_isnt_heard(
+def test_replayed_message_is_refused(
     codec: PeerMessageCodec,
 ) -> None:
     envelope = Envelope("entry-1", b"8 bytes.", int(NOW_S * 1000), TrialBegun(DIGEST))
@@ -187,7 +189,7 @@
         codec.decode(datagram, NOW_S + 60.0)
 
 
-ODD_MESSAGES = [
+MALFORMED_MESSAGES = [
     {"type": "crashes", "digest": DIGEST, "service": "", "route": "", "workspace": ""},
     {"type": "crashes", "digest": "x", "service": "s", "route": "", "workspace": ""},
     {"type": "trial", "digest": "Z" * 32},
@@ -215,8 +217,10 @@
 ]
 
 
-@pytest.mark.parametrize("message", ODD_MESSAGES)
-def test_odd_messages_are_refused(codec: PeerMessageCodec, message: object) -> None:
+@pytest.mark.parametrize("message", MALFORMED_MESSAGES)
+def test_malformed_messages_are_refused(
+    codec: PeerMessageCodec, message: object
+) -> None:
     body = msgspec.msgpack.encode(
         {
             "sender": "entry-1",
@@ -231,7 +235,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=2000))
-def test_any_bytes_are_refused_and_raise_nothing_else(data: bytes) -> None:
+def test_arbitrary_bytes_raise_only_peer_message_errors(data: bytes) -> None:
     codec = PeerMessageCodec(b"k" * 32)
     for datagram in (data, codec._code(data) + data):
         with pytest.raises(PeerMessageError):
@@ -240,7 +244,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=200))
-def test_any_record_is_refused_and_raises_nothing_else(value: bytes) -> None:
+def test_arbitrary_records_raise_only_peer_message_errors(value: bytes) -> None:
     for decode in (decode_hold, decode_key, lambda v: decode_entry("e", v, 0.0)):
         with pytest.raises(PeerMessageError):
             decode(value)
@@ -267,12 +271,12 @@
         ),
     ],
 )
-def test_odd_records_are_refused(decode: object, value: bytes) -> None:
+def test_malformed_records_are_refused(decode: object, value: bytes) -> None:
     with pytest.raises(PeerMessageError):
         decode(value)  # type: ignore[operator]
 
 
-def test_a_row_of_an_entry_that_is_gone_for_good_is_passed_over() -> None:
+def test_row_of_an_entry_that_is_gone_is_skipped() -> None:
     row = b'{"address":"10.0.0.1:7355","started_at_ms":1,"written_at_unix_ms":5000}'
     assert decode_entry("entry-1", row, oldest_unix_s=4.0) == peer("entry-1")
     assert decode_entry("entry-1", row, oldest_unix_s=6.0) is None
