--- a/src/railfold/_internal/decisions/admission/__init__.py
+++ b/src/railfold/_internal/decisions/admission/__init__.py
@@ -1,4 +1,4 @@
-"""Who gets scarce room, who waits for it, and who hears at once that there is none."""
+"""Admission control: starts, queues or refuses requests when capacity is scarce."""
 
 from railfold._internal.decisions.admission.queue import (
     AdmissionLimits,
--- a/src/railfold/_internal/decisions/admission/queue.py
+++ b/src/railfold/_internal/decisions/admission/queue.py
@@ -1,12 +1,16 @@
-"""Admitting requests to one pipeline or service at one entry.
-
-A request starts at once while there is live capacity, else it waits in a fair
-queue. It is refused at once when a bound is reached or when its predicted end
-passes its deadline. When capacity dies the limit falls with it, and waiting
-requests that can't make their deadline any more are shed, at the latest when
-their turn comes: work that would come too late takes capacity from work that
-would not. A small part of the capacity is kept from any workspace that already
-holds all the rest, so that a quiet one never waits for a flood.
+"""Admission of requests to one pipeline or service at one entry.
+
+A request starts at once while there is live capacity; otherwise it waits in a fair
+queue. It is refused at once if the queue is full or if its predicted end is past its
+deadline.
+
+The number of running requests is limited by the live capacity, which falls when backend
+servers are lost. Waiting requests that can no longer meet their deadline are then shed,
+at the latest when their turn comes: running them would take capacity from requests that
+can still be served in time.
+
+A small part of the capacity is reserved: a workspace that uses all the rest can't take
+it. So a workspace with few requests doesn't wait behind one that sends very many.
 """
 
 from __future__ import annotations
@@ -39,10 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionLimits:
-    """Bounds of one admission queue.
+    """Limits of one admission queue.
 
-    :param reserved_share: part of the capacity kept from a workspace that
-        holds all the rest.
+    :param reserved_share: part of the capacity, from 0 to 1, that a workspace which
+        uses all the rest can't take.
     """
 
     max_waiting: int = 2000
@@ -52,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class Ticket:
-    """A request's place in admission; compared by identity.
+    """A request that asks for admission; compared by identity.
 
     :param cost: expected work; tokens for a pipeline, 1 for a service call.
     """
@@ -72,19 +76,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Queued:
-    """The request waits its turn."""
+    """The request waits in the queue."""
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request is refused now; ``load`` is demand over capacity."""
+    """The request is refused; ``load`` is demand divided by capacity."""
 
     error: RequestError
     load: float
 
 
 class AdmissionQueue:
-    """Admission to one pipeline or service."""
+    """Admission control for one pipeline or service."""
 
     def __init__(self, limits: AdmissionLimits) -> None:
         self._queue: FairQueue[Ticket] = FairQueue(
@@ -102,26 +106,26 @@
 
     @property
     def running(self) -> int:
-        """Requests that were admitted and haven't finished."""
+        """Number of admitted requests that haven't finished."""
         return len(self._running)
 
     @property
     def waiting(self) -> int:
-        """Requests that wait."""
+        """Number of requests in the queue."""
         return len(self._waiting)
 
     @property
     def load(self) -> float:
-        """Demand over capacity."""
+        """Running and waiting requests divided by the capacity."""
         return (self.running + self.waiting) / max(1, self._capacity)
 
     def offer(self, ticket: Ticket, now_s: float) -> Admitted | Queued | Refused:
-        """Take a new request."""
+        """Admit, queue or refuse a new request."""
         refusal = self._refusal(ticket, now_s)
         if refusal is not None:
             return Refused(refusal, self.load)
         if self.running < self._capacity and self._may_start(ticket.workspace):
-            self._count_running(ticket)
+            self._mark_running(ticket)
             return Admitted()
         try:
             self._queue.push(
@@ -131,7 +135,7 @@
             error = OverloadedError(
                 exc.what,
                 why=f"{self.waiting} requests wait",
-                hint="come back after Retry-After",
+                hint="retry after the delay in Retry-After",
             )
             return Refused(error, self.load)
         self._waiting[ticket] = None
@@ -142,29 +146,30 @@
         if self._capacity == 0:
             return NoCapacityError(
                 "no live backend servers cover this pipeline or service",
-                hint="come back after Retry-After; operators: see 'railfold status'",
+                hint="retry after the delay in Retry-After; "
+                "operators: see 'railfold status'",
             )
         if self._in_flight_by_workspace[ticket.workspace] >= ticket.max_in_flight:
             return OverloadedError(
-                f"workspace {ticket.workspace} has its most requests in flight",
+                f"workspace {ticket.workspace} has too many requests in flight",
                 why=f"its limit at this entry is {ticket.max_in_flight}",
-                hint="come back after Retry-After, or ask for a higher limit",
+                hint="retry after the delay in Retry-After, or ask for a higher limit",
             )
         start_s = now_s + self.predicted_wait_s(ticket.workspace)
         if self._misses_deadline(ticket, start_s):
             return DeadlineExpiredError(
-                "the request would end past its deadline",
-                why=f"{self.waiting} requests wait for {self._capacity} places",
-                hint="come back after Retry-After, or allow a longer deadline",
+                "the request is predicted to end after its deadline",
+                why=f"{self.waiting} requests wait for {self._capacity} slots",
+                hint="retry after the delay in Retry-After, or allow a longer deadline",
             )
         return None
 
     def predicted_wait_s(self, workspace: str) -> float:
-        """Return the expected wait of a new request of ``workspace``.
+        """Return the expected wait, in seconds, of a new request of ``workspace``.
 
-        Fair queueing serves the workspaces that wait in turn, so that a new
-        request waits until its own workspace's queue, times their number, has
-        started: that many places must come free.
+        Fair queueing serves the waiting workspaces in turn. While the requests of this
+        workspace up to the new one are started, each other waiting workspace starts
+        about as many; all of these need a free slot first.
         """
         if self.running < self._capacity and self._may_start(workspace):
             return 0.0
@@ -176,35 +181,38 @@
         return slots_needed * self._mean_service_s / max(1, self._capacity)
 
     def finished(self, ticket: Ticket, service_s: float, now_s: float) -> list[Ticket]:
-        """Count a request that ended; return those that may start now."""
+        """Record that a request ended; return the requests that may start now."""
         if self._release(ticket):
-            self._mean_service_s = _moving_average(self._mean_service_s, service_s)
-            self._service_s_per_cost = _moving_average(
+            self._mean_service_s = _update_mean(self._mean_service_s, service_s)
+            self._service_s_per_cost = _update_mean(
                 self._service_s_per_cost, service_s / ticket.cost
             )
         return self._admit_waiting(now_s)
 
     def withdrawn_early(self, ticket: Ticket, now_s: float) -> list[Ticket]:
-        """Give back the place of a request that was admitted but didn't run."""
+        """Release the capacity of an admitted request that never ran.
+
+        :return: the requests that may start now.
+        """
         self._release(ticket)
         return self._admit_waiting(now_s)
 
     def withdraw(self, ticket: Ticket) -> bool:
-        """Take out a waiting request; return whether it waited."""
+        """Remove a waiting request; return whether it was in the queue."""
         if ticket not in self._waiting:
             return False
         self._queue.remove(ticket.workspace, ticket)
         del self._waiting[ticket]
-        self._count_out(ticket)
+        self._decrement_in_flight(ticket)
         return True
 
     def set_capacity(self, capacity: int, now_s: float) -> list[Ticket]:
-        """Set the live capacity; return requests that may start now."""
+        """Set the live capacity; return the requests that may start now."""
         self._capacity = capacity
         return self._admit_waiting(now_s)
 
     def shed(self, now_s: float) -> list[Ticket]:
-        """Take out and return waiting requests that can't make their deadline."""
+        """Remove and return the waiting requests that can't meet their deadline."""
         if self._capacity == 0:
             late = list(self._waiting)
         else:
@@ -232,41 +240,45 @@
             if ticket is None:
                 break
             del self._waiting[ticket]
-            self._count_out(ticket)
+            self._decrement_in_flight(ticket)
             if self._misses_deadline(ticket, now_s):
                 self._expired.append(ticket)
                 continue
-            self._count_running(ticket)
+            self._mark_running(ticket)
             admitted.append(ticket)
         return admitted
 
-    def _count_running(self, ticket: Ticket) -> None:
+    def _mark_running(self, ticket: Ticket) -> None:
         self._running.add(ticket)
         self._running_by_workspace[ticket.workspace] += 1
         self._in_flight_by_workspace[ticket.workspace] += 1
 
     def _release(self, ticket: Ticket) -> bool:
-        """Give back a running request's place; return whether it had one."""
+        """Release a running request's capacity; return whether it was running."""
         if ticket not in self._running:
             return False
         self._running.discard(ticket)
         self._running_by_workspace[ticket.workspace] -= 1
-        self._count_out(ticket)
+        self._decrement_in_flight(ticket)
         return True
 
-    def _count_out(self, ticket: Ticket) -> None:
+    def _decrement_in_flight(self, ticket: Ticket) -> None:
         self._in_flight_by_workspace[ticket.workspace] -= 1
         if self._in_flight_by_workspace[ticket.workspace] <= 0:
             del self._in_flight_by_workspace[ticket.workspace]
 
 
-def _moving_average(mean: float, value: float) -> float:
+def _update_mean(mean: float, value: float) -> float:
     return value if mean == 0.0 else 0.9 * mean + 0.1 * value
 
 
 def pipeline_capacity(replicas: Iterable[Replica], layer_count: int) -> int:
-    """Return how many sequences live replicas can hold on every layer."""
-    # A difference array over the layers: linear in replicas plus layers.
+    """Return how many sequences the live replicas can run at once.
+
+    This is the smallest capacity of any layer, since a sequence needs all layers.
+    """
+    # Changes of the capacity from one layer to the next; their running sum is the
+    # capacity per layer, in time linear in replicas plus layers.
     capacity_changes = [0] * (layer_count + 1)
     for replica in replicas:
         layers = replica.stage.layers
@@ -284,9 +296,9 @@
 
 
 def entry_share(limit: int, entries: int) -> int:
-    """Return one entry's share of a limit that all entries divide evenly.
+    """Return one entry's equal share of a limit that applies to all entries together.
 
-    Shares are rounded up, so that the sum exceeds the limit by less than one
-    for each entry.
+    Shares are rounded up, so that their sum exceeds the limit by less than one per
+    entry.
     """
     return -(-limit // max(1, entries))
--- a/src/railfold/_internal/decisions/admission/shares.py
+++ b/src/railfold/_internal/decisions/admission/shares.py
@@ -1,16 +1,18 @@
-"""Which requests go before others where engines haven't room for all.
+"""Load shedding by priority and by fair share when engines lack memory for all.
 
-Answers demand over what the engines' memory holds: bursts, lost engines, a workspace
-that floods. Each entry decides alone, by the arrivals at all entries as far as they are
-announced (:class:`~railfold._internal.decisions.fleet_demand.FleetDemand`) and by which
-part of its own requests found room.
+Demand can exceed what the engines' memory holds during a burst, after the loss of
+engines, or when one workspace sends very many requests. Each entry then decides by
+itself which requests to refuse. It knows the arrival rates at other entries as far as
+they are announced (:class:`~railfold._internal.decisions.fleet_demand.FleetDemand`),
+and which share of its own requests was served.
 
-Requests give way to what goes before them: by as much as that lacks room, and those
-that go last first. Within a rank the max-min fair share of each workspace goes before
-what is beyond it. Nobody gives way while there is room for all.
+Requests that are less urgent are shed to make capacity for more urgent ones: the least
+urgent first, and only as many as the more urgent ones need. Within one priority,
+requests within the max-min fair share of their workspace are more urgent than requests
+beyond it. Nothing is shed while there is capacity for all.
 
-How much room there is isn't reckoned: it changes faster than entries hear of it, and a
-request that is refused wrongly costs its caller more than an attempt that an engine
+The free capacity isn't estimated: it changes faster than entries hear of it, and a
+request that is refused by mistake costs its caller more than an attempt that an engine
 rejects.
 """
 
@@ -24,22 +26,23 @@
 
 __all__ = ["PriorityShedder", "ServedShares", "SheddingDecision", "max_min_fair_share"]
 
-# Time over which the served part of requests is averaged: some requests of an entry,
-# and no longer than bursts last.
+# Averaging time of the served share: long enough to cover several requests of one
+# entry, not longer than a typical burst.
 _AVERAGING_TIME_S = 3.0
 
-# A rank or workspace that is served less often than this part of the mean goes first
+# A priority or workspace whose served share is below this part of the mean goes first
 # until it no longer is, so that none starves.
 _MIN_SERVED_SHARE = 0.25
 
-# Fewer tokens than this many usual requests say little of a served part.
+# The served share is unreliable if the tokens of fewer than this many average requests
+# were counted.
 _MIN_SAMPLE_REQUESTS = 4.0
 
 
 def max_min_fair_share(demands: Iterable[float], total: float) -> float:
     """Return the most that each demand gets if ``total`` is divided max-min fairly.
 
-    Infinite if all demands fit.
+    The result is infinite if all demands can be met.
     """
     sorted_demands = sorted(demands)
     remaining = total
@@ -53,7 +56,7 @@
 
 @dataclass(slots=True)
 class _DecayingTotals:
-    """Tokens of requests that came, and of those that found room, fading."""
+    """Tokens requested and tokens served, both with exponential decay."""
 
     requested: float = 0.0
     served: float = 0.0
@@ -74,7 +77,7 @@
 
 @dataclass(slots=True)
 class ServedShares:
-    """Which part of an entry's own requests found room of late."""
+    """The share of an entry's own requests that was served recently."""
 
     _totals: dict[tuple[str, int | None, str | None], _DecayingTotals] = field(
         default_factory=dict
@@ -82,14 +85,17 @@
     _mean_tokens: float = 0.0
 
     def record_request(self, key: DemandKey, tokens: float, now_s: float) -> None:
-        """Count a request that came."""
+        """Record a new request."""
         self._mean_tokens = self._mean_tokens or tokens
         self._mean_tokens += 0.05 * (tokens - self._mean_tokens)
         for totals in self._totals_of(key, now_s):
             totals.requested += tokens
 
     def record_served(self, key: DemandKey, tokens: float, now_s: float) -> None:
-        """Count a request that found room."""
+        """Record a request that an engine had capacity for.
+
+        :param tokens: negative to take back an earlier record.
+        """
         for totals in self._totals_of(key, now_s):
             totals.served += tokens
 
@@ -114,9 +120,11 @@
         priority: int | None = None,
         workspace: str | None = None,
     ) -> float:
-        """Return the served part of a service's requests, of a rank or a workspace.
+        """Return the recently served share, from 0 to 1, of a service's requests.
 
-        1 where too few came of late to tell.
+        :param priority: counts only requests of this priority.
+        :param workspace: counts only requests of this workspace; needs ``priority``.
+        :return: 1 if too few requests came recently to tell.
         """
         totals = self._totals.get((service, priority, workspace))
         if totals is None:
@@ -127,7 +135,7 @@
         return totals.share
 
     def forget(self, now_s: float) -> None:
-        """Forget what hardly comes any more."""
+        """Drop the totals of requests that haven't come recently."""
         for totals_key, totals in list(self._totals.items()):
             if now_s - totals.updated_s > 8.0 * _AVERAGING_TIME_S:
                 del self._totals[totals_key]
@@ -135,12 +143,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SheddingDecision:
-    """Where a request stands among those that want the same room.
+    """How urgent a request is among those that compete for the same capacity.
 
-    :param level: what goes first has a lower one.
-    :param shed_probability: which part of such requests is to be refused, so that
-        those that go before find room.
-    :param others_lack: whether some that go before find none.
+    :param level: requests with a lower level go first.
+    :param shed_probability: share of such requests to refuse, so that more urgent ones
+        find capacity.
+    :param preceding_unserved: whether some of the more urgent requests weren't served.
     """
 
     level: int
@@ -153,10 +161,10 @@
 
 @dataclass(slots=True)
 class PriorityShedder:
-    """An entry's order among requests for room, and how far it is shed."""
+    """Decides which requests of one entry are shed when capacity is scarce."""
 
     served: ServedShares = field(default_factory=ServedShares)
-    # What each workspace may still use of its share, in tokens.
+    # Tokens that each workspace may still use of its fair share.
     _credits: dict[DemandKey, float] = field(default_factory=dict)
 
     def arrived(
@@ -166,12 +174,13 @@
         demand_per_s: Mapping[DemandKey, float],
         now_s: float,
     ) -> SheddingDecision:
-        """Take a request that came; return where it stands.
+        """Record a new request; return how urgent it is and whether to shed it.
 
-        A large request has the same chance as a small one, whether its workspace has
-        used up its share or not; it uses up more of it (deficit rule).
+        A large request has the same chance as a small one to count as within its
+        workspace's fair share, but uses up more of that share (deficit round robin).
 
-        :param demand_per_s: what arrives for the service at all entries.
+        :param demand_per_s: arrival rates for the service at all entries, in tokens per
+            second.
         """
         service = key.service
         self.served.record_request(key, tokens, now_s)
@@ -199,7 +208,8 @@
         ):
             return _HIGHEST
         level = 2 * key.priority + (not within_fair_share)
-        # What goes before lacks so much a second; what comes after can give so much.
+        # Tokens per second that more urgent requests lack, and that less urgent
+        # requests can give up.
         unserved_per_s = sheddable_per_s = 0.0
         for priority, workspace_demands in demands_by_priority.items():
             total_per_s = sum(workspace_demands.values())
@@ -233,9 +243,9 @@
     ) -> bool:
         """Return whether a request is within the fair share of its workspace.
 
-        :param demands: of the rank's workspaces.
-        :param level: the most that each of them gets.
-        :param floor: the least part of its requests that a workspace gets.
+        :param demands: tokens per second of each workspace with this priority.
+        :param fair_share_per_s: the most tokens per second that each of them gets.
+        :param min_share: the share of its requests that a workspace gets at least.
         """
         admitted_share = max(
             fair_share_per_s / max(demands.get(key.workspace, 0.0), 1e-9), min_share
@@ -248,19 +258,19 @@
         return credit > 0.0
 
     def dispatched(self, key: DemandKey, tokens: float, now_s: float) -> None:
-        """Take a request that found room."""
+        """Record that a request was sent to an engine with capacity."""
         self.served.record_served(key, tokens, now_s)
         if self._credits.get(key, 0.0) > 0.0:
             self._credits[key] -= tokens
 
     def rejected(self, key: DemandKey, tokens: float, now_s: float) -> None:
-        """Take that there was no room after all for a request that was sent."""
+        """Record that an engine rejected a request that had been sent to it."""
         self.served.record_served(key, -tokens, now_s)
         if key in self._credits:
             self._credits[key] += tokens
 
     def forget(self, now_s: float) -> None:
-        """Forget workspaces that hardly send any more."""
+        """Drop the state of workspaces that haven't sent requests recently."""
         self.served.forget(now_s)
         active_keys = {
             k for k in self._credits if self.served.share(k.service, now_s) < 1.0
@@ -271,7 +281,7 @@
 def _demand_of_priority(
     demand_per_s: Mapping[DemandKey, float], priority: int
 ) -> dict[str, float]:
-    """Return the demand of each workspace of a rank."""
+    """Return the demand of each workspace at one priority."""
     return {
         key.workspace: per_s
         for key, per_s in demand_per_s.items()
--- a/src/railfold/_internal/decisions/admission/waiting.py
+++ b/src/railfold/_internal/decisions/admission/waiting.py
@@ -1,9 +1,9 @@
-"""Requests that wait in an entry for room at engines.
+"""Requests that wait at an entry until engines have capacity for them.
 
-Room comes free every few milliseconds over all engines, so that a short wait lets the
-more urgent go first and saves an attempt that an engine would reject. A caller that
-must be refused should hear so early: nobody waits for longer than a small part of its
-latency objective, and who can't have its turn in that time doesn't wait at all.
+Over all engines capacity is freed every few milliseconds. A short wait therefore lets
+more urgent requests go first, and saves attempts that an engine would reject. A caller
+that must be refused should learn of it early: a request waits at most for a small part
+of its latency objective, and isn't queued at all if its predicted wait is longer.
 """
 
 from __future__ import annotations
@@ -19,24 +19,26 @@
 
 T = TypeVar("T")
 
-# The part of its latency objective that a request may wait for room. A refusal after
-# that still leaves the caller most of its time to come back.
+# The part of its latency objective that a request may wait for capacity. A refusal
+# after that leaves the caller most of the time for a retry.
 _MAX_WAIT_SHARE = 0.125
 
-# A client in the middle of its answer leaves after 2 s without an event.
+# Wait limit of a request whose response has started: its client gives up after 2 s
+# without an event.
 _STARTED_WAIT_S = 0.5
 
 _MAX_WAITING = 2000
 _MAX_WAITING_PER_WORKSPACE = 500
 
-# Weight of one interval in the mean.
+# Weight of the newest interval in the moving average.
 _INTERVAL_WEIGHT = 0.2
 
 
 def capacity_wait_limit_s(objective_s: float, *, started: bool) -> float:
-    """Return how long a request may wait for room.
+    """Return how long, in seconds, a request may wait for capacity.
 
-    :param begun: whether its client has a part of the answer.
+    :param objective_s: latency objective of the request.
+    :param started: whether the client has received a part of the response.
     """
     return _STARTED_WAIT_S if started else _MAX_WAIT_SHARE * objective_s
 
@@ -48,15 +50,16 @@
 
 
 class WaitingRequests(Generic[T]):
-    """Those that wait for room of one service, in the order of their turns.
+    """Requests that wait for capacity of one service.
 
-    By level, then by fair share of the workspaces, then by what waits longest.
+    They are ordered by level, then by the fair share of their workspaces, then by how
+    long they have waited.
     """
 
     def __init__(self) -> None:
         self._levels: dict[int, FairQueue[_QueuedRequest[T]]] = {}
         self._queued: dict[T, tuple[int, _QueuedRequest[T]]] = {}
-        # Mean time between two of those that found room while others waited.
+        # Moving average of the time between two served requests while others waited.
         self._mean_interval_s = 0.0
         self._last_served_s: float | None = None
 
@@ -64,7 +67,7 @@
         return len(self._queued)
 
     def count_ahead(self, level: int) -> int:
-        """Return how many go before a new request of a level."""
+        """Return how many waiting requests go before a new request of ``level``."""
         return sum(
             len(queue)
             for queue_level, queue in self._levels.items()
@@ -72,26 +75,26 @@
         )
 
     def predicted_wait_s(self, level: int) -> float:
-        """Return when a new request of a level would have its turn, from now."""
+        """Return the expected wait, in seconds, of a new request of ``level``."""
         return self.count_ahead(level) * self._mean_interval_s
 
     def add(
-        self, item: T, standing: SheddingDecision, workspace: str, tokens: float
+        self, item: T, decision: SheddingDecision, workspace: str, tokens: float
     ) -> bool:
-        """Let a request wait; return whether there is a place."""
+        """Queue a request; return whether the queue had space for it."""
         queued = _QueuedRequest(item, workspace)
         queue = self._levels.setdefault(
-            standing.level, FairQueue(_MAX_WAITING_PER_WORKSPACE, _MAX_WAITING)
+            decision.level, FairQueue(_MAX_WAITING_PER_WORKSPACE, _MAX_WAITING)
         )
         try:
             queue.push(workspace, 1.0, 0, max(1.0, tokens), queued)
         except QueueFullError:
             return False
-        self._queued[item] = (standing.level, queued)
+        self._queued[item] = (decision.level, queued)
         return True
 
     def remove(self, item: T) -> bool:
-        """Take out a request that waits no more; return whether it did."""
+        """Remove a request that no longer waits; return whether it was queued."""
         level, queued = self._queued.pop(item, (0, None))
         if queued is None:
             return False
@@ -99,7 +102,7 @@
         return queue is not None and queue.remove(queued.workspace, queued)
 
     def served(self, item: T, now_s: float) -> None:
-        """Take out a request that found room in its turn."""
+        """Remove a request that got capacity when its turn came."""
         level, queued = self._queued.pop(item, (0, None))
         queue = self._levels.get(level)
         if queued is None or queue is None:
@@ -110,11 +113,14 @@
             self._mean_interval_s += _INTERVAL_WEIGHT * (
                 interval_s - self._mean_interval_s
             )
-        # Time in which nobody waits says nothing of how fast room comes free.
+        # Periods without waiting requests don't show how fast capacity is freed.
         self._last_served_s = now_s if self._queued else None
 
     def next_items(self, count: int) -> list[T]:
-        """Return those whose turn it is, the first of each workspace, so many."""
+        """Return the requests to serve next, at most one per workspace and level.
+
+        :param count: how many to return at most.
+        """
         items: list[T] = []
         for level in sorted(self._levels):
             items += [queued.item for queued in self._levels[level].heads()]
--- a/src/railfold/_internal/decisions/announcements.py
+++ b/src/railfold/_internal/decisions/announcements.py
@@ -1,4 +1,4 @@
-"""What other entries announce, each announcement with an age and a lifetime."""
+"""Announcements of other entries, which are used for a limited lifetime."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Announcement(Generic[T]):
-    """What an entry announced, true at ``at_s``.
+    """Content that an entry announced.
 
-    :param entries: how many entries' parts it is the sum of.
+    :param at_s: when the content was measured.
+    :param entries: of how many entries it is the sum.
     """
 
     at_s: float
@@ -34,9 +35,9 @@
     def add(
         self, entry: str, announcement: Announcement[T], lifetime_s: float, now_s: float
     ) -> None:
-        """Take an announcement, unless it is older than the known one or too old.
+        """Store an announcement, unless it is expired or older than the known one.
 
-        Of two that are as old, the one over more entries counts.
+        Of two with the same time, the one that covers more entries is kept.
         """
         known = self._newest.get(entry)
         is_outdated = known is not None and (known.at_s, known.entries) >= (
@@ -47,11 +48,11 @@
             self._newest[entry] = announcement
 
     def fresh(self, lifetime_s: float, now_s: float) -> list[Announcement[T]]:
-        """Return those that count."""
+        """Return the announcements that haven't expired."""
         return [a for a in self._newest.values() if now_s - a.at_s < lifetime_s]
 
     def forget(self, lifetime_s: float, now_s: float) -> None:
-        """Forget those that don't count any more."""
+        """Drop expired announcements."""
         for entry, announcement in list(self._newest.items()):
             if now_s - announcement.at_s >= lifetime_s:
                 del self._newest[entry]
--- a/src/railfold/_internal/decisions/arrival_rate.py
+++ b/src/railfold/_internal/decisions/arrival_rate.py
@@ -1,4 +1,4 @@
-"""How many requests a second arrive for each service, at one entry and at all."""
+"""Arrival rates of requests per service, at one entry and over all entries."""
 
 from __future__ import annotations
 
@@ -8,15 +8,16 @@
 
 __all__ = ["ArrivalRates", "FleetArrivals"]
 
-# Time over which arrivals are averaged: long enough for a steady figure at one of many
-# entries, which sees one or two requests a second, short enough to follow a burst.
+# Time constant of the moving average: long enough for a steady value at one of many
+# entries, which gets one or two requests per second, and short enough to follow a
+# burst.
 _AVERAGING_TIME_S = 4.0
 
-# What another entry told counts for this long: three times as long as the longest pause
+# An announcement of another entry is used for this long: three times the longest pause
 # between two of its messages.
 _ANNOUNCEMENT_LIFETIME_S = 20.0
 
-# More than any entry sees: ten times what the users plan for all together.
+# Upper bound of a plausible rate: ten times what is planned for all entries together.
 _MAX_PER_S = 18_000.0
 
 
@@ -27,24 +28,24 @@
 
 
 class ArrivalRates:
-    """Arrivals of one entry, averaged with weights that fade with their age."""
+    """Arrival rates at one entry, as moving averages with exponential decay."""
 
     def __init__(self) -> None:
         self._rates: dict[str, _Rate] = {}
 
     def arrived(self, service: str, now_s: float) -> None:
-        """A request for the service arrived."""
+        """Record a request for a service."""
         rate = self._rates.setdefault(service, _Rate(updated_s=now_s))
         rate.per_s = self._decayed_per_s(rate, now_s) + 1.0 / _AVERAGING_TIME_S
         rate.updated_s = now_s
 
     def per_s(self, service: str, now_s: float) -> float:
-        """Return how many requests a second have arrived lately."""
+        """Return the recent arrival rate of a service, in requests per second."""
         rate = self._rates.get(service)
         return self._decayed_per_s(rate, now_s) if rate is not None else 0.0
 
     def all_per_s(self, now_s: float) -> dict[str, float]:
-        """Return the rates of all services."""
+        """Return the rates of all services, in requests per second."""
         return {service: self.per_s(service, now_s) for service in self._rates}
 
     def _decayed_per_s(self, rate: _Rate, now_s: float) -> float:
@@ -58,13 +59,13 @@
 
 
 class FleetArrivals:
-    """Arrivals at all entries, from what they tell.
+    """Arrival rates over all entries, from their announcements.
 
-    Entries don't get like shares: clients come to those of their own failure domain,
-    and domains have different numbers of them. One entry's own arrivals times the
-    number of entries may be far from the sum; a figure that is too large lets more
-    engines of a failure domain move at a time than needed, all without their layers
-    meanwhile.
+    Entries don't get equal shares of the requests: clients use the entries of their own
+    failure domain, and domains have different numbers of entries. One entry's own rate
+    times the number of entries can therefore be far from the sum. With too large a
+    rate, more engines of a failure domain change their layers at the same time than
+    necessary, and can't serve meanwhile.
     """
 
     def __init__(self) -> None:
@@ -72,20 +73,21 @@
 
     @property
     def announcing_entries(self) -> int:
-        """How many other entries told their arrivals lately."""
+        """Number of other entries with a recent announcement."""
         return len(self._announcements)
 
     def announced(self, entry: str, per_s: Mapping[str, float], now_s: float) -> None:
-        """Take what another entry says of its own arrivals."""
+        """Store the arrival rates that another entry announced."""
         bounded = {s: min(max(0.0, rate), _MAX_PER_S) for s, rate in per_s.items()}
         self._announcements[entry] = _Announcement(now_s, bounded)
 
     def total_per_s(
         self, service: str, own_per_s: float, entries: int, now_s: float
     ) -> float:
-        """Return how many requests a second arrive for a service at all entries.
+        """Return the requests per second that arrive for a service at all entries.
 
-        Those that don't tell are reckoned to get what the others get on average.
+        Entries without a recent announcement are assumed to have the average rate of
+        the others.
         """
         self._forget(now_s)
         announced = [
--- a/src/railfold/_internal/decisions/fair_queue.py
+++ b/src/railfold/_internal/decisions/fair_queue.py
@@ -1,9 +1,10 @@
 """Weighted fair queueing of requests between workspaces.
 
-Start-time fair queueing: each workspace's requests get start tags that advance
-by cost over weight, and the lowest tag goes first. A workspace that floods
-only pushes back its own tags. A higher priority goes before a lower one within
-a workspace, never before another workspace's fair share.
+Uses start-time fair queueing: the requests of each workspace get start tags that
+advance by cost divided by weight, and the request with the lowest tag is served first.
+A workspace that sends very many requests only delays its own. A request of higher
+priority goes before others of the same workspace, never before another workspace's fair
+share.
 """
 
 from __future__ import annotations
@@ -30,19 +31,20 @@
 
 
 class FairQueue(Generic[T]):
-    """Requests that wait for capacity.
+    """Requests that wait for capacity, ordered by weighted fair queueing.
 
-    Taking and adding cost the logarithm of the number of workspaces.
+    Adding and taking a request cost the logarithm of the number of workspaces.
 
-    :param max_per_flow: most requests one workspace may have waiting.
-    :param max_total: most requests that may wait in all.
+    :param max_per_flow: maximum number of waiting requests per workspace.
+    :param max_total: maximum number of waiting requests.
     """
 
     def __init__(self, max_per_flow: int, max_total: int) -> None:
         self._max_per_flow = max_per_flow
         self._max_total = max_total
         self._flows: dict[str, _Flow[T]] = {}
-        # Flows by tag: those that may have requests, and those that are idle.
+        # Heaps of flows by start tag: those that may have waiting requests, and those
+        # that are idle.
         self._ready: list[tuple[float, int, str]] = []
         self._idle: list[tuple[float, int, str]] = []
         self._virtual_time = 0.0
@@ -63,13 +65,13 @@
         """Add a request.
 
         :param cost: its expected work, in any unit common to all requests.
-        :raises QueueFullError: a bound is reached.
+        :raises QueueFullError: a limit on waiting requests is reached.
         """
         if self._length >= self._max_total:
             raise QueueFullError("the queue of waiting requests is full")
         flow = self._flows.setdefault(workspace, _Flow(weight))
         if len(flow.waiting) >= self._max_per_flow:
-            raise QueueFullError(f"workspace {workspace} has its most requests waiting")
+            raise QueueFullError(f"workspace {workspace} has too many waiting requests")
         flow.weight = weight
         if not flow.waiting:
             flow.next_start_tag = max(flow.next_start_tag, self._virtual_time)
@@ -80,9 +82,9 @@
         self._schedule(workspace, flow)
 
     def pop(self, eligible: Callable[[str], bool] | None = None) -> T | None:
-        """Take the request whose turn it is.
+        """Take the request to serve next; ``None`` if there is none.
 
-        :param eligible: tells of a workspace whether its turn may come now.
+        :param eligible: returns whether requests of a workspace may be served now.
         """
         skipped: list[tuple[float, int, str]] = []
         try:
@@ -105,7 +107,7 @@
                 continue
             flow.in_ready_heap = False
             if not flow.waiting:
-                self._add_idle(workspace, flow)  # Its requests were withdrawn.
+                self._add_idle(workspace, flow)  # All its requests were removed.
                 continue
             _, _, cost, item = heapq.heappop(flow.waiting)
             self._virtual_time = max(self._virtual_time, flow.next_start_tag)
@@ -117,12 +119,15 @@
         return None
 
     def heads(self) -> list[T]:
-        """Return the next request of each workspace, in the order of their turns."""
+        """Return the next request of each workspace, in the order of service."""
         ready = (self._flows[workspace] for _, _, workspace in sorted(self._ready))
         return [flow.waiting[0][3] for flow in ready if flow.waiting]
 
     def served(self, workspace: str, item: T) -> bool:
-        """Take out a request that was served in its turn, and charge its workspace."""
+        """Remove a request that was served in its turn, and charge its workspace.
+
+        Returns whether the request was in the queue.
+        """
         flow = self._flows.get(workspace)
         if flow is None:
             return False
@@ -131,7 +136,7 @@
             return False
         self._virtual_time = max(self._virtual_time, flow.next_start_tag)
         flow.next_start_tag += costs[0] / flow.weight
-        # Its place by the tag before doesn't hold any more.
+        # The workspace's entry in the heap has an outdated start tag.
         self._ready = [entry for entry in self._ready if entry[2] != workspace]
         heapq.heapify(self._ready)
         flow.in_ready_heap = False
@@ -139,7 +144,10 @@
         return True
 
     def remove(self, workspace: str, item: T) -> bool:
-        """Take out a request that no longer wants to wait."""
+        """Remove a request without charging its workspace.
+
+        :return: whether it was queued.
+        """
         flow = self._flows.get(workspace)
         if flow is None:
             return False
@@ -166,7 +174,7 @@
         heapq.heappush(self._idle, entry)
 
     def _remove_idle_flows(self) -> None:
-        # An idle flow whose tag has been passed carries no information.
+        # A flow that was idle until virtual time passed its tag starts like a new one.
         while self._idle and self._idle[0][0] <= self._virtual_time:
             _, _, workspace = heapq.heappop(self._idle)
             flow = self._flows.get(workspace)
--- a/src/railfold/_internal/decisions/fleet_demand.py
+++ b/src/railfold/_internal/decisions/fleet_demand.py
@@ -1,7 +1,8 @@
-"""Arrivals by rank and workspace over all entries, as one entry reckons them.
+"""Arrival rates by priority and workspace over all entries, as estimated by one entry.
 
-As with :class:`railfold._internal.decisions.fleet_load.FleetLoad`, the own part is
-exact, others' parts are announced, and unknown ones are reckoned from the known.
+As in :class:`railfold._internal.decisions.fleet_load.FleetLoad`, an entry knows its own
+arrivals exactly, other entries announce theirs, and those of the remaining entries are
+extrapolated.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 
 __all__ = ["DemandKey", "FleetDemand"]
 
-# Time over which arrivals are averaged.
+# Time constant of the moving average of arrivals.
 _AVERAGING_TIME_S = 2.0
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class DemandKey:
-    """Requests of one rank of a workspace to a service.
+    """Identifies the requests of one workspace with one priority to one service.
 
-    :param priority: place in the order in which requests get scarce room.
+    :param priority: requests with a lower value get scarce capacity first.
     """
 
     service: str
@@ -40,9 +41,11 @@
 
 
 class FleetDemand:
-    """Arriving work of all entries, in tokens a second (requests at plain services).
+    """Work that arrives at all entries, in tokens per second.
 
-    :param lifetime_s: how long another entry's announcement counts.
+    For services without a model it is in requests per second.
+
+    :param lifetime_s: how long an announcement of another entry is used.
     """
 
     def __init__(self, lifetime_s: float) -> None:
@@ -51,13 +54,13 @@
         self._announcements: Announcements[Mapping[DemandKey, float]] = Announcements()
 
     def arrived(self, key: DemandKey, tokens: float, now_s: float) -> None:
-        """A client's request arrived here."""
+        """Record a client's request that arrived at this entry."""
         rate = self._own.setdefault(key, _DecayingRate(0.0, now_s))
         rate.per_s = rate.at_time(now_s) + tokens / _AVERAGING_TIME_S
         rate.updated_s = now_s
 
     def own_per_s(self, now_s: float) -> dict[DemandKey, float]:
-        """Return what arrives at this entry."""
+        """Return the arrival rates at this entry."""
         return {key: rate.at_time(now_s) for key, rate in self._own.items()}
 
     def announced(
@@ -68,9 +71,10 @@
         now_s: float,
         entries: int = 1,
     ) -> None:
-        """Take what arrives at another entry; an older announcement is ignored.
+        """Store the arrival rates of another entry, unless newer ones are known.
 
-        :param entries: how many entries' arrivals these are the sum of, if ``entry``
+        :param at_s: when the rates were measured.
+        :param entries: of how many entries these rates are the sum, if ``entry``
             announces those of others, too.
         """
         announcement: Announcement[Mapping[DemandKey, float]] = Announcement(
@@ -79,16 +83,16 @@
         self._announcements.add(entry, announcement, self.lifetime_s, now_s)
 
     def forget(self, now_s: float) -> None:
-        """Forget old announcements, and what hardly arrives any more."""
+        """Drop expired announcements, and own rates without recent arrivals."""
         self._announcements.forget(self.lifetime_s, now_s)
         for key, rate in list(self._own.items()):
             if now_s - rate.updated_s >= 8.0 * _AVERAGING_TIME_S:
                 del self._own[key]
 
     def per_s(self, service: str, entries: int, now_s: float) -> dict[DemandKey, float]:
-        """Return what arrives for a service at all entries.
+        """Return the arrival rates for a service over all entries.
 
-        :param entries: how many entries there are, with this one.
+        :param entries: number of entries, including this one.
         """
         fresh = self._announcements.fresh(self.lifetime_s, now_s)
         demands = [
--- a/src/railfold/_internal/decisions/fleet_load.py
+++ b/src/railfold/_internal/decisions/fleet_load.py
@@ -1,12 +1,13 @@
-"""Load of backend servers over all entries, as one entry reckons it.
+"""Load of backend servers over all entries, as estimated by one entry.
 
-Each entry knows its own part exactly. The others announce theirs; a part counts until
-its lifetime has passed, and no longer than its server's incarnation lives. Entries
-whose parts aren't known are reckoned to have what the known ones have on average, so
-that an entry that hears nobody reckons with its own part times the number of entries.
+Each entry knows its own load at each server exactly, and other entries announce theirs.
+An announcement is used until its lifetime ends, and only while the incarnation of the
+server that it names is alive. Entries without a current announcement are assumed to
+have the average load of the known ones: an entry without any announcements multiplies
+its own load by the number of entries.
 
-A server that rejected a request for want of room counts as full until a request that
-ran there has ended, or some time has passed.
+A server that rejected a request for lack of capacity counts as full until a request
+that ran there has ended, or until some time has passed.
 """
 
 from __future__ import annotations
@@ -21,12 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryLoad:
-    """What one entry has under way at one backend server.
+    """The requests of one entry that are in flight at one backend server.
 
-    :param tokens: that its requests to a model hold on average; at a plain service the
-        number of requests.
-    :param sequences: how many requests.
-    :param unread_tokens: prompt tokens of those whose first event hasn't come.
+    :param tokens: that the requests to a model hold on average; at a service without a
+        model, the number of requests.
+    :param sequences: number of requests.
+    :param pending_prompt_tokens: prompt tokens of the requests whose first event hasn't
+        come yet.
     """
 
     tokens: int = 0
@@ -39,15 +41,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """What all entries have under way at one backend server; fields as above.
-
-    :param known_share: the share of the entries whose parts are known, this one's
-        included, from 0 to 1.
-    :param age_s: how old the oldest of the known parts is.
-    :param known_tokens: the sum of the known parts, or what the server reported.
-    :param known_sequences: the same.
-    :param own_tokens: this entry's own part of them.
-    :param own_sequences: the same.
+    """The requests of all entries in flight at one backend server.
+
+    Fields not listed here are those of :class:`EntryLoad`.
+
+    :param known_share: share of the entries whose load is known, this entry included,
+        from 0 to 1.
+    :param age_s: age of the oldest announcement that is included.
+    :param known_tokens: sum over the known entries, or what the server reported.
+    :param known_sequences: the same for requests.
+    :param own_tokens: tokens of this entry's own requests.
+    :param own_sequences: number of this entry's own requests.
     """
 
     tokens: float = 0.0
@@ -63,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ServerReport:
-    """What a server said of itself; fields as in :class:`LoadPart`."""
+    """Load that a server reported itself; fields as in :class:`EntryLoad`."""
 
     at_s: float
     tokens: int
@@ -71,11 +75,11 @@
 
 
 class FleetLoad:
-    """One entry's reckoning of the load of all backend servers.
+    """One entry's estimate of the load of all backend servers.
 
-    Times are on the monotonic clock. Servers are named by their incarnations.
+    Times are on the monotonic clock. Servers are identified by their incarnations.
 
-    :param lifetime_s: how long another entry's announcement counts.
+    :param lifetime_s: how long an announcement of another entry is used.
     """
 
     def __init__(self, lifetime_s: float) -> None:
@@ -88,15 +92,15 @@
 
     @property
     def own(self) -> Mapping[str, EntryLoad]:
-        """The parts of the entry itself, by server."""
+        """The own load of this entry, by server."""
         return self._own
 
     def own_load(self, server_id: str) -> EntryLoad:
-        """Return the part of the entry itself at one server."""
+        """Return this entry's own load at one server."""
         return self._own.get(server_id, _NO_LOAD)
 
     def add(self, server_id: str, amount: EntryLoad) -> None:
-        """Count what was sent to a server."""
+        """Add a request that was sent to a server."""
         current = self.own_load(server_id)
         self._own[server_id] = EntryLoad(
             current.tokens + amount.tokens,
@@ -105,7 +109,7 @@
         )
 
     def subtract(self, server_id: str, amount: EntryLoad) -> None:
-        """Take back what was counted, at its end or once its prompt is read."""
+        """Subtract load that was added, as a request ends or its prompt is read."""
         current = self._own.get(server_id)
         if current is None:
             return
@@ -127,10 +131,11 @@
         now_s: float,
         entries: int = 1,
     ) -> None:
-        """Take all parts of another entry, true at ``at_s``; older ones are ignored.
+        """Store the load of another entry at all servers, unless newer load is known.
 
-        :param entries: how many entries' parts these are the sum of, if ``entry``
-            announces those of others, too.
+        :param at_s: when the load was measured.
+        :param entries: of how many entries this load is the sum, if ``entry`` announces
+            that of others, too.
         """
         announcement: Announcement[Mapping[str, EntryLoad]] = Announcement(
             at_s, dict(loads), entries
@@ -140,43 +145,46 @@
     def reported(
         self, server_id: str, tokens: int, sequences: int, at_s: float
     ) -> None:
-        """Take what a server said of itself; it counts for a lifetime."""
+        """Store the load that a server reported; it is used for one lifetime."""
         current = self._reports.get(server_id)
         if current is None or current.at_s < at_s:
             self._reports[server_id] = _ServerReport(at_s, tokens, sequences)
 
     def rejected(self, server_id: str, until_s: float) -> None:
-        """A server rejected a request for want of room: it is full until then."""
+        """Record that a server rejected a request and is full until ``until_s``."""
         known_s = self._full_until_s.get(server_id, float("-inf"))
         self._full_until_s[server_id] = max(known_s, until_s)
 
     def announced_full(self, server_id: str, until_s: float) -> None:
-        """Another entry announces that a server rejected a request."""
+        """Record that another entry announced a server as full until ``until_s``."""
         self._announced_full_until_s[server_id] = until_s
 
     def capacity_freed(self, server_id: str) -> None:
-        """A request that ran at a server has ended."""
+        """Record that a request ended at a server, which is no longer full then."""
         self._full_until_s.pop(server_id, None)
         self._announced_full_until_s.pop(server_id, None)
 
     def is_full(self, server_id: str, now_s: float) -> bool:
-        """Return whether a server is known to have no room."""
+        """Return whether a server counts as full."""
         return any(
-            now_s < marks.get(server_id, float("-inf"))
-            for marks in (self._full_until_s, self._announced_full_until_s)
+            now_s < full_until_s.get(server_id, float("-inf"))
+            for full_until_s in (self._full_until_s, self._announced_full_until_s)
         )
 
     def full_for_s(self, server_id: str, now_s: float) -> float | None:
-        """Return for how long a server counts as full, if it does."""
+        """Return for how many more seconds a server counts as full, if it does.
+
+        Only rejections of this entry's own requests count.
+        """
         until_s = self._full_until_s.get(server_id, now_s)
         return until_s - now_s if until_s > now_s else None
 
     def full_servers(self, now_s: float) -> list[str]:
-        """Return the servers that count as full by this entry's own requests."""
+        """Return the servers that are full according to this entry's own requests."""
         return [s for s, until_s in self._full_until_s.items() if now_s < until_s]
 
     def forget(self, known_servers: Collection[str], now_s: float) -> None:
-        """Forget all servers but these, and announcements past their lifetime."""
+        """Drop expired announcements, and all servers not in ``known_servers``."""
         known = set(known_servers)
         for server_id in set(self._own) - known:
             del self._own[server_id]
@@ -192,7 +200,10 @@
     def load(self, server_id: str, entries: int, now_s: float) -> ServerLoad:
         """Return the load of a server over all entries.
 
-        :param entries: how many entries there are, with this one.
+        A current report of the server replaces the extrapolation, unless the known
+        entries alone have more requests in flight.
+
+        :param entries: number of entries, including this one.
         """
         own = self.own_load(server_id)
         fresh = self._fresh(now_s)
@@ -229,11 +240,11 @@
         )
 
     def known_entries(self, now_s: float) -> int:
-        """Return how many entries' parts are known, with this one's."""
+        """Return the number of entries whose load is known, including this one."""
         return 1 + sum(announcement.entries for announcement in self._fresh(now_s))
 
     def age_s(self, now_s: float) -> float:
-        """Return how old the oldest of the parts is that count."""
+        """Return the age, in seconds, of the oldest announcement in use."""
         ages_s = (now_s - announcement.at_s for announcement in self._fresh(now_s))
         return max(ages_s, default=0.0)
 
--- a/src/railfold/_internal/decisions/fleet_size.py
+++ b/src/railfold/_internal/decisions/fleet_size.py
@@ -1,18 +1,20 @@
-"""How many entries share a limit, as each of them reckons it by itself.
-
-The store deals partitions out evenly among the entries, so that an entry's share of
-them tells how many there are. What an entry may spend of a common limit in any window
-is its part. Parts add up to the whole in every window though entries come and go:
-
-- a part that shrinks does so at once, one that grows does so only when all that entries
-  which have left may have spent lies outside the window;
-- an entry that the store no longer hears gives its part up before others take it;
-- one that comes, or comes back after the store had stopped to count it, has a share of
-  its part only, until nobody can spend a part any more that was reckoned without it. It
-  doesn't know how many there were before, nor what its predecessor has spent.
-
-Equal parts of a fixed number would be too large for some fleets: with 25 for all that
-don't know theirs, 383 entries could spend three times the whole.
+"""The number of entries that share a limit, as each of them estimates it by itself.
+
+The store assigns its partitions evenly to the entries, so that the number of partitions
+of one entry shows how many entries there are. Each entry may use an equal share of a
+common limit in any time window. The shares together must never exceed the limit, though
+entries come and go:
+
+- A share that shrinks does so at once. A share that grows does so only when everything
+  that departed entries may have used lies outside the window.
+- An entry that can't reach the store gives up its share before others take it over.
+- An entry that joins, or that joins again after its membership had expired, has a
+  reduced share until no entry uses a share that was computed without it. It doesn't
+  know how many entries there were before, nor what its previous incarnation has used.
+
+Equal shares of a fixed number would be too large for some fleets: if each entry that
+doesn't know its share took one twenty-fifth, 383 entries could use three times the
+limit.
 """
 
 from __future__ import annotations
@@ -22,30 +24,30 @@
 
 __all__ = ["FleetSize", "PartitionAssignment"]
 
-# While a deal is new, partitions move from one member to another and some are with
-# nobody. Members renew every 0.75 s, and have all done so once after this time.
+# After a change of members, partitions move between members and some have no owner.
+# Members renew every 0.75 s, so that after this time all have renewed once.
 _SETTLE_TIME_S = 1.0
 
-# The store's shares are uneven: of 240 partitions five members hold 40 or 50 each. One
-# that is further from an even one is of another number of members. Parts by a list that
-# is wrong by less add up to no more than 1.25 of what is divided, which is 0.8 of a
-# limit.
+# The store's assignment is uneven: of 240 partitions, five members hold 40 or 50 each.
+# A larger deviation from an even share shows that the number of members is different.
+# With a smaller one, shares computed from a wrong list sum to at most 1.25 of what is
+# divided, which is 0.8 of a limit.
 _MAX_UNEVENNESS = 0.2
 
-# The share of its part that an entry has which has just come. Together they have no
-# more than this of the whole, beside the parts of those that were there or, if all have
-# just been started again, beside what those spent before. Entries divide 0.8 of a
-# limit, so that a quarter of that is what is left.
+# The part of its share that an entry which has just joined may use. Together, new
+# members use at most this part of the whole, in addition to the shares of earlier
+# members or, after a restart of all entries, to what those used before. Since entries
+# divide 0.8 of a limit, a quarter of that is what remains.
 _NEW_MEMBER_SHARE = 0.25
 
 
 @dataclass(frozen=True, slots=True)
 class PartitionAssignment:
-    """What one member was dealt.
+    """The partitions that the store assigned to one member.
 
-    :param generation: rises with every change of members.
-    :param own: partitions that this member holds.
-    :param total: partitions that there are.
+    :param generation: increases with every change of members.
+    :param own_partitions: number of partitions of this member.
+    :param total_partitions: number of partitions of all members.
     """
 
     generation: int
@@ -54,11 +56,11 @@
 
     @property
     def members(self) -> int:
-        """How many members there are; at least so many if this one holds nothing."""
+        """Estimated number of members; a lower bound if this one has no partitions."""
         return max(1, round(self.total_partitions / max(1, self.own_partitions)))
 
     def is_consistent_with(self, members: int) -> bool:
-        """Return whether so many members may have been dealt such shares."""
+        """Return whether ``members`` members may have been given such a share."""
         even_share = self.total_partitions / members
         return (
             abs(self.own_partitions - even_share) <= 1.0 + _MAX_UNEVENNESS * even_share
@@ -72,14 +74,15 @@
 
 
 class FleetSize:
-    """The number of entries, and this one's part of what all may do.
+    """The number of entries, and this entry's share of a common limit.
 
     Times are on the monotonic clock.
 
-    :param window_s: any window of this length must hold no more than the whole.
-    :param lapse_s: how long after its last renewal the store counts a member.
-    :param founded_by_s: who comes before this time is one of those that the
-        installation begins with: nobody was there before.
+    :param window_s: in any window of this length all entries together must stay within
+        the limit.
+    :param member_lease_s: how long after its last renewal the store counts a member.
+    :param initial_members_until_s: an entry that joins before this time is one of the
+        first of a new installation: no entry was there before.
     """
 
     def __init__(
@@ -102,7 +105,7 @@
     def assignment_received(
         self, assignment: PartitionAssignment, sent_s: float
     ) -> None:
-        """Take what a renewal that was sent at ``sent_s`` was answered with."""
+        """Process the assignment from the response to a renewal sent at ``sent_s``."""
         self._check_membership(sent_s)
         if (
             self._assignment is None
@@ -117,15 +120,15 @@
                 sent_s,
             )
         elif assignment.own_partitions:
-            # All that a process that has just started can go by.
+            # Until its assignment is stable, a new process has no better estimate.
             self._initial_estimate = assignment.members
 
     def _check_membership(self, sent_s: float) -> None:
-        """Look whether the store counts this entry anew.
+        """Detect that the store counts this entry as a new member.
 
-        Others may have taken its part meanwhile. They give it up once they hear of it;
-        one that doesn't hear has it for a lapse and a window, and what it spends last
-        counts for another window.
+        Other entries may have taken over its share meanwhile. They give it back once
+        they hear of this entry. One that can't reach the store keeps its share for a
+        member lease and a window, and its last use counts for another window.
         """
         if self._full_share_from_s is None:
             is_initial_member = sent_s < self._initial_members_until_s
@@ -133,14 +136,15 @@
             return
         else:
             is_initial_member = False
-            self._assignment = None  # What it is dealt now has to settle, too.
+            self._assignment = None  # The new assignment must become stable first, too.
         wait_s = 0.0 if is_initial_member else self._member_lease_s + 2 * self._window_s
         self._full_share_from_s = sent_s + wait_s
 
     def set_listed_entries(self, entries: int) -> None:
-        """Take how many entries there are by their own list, with those that are away.
+        """Set the number of entries in the list that entries keep in the store.
 
-        Whoever has just come can go by it before its deal has settled.
+        The list includes entries that are absent. A new member can use it before its
+        assignment is stable.
         """
         self._listed_entries = entries
 
@@ -160,9 +164,10 @@
 
     @property
     def members(self) -> int | None:
-        """How many entries there are, if anything is known of it.
+        """Number of entries, ``None`` if it isn't known.
 
-        The list tells exactly, but also holds some that are away.
+        The list of entries is exact, but may include absent ones: it is used if it is
+        consistent with the assignment.
         """
         if not self._estimates:
             return self._initial_estimate
@@ -172,11 +177,12 @@
         return listed_entries or self._estimates[-1].members
 
     def share(self, now_s: float) -> float:
-        """Return which part of the whole this entry may spend in a window now.
+        """Return the share of the limit, 0 to 1, that this entry may use in a window.
 
-        The most entries of two windows count. One that the store doesn't hear any more
-        goes on for a window after it has lapsed there; when the others take its part,
-        another window later, all that it spent lies outside.
+        It is based on the largest number of entries within two windows. An entry that
+        can't reach the store keeps its share for one window after its membership has
+        expired there. Others take its share over another window later, when everything
+        that it used lies outside their window.
         """
         since_renewal_s = now_s - self._last_renewal_s
         if (
@@ -188,7 +194,7 @@
         return share / self._max_recent_members(now_s)
 
     def _max_recent_members(self, now_s: float) -> float:
-        """Return how many entries there were at most of late; no number is too many."""
+        """Return the largest recent number of entries; infinite if none is known."""
         listed_entries = self._listed_entries or 0
         if not self._estimates:
             return (
--- a/src/railfold/_internal/decisions/load_rounds.py
+++ b/src/railfold/_internal/decisions/load_rounds.py
@@ -1,19 +1,21 @@
-"""Adding up what entries have under way, in rounds.
-
-In each round one entry of a failure domain collects the parts of the others, and sends
-all of them the sum, together with the sums of other domains; that of its own domain
-goes to one entry of each other domain, which passes it on to the next collector there,
-and that one to the collector after it.
-Who collects is drawn by the number of the round, so that the work and the bytes are
-shared, and a collector that is lost costs one round. An entry that hears no sum goes on
-to the next round, and passes over the collector that it missed.
-
-A round's number is a logical clock of a domain: a part counts only in the round that it
-was sent for, which begins with the sum of the one before. So no clocks are compared. A
-sum counts for an entry only if its own part is in it: then it was made after that part
-was sent. Another domain's sum names the newest round of this one that is known there,
-and is reckoned to be as old as that. Each round begins from nothing; what was lost,
-came twice or late changes no other.
+"""Aggregation of the load of all entries, in rounds.
+
+In each round one entry of a failure domain, the collector, adds up the load of the
+domain's entries. It sends them the sum, together with the sums of other domains. It
+sends the sum of its own domain to one entry of each other domain, which forwards it to
+the next collector there; that collector hands it over to the one after it.
+
+The collector is chosen by a hash of the round number, so that work and traffic are
+spread, and a lost collector costs one round. An entry that receives no sum continues
+with the next round, and skips a collector that it missed repeatedly.
+
+The round number is a logical clock of a domain: a contribution counts only in the round
+that it was sent for, which starts with the sum of the previous round. So no clocks are
+compared. An entry uses a sum only if its own contribution is included, since the sum
+was then made after that contribution was sent. The sum of another domain names the
+newest round of this domain that was known there, and is assumed to be as old as that
+round. Each round starts from zero; lost, duplicate or late messages affect no other
+round.
 """
 
 from __future__ import annotations
@@ -32,32 +34,32 @@
     "SendContribution",
 ]
 
-# How long a collector waits for parts that were sent at the same time, and how much
-# longer the others wait for its sum, as shares of the interval.
+# How long a collector waits for contributions that were sent at the same time, and how
+# much longer the other entries wait for its sum, as parts of the interval.
 _COLLECT_TIME_SHARE = 0.25
 _SUM_TIMEOUT_SHARE = 0.25
 
-# A collector that was missed so often in a row is passed over for so many intervals:
-# entries that are gone for good stay in the list for minutes.
+# After this many missed rounds in a row a collector is skipped for this many intervals:
+# entries that have left for good stay in the list for minutes.
 _MAX_MISSED = 2
 _SKIP_INTERVALS = 20
 
-# Sums of other domains count for so many intervals.
+# Sums of other domains are used for this many intervals.
 _DOMAIN_SUM_LIFETIME_INTERVALS = 5
 
-# So many own parts are kept, by which the age of other domains' sums is reckoned.
+# The newest own contributions are kept to tell the age of other domains' sums.
 _MAX_SENT_KEPT = 12
 
-# Parts for later rounds than the next come from entries that are ahead.
+# Contributions to rounds after the next one come from entries that are ahead.
 _MAX_COLLECTED_ROUNDS = 4
 
 AmountsByKey = Mapping[int, Sequence[int]]
-"""Amounts by a key, all of the same length."""
+"""Amounts by key; all sequences have the same length."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendContribution:
-    """Send the own part for a round to the one that collects it."""
+    """Send this entry's contribution for a round to the collector."""
 
     to: str
     round: int
@@ -66,9 +68,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DomainSum:
-    """The sum of another domain.
+    """The sum over one failure domain, as other domains receive it.
 
-    :param seen: the newest round of this domain that was known there, if any was.
+    :param entries: number of entries that are included.
+    :param seen: the newest round of the receiving domain that the sender knew, if any.
     """
 
     domain: str
@@ -82,15 +85,17 @@
 class PublishSum:
     """Send the sum of a round.
 
-    :param to: entries of the own domain.
-    :param foreign: one entry of each other domain, which get ``home``.
-    :param next_collector: gets what is known of other domains, ``handed_over``.
-    :param seen: the newest rounds of other domains that are known.
-    :param included: entries of the own domain whose parts are in it.
-    :param home: the sum of the own domain.
-    :param total: the same with the sums of other domains.
-    :param entries: how many entries' parts are in ``total``.
-    :param age_s: how much older than the parts of the own domain the others are.
+    :param to: entries of the own domain that get ``total``.
+    :param other_domain_receivers: one entry of each other domain, which get
+        ``domain_total``.
+    :param next_collector: gets the known sums of other domains, ``forwarded_sums``.
+    :param seen: the newest known round of each other domain.
+    :param included: entries of the own domain whose contributions are included.
+    :param domain_total: the sum of the own domain.
+    :param total: the sum of the own domain and of other domains.
+    :param entries: number of entries included in ``total``.
+    :param age_s: how much older the sums of other domains are than the contributions of
+        the own domain, at most.
     """
 
     round: int
@@ -108,10 +113,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OtherEntriesLoad:
-    """What the other entries have under way.
+    """The load of the other entries.
 
-    :param at_s: from when the oldest part is, at the earliest.
-    :param entries: how many other entries' parts are in it.
+    :param at_s: no contribution is older than this.
+    :param entries: number of other entries that are included.
     """
 
     at_s: float
@@ -124,9 +129,9 @@
 
 @dataclass(slots=True)
 class _OtherDomainSum:
-    """A sum of another domain.
+    """A received sum of another domain.
 
-    :param at_s: from when it is at the earliest.
+    :param at_s: the sum is no older than this.
     """
 
     domain_sum: DomainSum
@@ -143,14 +148,14 @@
 
 @dataclass(slots=True)
 class LoadRounds:
-    """One entry's part in the rounds.
+    """One entry's state in the aggregation rounds.
 
     Times are on the monotonic clock.
 
-    :param name: this entry's.
-    :param domain: its failure domain.
+    :param name: name of this entry.
+    :param domain: failure domain of this entry.
     :param random_unit: returns a random number from 0 to 1.
-    :param round: the newest round of which a sum was heard, or given up.
+    :param round: the newest round whose sum was received or given up.
     """
 
     name: str
@@ -172,13 +177,14 @@
         members: Mapping[str, Sequence[str]],
         own: Callable[[], AmountsByKey],
     ) -> list[RoundAction]:
-        """Return what to send now.
+        """Return the messages to send now.
 
-        :param members: names of all entries by failure domain, with this one.
-        :param own: returns what this entry has under way.
+        :param members: names of all entries by failure domain, including this one.
+        :param own: returns the load of this entry.
         """
         if self._round_started_s is None:
-            # Entries that start together don't all collect at once.
+            # A random start keeps entries that start together from all collecting at
+            # once.
             self._round_started_s = now_s - self.random_unit() * self.interval_s
         domain_members = members.get(self.domain, ())
         number = self.round + 1
@@ -207,7 +213,7 @@
     def contribution_received(
         self, name: str, number: int, amounts_by_key: AmountsByKey
     ) -> bool:
-        """Take another entry's part; return whether it comes in time."""
+        """Store another entry's contribution; return whether its round is open."""
         self._mark_reachable(name)
         if number <= self.round:
             return False
@@ -217,13 +223,14 @@
         return True
 
     def next_collector(self, domain_members: Sequence[str], now_s: float) -> str:
-        """Return which of the own domain's entries collects the next round."""
+        """Return which entry of the own domain collects the next round."""
         return self._collector(domain_members, self.round + 1, now_s)
 
     def domain_sum_received(self, received: DomainSum, now_s: float) -> None:
-        """Take the sum of another domain."""
+        """Store the sum of another domain."""
         known = self._other_domain_sums.get(received.domain)
-        # Entries that were all started again count their rounds anew.
+        # Round numbers start anew after a restart of all entries of a domain, so that
+        # an older number is accepted once the known sum has expired.
         lifetime_s = _DOMAIN_SUM_LIFETIME_INTERVALS * self.interval_s
         is_fresh = known is not None and now_s - known.received_s < lifetime_s
         is_outdated = (
@@ -251,11 +258,12 @@
         age_s: float,
         seen: Mapping[str, int],
     ) -> OtherEntriesLoad | None:
-        """Take a sum; return what counts of it for this entry.
+        """Process a sum; return the load of the other entries if the sum is usable.
 
-        :param entries: how many entries' parts are in it.
-        :param age_s, seen: see :class:`PublishSum`.
-        :param includes_own: whether this entry's is one of them.
+        :param entries: number of entries included in the sum.
+        :param includes_own: whether this entry's contribution is included.
+        :param age_s: see :class:`PublishSum`.
+        :param seen: see :class:`PublishSum`.
         """
         self._mark_reachable(sender)
         if number > self.round:
@@ -296,7 +304,8 @@
             + sum(known.domain_sum.entries for known in other_sums)
         )
         others = [n for n in members.get(self.domain, ()) if n != self.name]
-        # Parts that came although another one collects: only their senders wait.
+        # If another entry is the collector, only the senders of these contributions
+        # wait for a sum from this one.
         to = others if collector == self.name else list(contributions)
         receivers = [
             self._collector(names, number, now_s)
@@ -340,7 +349,7 @@
             self._skipped_until_s[name] = until_s
 
     def _collector(self, names: Sequence[str], number: int, now_s: float) -> str:
-        """Return who collects a round among these entries."""
+        """Return which of these entries collects a round."""
         skipped_until_s = self._skipped_until_s
         candidates = [n for n in names if skipped_until_s.get(n, now_s) <= now_s]
         return max(
--- a/src/railfold/_internal/decisions/peers.py
+++ b/src/railfold/_internal/decisions/peers.py
@@ -1,10 +1,11 @@
-"""The other entries as one of them knows them, and whom it tells news.
-
-News spread as rumours: who learns something tells some others, drawn by chance, and
-each of those passes it on once. Up to nine entries tell all others directly. With 380,
-three rounds reach all but some 0.03 % of them (e^-8 are told by nobody), and each sends
-eight datagrams a piece of news, whatever their number; telling all directly would take
-379 of one of them. Who misses one learns it with the next, or from the store.
+"""The other entries that an entry knows, and which of them get its messages.
+
+Messages spread by gossip: the sender picks some random peers, and each of those
+forwards the message once. In a fleet of up to nine entries the sender reaches all
+others directly. With 380 entries, three rounds reach all but 0.03 % of them (e^-8 get
+it from nobody), and each entry sends eight datagrams per message, whatever the size of
+the fleet; direct delivery would take 379 datagrams from one entry. An entry that misses
+a message learns its content from the next one, or from the store.
 """
 
 from __future__ import annotations
@@ -18,14 +19,15 @@
 
 __all__ = ["FANOUT", "Peer", "PeerView", "SeenMessages"]
 
-# How many others are told at a time.
+# Number of peers that get a message from one sender.
 FANOUT = 8
 
-# So many entries are known at most: several times the 380 hosts to design for.
+# Maximum number of known peers: several times the 380 hosts of the largest planned
+# fleet.
 _MAX_PEERS = 2000
 
-# Messages that were passed on are remembered up to this number: a minute of a crash a
-# second under which ten contents were seen to begin.
+# Maximum number of remembered message ids: enough for one minute of one crash per
+# second with ten suspected contents each.
 _MAX_MESSAGES = 4096
 
 
@@ -33,9 +35,9 @@
 class Peer:
     """An entry.
 
-    :param address: where it takes messages.
+    :param address: where it receives messages.
     :param started_at_ms: Unix time of its start; a later one is a later incarnation.
-    :param failure_domain: empty if it doesn't tell; then it announces no load.
+    :param failure_domain: empty if it doesn't announce one; then it announces no load.
     """
 
     name: str
@@ -45,7 +47,7 @@
 
 
 class PeerView:
-    """All other entries that are known."""
+    """The known peers of an entry."""
 
     def __init__(self, own: Peer) -> None:
         self.own = own
@@ -56,11 +58,11 @@
 
     @property
     def names(self) -> tuple[str, ...]:
-        """Their names."""
+        """Names of the peers."""
         return tuple(self._peers)
 
     def names_by_domain(self) -> dict[str, list[str]]:
-        """Return who announces load, by failure domain, with this entry."""
+        """Return the entries that announce load by failure domain, with this entry."""
         domains: dict[str, list[str]] = {}
         for peer in (self.own, *self._peers.values()):
             if peer.failure_domain:
@@ -68,11 +70,11 @@
         return domains
 
     def get(self, name: str) -> Peer | None:
-        """Return an entry, if it is known."""
+        """Return a peer by name, if it is known."""
         return self._peers.get(name)
 
     def join(self, peer: Peer) -> bool:
-        """Take an entry's own word; return whether it is news."""
+        """Add an entry or a later incarnation of it; return whether it was new."""
         if peer.name == self.own.name or len(self._peers) >= _MAX_PEERS:
             return False
         known = self._peers.get(peer.name)
@@ -82,7 +84,7 @@
         return True
 
     def replace(self, peers: Iterable[Peer]) -> None:
-        """Take a whole list; one that is newer than its row there stays so."""
+        """Replace all peers, but keep later incarnations that are already known."""
         known = self._peers
         self._peers = {}
         for peer in peers:
@@ -92,23 +94,23 @@
 
     @property
     def needs_relay(self) -> bool:
-        """Whether there are too many for the first one to tell all."""
+        """Whether the fleet is too large for a sender to reach all peers directly."""
         return len(self._peers) > FANOUT
 
     def sample(self, rng: random.Random, exclude: Collection[str]) -> list[Peer]:
-        """Return whom to tell now."""
+        """Return random peers to send a message to."""
         others = [p for p in self._peers.values() if p.name not in exclude]
         return rng.sample(others, min(FANOUT, len(others)))
 
 
 class SeenMessages:
-    """Which messages were taken before."""
+    """Ids of the messages that were received or sent before."""
 
     def __init__(self) -> None:
         self._seen_ids: OrderedDict[bytes, None] = OrderedDict()
 
     def add(self, message_id: bytes) -> bool:
-        """Return whether a message wasn't taken before, and remember it."""
+        """Remember a message id; return whether it was new."""
         if message_id in self._seen_ids:
             return False
         self._seen_ids[message_id] = None
--- a/src/railfold/_internal/decisions/probe_backoff.py
+++ b/src/railfold/_internal/decisions/probe_backoff.py
@@ -1,8 +1,8 @@
-"""How often backend servers of a silent chain are probed.
+"""How often the backend servers of a silent chain are probed.
 
-Probes cost little when one of them is dead, and are wasted when the chain is only
-slow: then all its streams fall silent again and again. So each chain is probed
-half as often after each probe that found nothing.
+A probe is cheap if it finds a dead server, and wasted if the chain is only slow: all
+streams of a slow chain fall silent again and again. So the interval between probes of a
+chain doubles after each probe that found nothing.
 """
 
 from __future__ import annotations
@@ -11,14 +11,15 @@
 
 __all__ = ["ProbeBackoff"]
 
-# Two stages may die one after the other: the second is found this much later.
+# If two stages die one after the other, the second is found this much later.
 _FIRST_INTERVAL_S = 0.2
 
-# Long enough for a slow chain to cost next to nothing; streams that another engine
-# was asked about are still moved before their clients leave (2 s).
+# Long enough to make probes of a slow chain negligible. Streams whose engine was
+# already probed for another stream are still rerouted before their clients give up,
+# which they do after 2 s.
 _MAX_INTERVAL_S = 1.6
 
-# A chain that wasn't probed for this long is probed as if for the first time.
+# The backoff of a chain starts again if the chain wasn't probed for this long.
 _RESET_S = 4.0
 
 
@@ -29,13 +30,13 @@
 
 
 class ProbeBackoff:
-    """When each chain was probed, by its first host."""
+    """Backoff state of each chain, identified by its first host."""
 
     def __init__(self) -> None:
         self._states: dict[str, _ProbeState] = {}
 
     def allow_probe(self, first_host: str, now_s: float) -> bool:
-        """Return whether to probe now; if so, it counts as done."""
+        """Return whether to probe a chain now, and record the probe if so."""
         state = self._states.get(first_host)
         if state is None or now_s - state.last_probe_s >= _RESET_S:
             self._states[first_host] = _ProbeState(now_s, _FIRST_INTERVAL_S)
@@ -47,12 +48,12 @@
         return True
 
     def dead_server_found(self, first_host: str) -> None:
-        """A probe found a dead backend server: the next one needn't wait long."""
+        """Reset the backoff of a chain in which a probe found a dead backend server."""
         state = self._states.get(first_host)
         if state is not None:
             state.interval_s = _FIRST_INTERVAL_S
 
     def forget(self, known_hosts: set[str]) -> None:
-        """Forget all hosts but these."""
+        """Drop the state of all chains whose first host isn't in ``known_hosts``."""
         for host in set(self._states) - known_hosts:
             del self._states[host]
--- a/src/railfold/_internal/decisions/proof_exchange.py
+++ b/src/railfold/_internal/decisions/proof_exchange.py
@@ -1,18 +1,19 @@
-"""When an entry asks the others how fresh their configuration is, and when the store.
-
-What the store answered proves which configuration was in force when the call was sent.
-Each entry needs such a proof that is younger than its lease of credentials. One that
-read the store can hand its proof on: who asks counts the age that it is told from when
-the question was sent, so that no clocks are compared, and time on the way or in a
-frozen host only makes the proof older.
-
-Each entry asks the first of the others, by name, that answers with a fresh proof. So
-all ask the same one or few, and whoever is asked reads the store for the others too.
-Nobody is appointed: if the one that reads is lost, cut off or slow, the next one is
-asked within a quarter of a second, and reads then. An entry that hears nobody reads
-alone, as often as without peers.
-
-If each asked peers drawn by chance, all would be asked by some, and all would read.
+"""Decides when an entry asks its peers for a fresh proof, and when it reads the store.
+
+A response of the store proves which configuration was in force when the request was
+sent. Each entry needs such a proof that is younger than its lease on credentials. An
+entry that has read the store can pass its proof on. The receiver counts the reported
+age from the time when it sent the question. So no clocks are compared, and delays on
+the network or in a frozen host only make the proof look older.
+
+Each entry asks the first of its peers, ordered by name, that replies with a fresh
+proof. So all ask the same one or few peers, which read the store for the others too. No
+reader is elected: if the reader is lost, cut off or slow, the next peer is asked within
+a quarter of a second, and becomes the reader. An entry that gets no replies reads the
+store itself, as often as an entry without peers.
+
+If each entry asked random peers, all would be asked by some, and all would read the
+store.
 """
 
 from __future__ import annotations
@@ -24,59 +25,62 @@
 
 __all__ = ["AskPeer", "ProofExchange", "ProofStep", "ReadStore", "Wait"]
 
-# At which age of its proof, as a share of the lease, an entry reads the store: if
-# others ask it, if others answer it, and alone. With a lease of 5 s those are 0.6, 1.4
-# and 1.85 s, so that a store that is lost leaves most of the lease.
+# Age of its proof, as a part of the lease, at which an entry reads the store: if its
+# peers ask it, if they reply to it, and if neither is so. With a lease of 5 s these
+# ages are 0.6, 1.4 and 1.85 s. If the store is lost, most of the lease is then left.
 _READER_SHARE = 0.12
 _READ_IF_REPLIES_SHARE = 0.28
 _READ_ALONE_SHARE = 0.37
 
-# Entries that start together would all read at the same age.
+# Random variation of that age: entries that start together would all read the store at
+# once.
 _JITTER = 0.2
 
-# From this age on it asks others, and not more often than that.
+# An entry asks its peers once its proof has this age, as a part of the lease, and at
+# most once per interval.
 _ASK_SHARE = 0.08
 _ASK_INTERVAL_S = 0.3
 
-# A question that isn't answered by then is lost: peers answer within milliseconds.
+# A question without a reply after this time is lost: peers reply within milliseconds.
 _REPLY_TIMEOUT_S = 0.25
 
-# One that didn't answer, or whose proof was old, isn't asked again for this share of
-# the lease, unless all others were passed over as well.
+# A peer that didn't reply, or whose proof was old, isn't asked again for this part of
+# the lease, unless all other peers are skipped as well.
 _SKIP_SHARE = 0.4
 
-# Whoever was asked so often in the last second reads for others too.
+# An entry that got this many questions in the last second reads the store for its
+# peers.
 _QUESTIONS_WINDOW_S = 1.0
 _READER_MIN_QUESTIONS = 2
 
-# Entries are divided into groups of about so many that ask the same one: each asks
-# twice a second, of 0.1 ms each.
+# Entries are divided into groups of about this size, each of which asks the same peer.
+# An entry asks twice a second, and each reply costs 0.1 ms of processor time.
 _GROUP_SIZE = 20
 
-# Answers a second: 0.1 ms of a core each, 1.5 % of the smallest entries' 0.39. Who gets
-# none asks the next one.
+# At 0.1 ms each, replies take at most 1.5 % of the 0.39 cores of the smallest entries.
+# An entry that gets no reply asks the next peer.
 _MAX_REPLIES_PER_S = 60
 
-# Answers are relied on to be there for this long.
+# How long after a reply further replies are expected.
 _REPLY_VALIDITY_S = 1.5
 
-# An entry whose proof is older than this share of the lease isn't getting a new one: a
-# read alone comes before. What is left of the lease is the time that the balancer has
-# to lead clients elsewhere.
+# An entry whose proof is older than this part of the lease fails to renew it, since
+# even an entry without peers reads the store earlier. The load balancer has the rest of
+# the lease to route clients to other entries.
 _EXPIRING_SHARE = 0.5
 
-# An entry that doesn't hear so many others is cut off, perhaps with some more. Where
-# only the store is out, nearly all answer.
+# An entry that gets no reply from this share of its peers is cut off, perhaps with some
+# others. If only the store is lost, nearly all peers reply.
 _UNANSWERED_SHARE = 1.0 / 3.0
 
-# From this age on others are asked by chance: those that come first by name may be cut
-# off together with this one.
+# From this age on, as a part of the lease, peers are asked at random: those that come
+# first by name may be cut off together with this entry.
 _RANDOM_PEER_SHARE = _READ_IF_REPLIES_SHARE
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Nothing is to be done now."""
+    """Do nothing now."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,7 +90,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AskPeer:
-    """Ask this entry."""
+    """Ask this peer for its proof."""
 
     name: str
 
@@ -95,12 +99,12 @@
 
 
 class ProofExchange:
-    """One entry's part in handing proofs on.
+    """One entry's state in the exchange of proofs.
 
     Times are on the monotonic clock.
 
-    :param name: this entry's.
-    :param lease_s: how long a proof is relied on.
+    :param name: name of this entry.
+    :param lease_s: how long a proof is valid.
     """
 
     def __init__(self, name: str, lease_s: float, rng: random.Random) -> None:
@@ -116,7 +120,7 @@
         self._last_reply_s = float("-inf")
         self._newest_peer_proof_s = float("-inf")
         self._skipped_until_s: dict[str, float] = {}
-        # When each other entry was last asked, and the proof that it told then.
+        # When each peer was last asked, and the time of the proof in its reply.
         self._asked_peers_s: dict[str, float] = {}
         self._peer_proofs_s: dict[str, float] = {}
         self._expiring_alone = False
@@ -127,8 +131,8 @@
     def step(self, now_s: float, age_s: float, peers: Sequence[str]) -> ProofStep:
         """Return what to do now.
 
-        :param age_s: how old this entry's proof is.
-        :param peers: the other entries' names.
+        :param age_s: age of this entry's proof.
+        :param peers: names of the other entries.
         """
         peer = self._peer_to_ask(now_s, age_s, peers)
         if peer is not None:
@@ -141,8 +145,8 @@
     def _peer_to_ask(
         self, now_s: float, age_s: float, peers: Sequence[str]
     ) -> str | None:
-        """Return whom to ask now, if anybody."""
-        # Whoever is asked reads, and has nothing to ask, unless it can't.
+        """Return the peer to ask now, if any."""
+        # A reader reads the store itself, and asks its peers only if that fails.
         is_reader = self._is_reader(now_s)
         ask_from_share = 2 * _READER_SHARE if is_reader else _ASK_SHARE
         if age_s < ask_from_share * self.lease_s:
@@ -164,7 +168,7 @@
         return peer
 
     def _preferred_peer(self, peers: Sequence[str]) -> str | None:
-        """Return the first other one of this entry's group, or of all."""
+        """Return the first peer by name in this entry's group, or else in any group."""
         names = sorted([*peers, self._name])
         groups = max(1, round(len(names) / _GROUP_SIZE))
         first = names.index(self._name) % groups
@@ -172,18 +176,18 @@
         others = [name for name in ordered if name != self._name]
         if not others:
             return None
-        # The first that wasn't passed over; of those that were, the one longest ago.
+        # Prefers a peer that isn't skipped, then the one whose skip ends first.
         never_s = float("-inf")
         return min(others, key=lambda name: self._skipped_until_s.get(name, never_s))
 
     def _random_peer(self, peers: Sequence[str]) -> str | None:
-        """Return any other one, rather one that wasn't passed over."""
+        """Return a random peer, preferably one that isn't skipped."""
         others = [name for name in peers if name != self._name]
         preferred = [name for name in others if name not in self._skipped_until_s]
         return self._rng.choice(preferred or others) if others else None
 
     def _skip_peer(self, name: str, now_s: float) -> None:
-        """Ask others than this one for some time."""
+        """Ask other peers than this one for some time."""
         self._skipped_until_s[name] = now_s + _SKIP_SHARE * self.lease_s
         self._pending_peer = ""
 
@@ -209,7 +213,7 @@
         )
 
     def question_received(self, now_s: float) -> bool:
-        """Another entry asks; return whether to answer."""
+        """Record a peer's question; return whether to reply."""
         full = len(self._questions_received_s) == _MAX_REPLIES_PER_S
         if full and self._questions_received_s[0] > now_s - 1.0:
             return False
@@ -217,7 +221,10 @@
         return True
 
     def reply_received(self, name: str, now_s: float, age_s: float) -> None:
-        """Another entry told how old its proof is, counted from the question."""
+        """Process a peer's reply.
+
+        :param age_s: age of its proof, counted from when the question was sent.
+        """
         if name == self._pending_peer:
             self._pending_peer = ""
         self._last_reply_s = now_s
@@ -229,21 +236,21 @@
         self._last_fresh_reply_s = now_s
 
     def others_have_proof(self, now_s: float) -> bool:
-        """Return whether others can tell that credentials hold, while this one can't.
+        """Return whether peers can validate credentials while this entry can't.
 
-        If others were heard of late, by what they told. If not, this one is cut off,
-        and others probably aren't.
+        If peers replied recently, this depends on the age of their proofs. Otherwise
+        this entry is probably cut off, and its peers aren't.
         """
         if now_s - self._last_reply_s > _REPLY_VALIDITY_S:
             return True
         return now_s - self._newest_peer_proof_s < self.lease_s
 
     def is_expiring_alone(self, now_s: float, age_s: float) -> bool:
-        """Return whether this entry's proof runs out while most others' don't.
+        """Return whether this entry's proof is expiring but those of most peers aren't.
 
-        Once it does, it does until the entry has a fresh proof.
+        Once it is so, it stays so until this entry has a fresh proof.
 
-        :param age_s: how old this entry's proof is.
+        :param age_s: age of this entry's proof.
         """
         if age_s < _RANDOM_PEER_SHARE * self.lease_s:
             self._expiring_alone = False
@@ -252,12 +259,12 @@
         return self._expiring_alone
 
     def _others_have_newer_proof(self, now_s: float, age_s: float) -> bool:
-        """Return whether others seem to have the proof that this entry lacks.
+        """Return whether peers seem to have the proof that this entry lacks.
 
-        That is so if another one told a fresh proof, which is then of a configuration
-        that this one doesn't know, or if many of those that were asked don't
-        answer. Where most answer with proofs as old, the store is out for all, and
-        clients that go elsewhere gain nothing.
+        It is so if a peer reported a fresh proof, which is then of a configuration that
+        this entry doesn't know, or if many of the peers that were asked don't reply. If
+        most reply with proofs as old as this entry's, the store is unavailable for all,
+        and clients gain nothing from using another entry.
         """
         since_s = now_s - age_s + _RANDOM_PEER_SHARE * self.lease_s
         asked_peers = {n for n, at_s in self._asked_peers_s.items() if at_s >= since_s}
--- a/tests/lib/admission_simulation.py
+++ b/tests/lib/admission_simulation.py
@@ -1,8 +1,8 @@
-"""Drawn plays of requests that compete for room at engines, without a network.
+"""Simulation of requests that compete for engine memory, without a network.
 
-Each chain of engines is one server that holds so many tokens and rejects what doesn't
-fit. Entries decide with the product's own state, by what others announced some tenths
-of a second ago; refused clients come back once.
+Each chain of engines is simulated as one server that holds a limited number of tokens
+and rejects what doesn't fit. Entries decide with the product's own code, based on
+announcements that are some tenths of a second old. Refused clients retry once.
 """
 
 from __future__ import annotations
@@ -45,24 +45,25 @@
 
 
 class Strategy(Enum):
-    """How entries decide."""
+    """How entries decide where to send requests, and which to refuse."""
 
     PRODUCT = auto()
-    SEND_UNTIL_REJECTED = auto()  # Until engines reject.
-    SINGLE_RANDOM_ATTEMPT = auto()  # One attempt anywhere.
+    SEND_UNTIL_REJECTED = auto()  # Until the retries are used up.
+    SINGLE_RANDOM_ATTEMPT = auto()  # To any chain, without a retry.
     IGNORE_PRIORITY = auto()
     IGNORE_WORKSPACE = auto()
 
 
 @dataclass(frozen=True)
 class Scenario:
-    """One situation.
-
-    :param load: arriving work, in parts of what the chains hold.
-    :param burst: rank, factor, begin and end of a jump of its arrivals.
-    :param flood: workspace, factor, begin and end of the same.
-    :param lost: a chain that rejects all from this time on.
-    :param blind: so many entries hear nothing of others.
+    """Parameters of one simulation.
+
+    :param load: arriving work, relative to what the chains can hold.
+    :param burst: priority, factor, start and end of an increase of its arrivals.
+    :param flood: workspace, factor, start and end of an increase of its arrivals.
+    :param chain_lost_s: from this time on, one chain rejects all requests.
+    :param isolated_entries: number of entries that get no announcements.
+    :param announce_interval_s: time between announcements.
     """
 
     entries: int = 21
@@ -97,7 +98,7 @@
 
 @dataclass
 class Outcome:
-    """What clients got that asked between FROM_S and END_S."""
+    """Results for clients whose first attempt was between MEASURE_FROM_S and END_S."""
 
     requested: Counter[tuple[int, str]] = field(default_factory=Counter)
     served: Counter[tuple[int, str]] = field(default_factory=Counter)
@@ -119,7 +120,11 @@
         others: bool = False,
         in_time: bool = False,
     ) -> float:
-        """Return the served part; with ``others`` of all workspaces but this one."""
+        """Return the served share of requests, optionally of one priority or workspace.
+
+        :param others: counts all workspaces except ``workspace``.
+        :param in_time: counts only requests that were served within their objective.
+        """
 
         def total(counts: Counter[tuple[int, str]]) -> int:
             return sum(
@@ -160,7 +165,7 @@
 
 
 class Simulation:
-    """One play."""
+    """One run of a scenario."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.scenario = scenario
@@ -184,7 +189,7 @@
             action(now_s)
         return self.outcome
 
-    # What arrives
+    # Arrivals
 
     def _draw_arrivals(self) -> None:
         service_s = PROMPT_S + TOKEN_S * ANSWER_TOKENS
@@ -337,7 +342,7 @@
     def _find_chain(
         self, entry: _Entry, request: ClientRequest, now_s: float
     ) -> str | None:
-        """Return a chain with room for a request, like the planner."""
+        """Return a chain with capacity for a request, chosen as the planner does."""
         free: dict[str, float] = {}
         for name in self.engines:
             if entry.load.is_full(name, now_s):
@@ -423,5 +428,5 @@
 
 
 def simulate(scenario: Scenario) -> Outcome:
-    """Play a situation."""
+    """Run a scenario."""
     return Simulation(scenario).run()
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -1,4 +1,9 @@
-"""Admission is fair, bounded, and follows live capacity."""
+"""Admission control, fair queueing and retry budgets.
+
+These tests guard against a workspace that delays others by sending very many requests,
+against requests that wait or run though they can't meet their deadline, and against
+retries that multiply the load of an overloaded system.
+"""
 
 from __future__ import annotations
 
--- a/tests/unit/test_admission_shares.py
+++ b/tests/unit/test_admission_shares.py
@@ -1,4 +1,9 @@
-"""Order among requests for scarce room."""
+"""Load shedding by priority and fair share when engines lack memory for all requests.
+
+These tests guard against urgent requests that are refused while less urgent ones are
+served, against priorities, workspaces or large requests that starve, and against
+shedding while there is capacity for all.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +30,7 @@
 def serve_share(
     shares: PriorityShedder, demand_key: DemandKey, served: float, count: int = 200
 ) -> None:
-    """Let a part of so many requests find room."""
+    """Serve ``served_share`` of ``count`` requests, sent at 100 per second."""
     demand = {demand_key: 1000.0}
     for number in range(count):
         now_s = number / 100
@@ -74,7 +79,7 @@
 
 
 def test_large_requests_are_within_share_as_often_as_small_ones() -> None:
-    """Beyond its workspace's share, a large one was never within it."""
+    """Large requests of a workspace beyond its share never counted as within it."""
     rng = random.Random(1)
     shares = PriorityShedder()
     demand = {key(1, "flood"): 10_000.0, key(1): 1000.0}
@@ -152,7 +157,7 @@
 
 
 def test_entries_without_announcements_keep_engines_busy() -> None:
-    """They know of no load but their own."""
+    """Entries without announcements know only their own load."""
     isolated = simulate(Scenario(load=1.3, isolated_entries=21))
     baseline = simulate(Scenario(load=1.3, strategy=Strategy.SEND_UNTIL_REJECTED))
     assert isolated.tokens >= 0.95 * baseline.tokens
@@ -167,7 +172,11 @@
 
 
 def test_flooding_workspace_does_not_reduce_service_of_quiet_ones() -> None:
-    """Its own share is used up; the others' requests go before the rest of it."""
+    """A workspace that exceeds its fair share doesn't displace others of its priority.
+
+    Requests of the others go before those beyond its share; within its share it is
+    still served.
+    """
     alone = simulate(Scenario(load=0.9, announce_interval_s=1.5))
     flooded = Scenario(
         load=0.9, announce_interval_s=1.5, flood=("w-4", 10.0, 5.0, 14.0)
--- a/tests/unit/test_arrival_rate.py
+++ b/tests/unit/test_arrival_rate.py
@@ -1,4 +1,4 @@
-"""Arrivals a second are followed within seconds, and forgotten."""
+"""Arrival rates follow changes within seconds, and old values expire."""
 
 from __future__ import annotations
 
@@ -28,7 +28,8 @@
     return FleetArrivals()
 
 
-# Requests a second at five entries in three failure domains; one domain has one entry.
+# Requests per second at five entries in three failure domains; one domain has only one
+# entry.
 UNEVEN_RATES = {"a-1": 4.0, "a-2": 4.0, "b-1": 4.0, "b-2": 4.0, "c-1": 8.0}
 
 
@@ -36,11 +37,12 @@
 def test_every_entry_computes_the_same_fleet_rate(
     fleet: FleetArrivals, own_entry: str
 ) -> None:
-    """One reckoned 20 requests a second and the other 40, where 24 arrived.
+    """All entries must plan layers for the same rate, whichever of them plans.
 
-    Users saw two levels of service on the same day: after the larger figure a failure
-    domain that had lost an engine was spread anew instead of repaired, and nothing was
-    served there for two seconds. Which entry placed layers differed from run to run.
+    If each entry multiplied its own rate by the number of entries, one would compute 20
+    requests per second and another 40, where 24 arrive. With the larger value, a
+    failure domain that had lost an engine was planned anew instead of repaired, and
+    nothing was served there for two seconds.
     """
     assert (
         fleet.total_per_s("draft", UNEVEN_RATES[own_entry], 5, 1.0)
--- a/tests/unit/test_fleet_load.py
+++ b/tests/unit/test_fleet_load.py
@@ -1,4 +1,9 @@
-"""Load and demand of all entries, reckoned from what one of them knows."""
+"""Load and demand of all entries, as estimated by one entry from announcements.
+
+These tests guard against a load that is too low when announcements are missing, and
+against load that is counted after its announcement expired or its server incarnation
+ended.
+"""
 
 from __future__ import annotations
 
--- a/tests/unit/test_fleet_size.py
+++ b/tests/unit/test_fleet_size.py
@@ -1,8 +1,10 @@
-"""How many entries there are, and that their parts of a limit never exceed the whole.
+"""The number of entries, and their shares of a common limit.
 
-The number was reckoned from 144 partitions: above 144 entries most were dealt none, and
-each of those took one of 25 parts. Entries cut off from the store kept their part while
-the others divided the whole anew.
+These tests guard against shares that add up to more than the limit. That happens if the
+number of entries is estimated from too few partitions: with 144 partitions and more
+entries, most entries are assigned none, and each of those took one twenty-fifth. It
+also happens if entries that can't reach the store keep their share while the others
+divide the whole limit again.
 """
 
 from __future__ import annotations
@@ -39,14 +41,14 @@
 
 @pytest.fixture
 def fleet() -> FleetSize:
-    """An entry that was there from the beginning."""
+    """An entry that belongs to the initial members of an installation."""
     return FleetSize(WINDOW_S, LAPSE_S, initial_members_until_s=1.0)
 
 
 def settle_assignment(
     fleet: FleetSize, generation: int, own: int, now_s: float
 ) -> float:
-    """Let a deal stand until it counts; return when it does."""
+    """Renew with the same assignment until it is stable; return the time after that."""
     for _ in range(4):
         fleet.assignment_received(
             PartitionAssignment(generation, own, PARTITIONS), now_s
@@ -65,11 +67,12 @@
 
 @pytest.mark.parametrize("partitions", [1, 12, 24, 500])
 def test_lease_requests_no_more_topics_than_the_store_assigns(partitions: int) -> None:
-    """With 34 topics of 12, five entries took themselves for eight to ten.
+    """The store assigns only the first topics of a group.
 
-    Users saw two levels of service on one day: load was reckoned 1.7 times too large,
-    so that failure domains which had lost an engine were spread anew instead of
-    repaired, and each entry had half of the retries that it might have made.
+    With 34 topics of 12 partitions, five entries estimated that there were eight to
+    ten. The estimated load was then 1.7 times too large, so that failure domains which
+    had lost an engine were planned anew instead of repaired, and each entry had half of
+    the retries that it was allowed.
     """
     lease = GroupLease(Address("127.0.0.1", 1), "placement", partitions)
     assert lease._partitions == partitions * len(lease._topics)
@@ -77,7 +80,7 @@
 
 
 async def test_entries_estimate_the_actual_fleet_size(five_entries: Deployment) -> None:
-    """By the stand-in's deal, which passes over topics as the store does."""
+    """The stand-in of the store ignores excess topics as the real store does."""
     entries = five_entries.entries
     await until(lambda: {e.router.entries for e in entries} == {5}, 10.0)
 
@@ -133,7 +136,7 @@
     fleet = FleetSize(WINDOW_S, LAPSE_S)
     assert fleet.share(0.0) == 0.0
     fleet.assignment_received(PartitionAssignment(1, 136, PARTITIONS), 0.0)
-    assert fleet.share(0.1) == 0.0  # Its deal may be that of a moment.
+    assert fleet.share(0.1) == 0.0  # The assignment may be temporary.
     fleet.set_listed_entries(4)
     assert fleet.share(0.1) == 0.25 / 4
     now_s = settle_assignment(fleet, 1, 102, 0.0)
@@ -159,7 +162,7 @@
     assert fleet.share(now_s + WINDOW_S + LAPSE_S) == 0.0
 
 
-# When the first event may come; all entries know each other by then.
+# Time of the first possible event; all entries know each other by then.
 EVENTS_FROM_S = 100.0
 STEP_S = 0.25
 LIMIT = 320.0
@@ -184,7 +187,7 @@
 
 @dataclass
 class Store:
-    """Deals partitions evenly among the members that it heard of late."""
+    """Assigns partitions evenly among the members that renewed recently."""
 
     last_renewals_s: dict[int, float] = field(default_factory=dict)
     generation: int = 0
@@ -215,8 +218,8 @@
 )
 
 
-# All entries start again at once and two of them don't reach the store: the others are
-# told of two members, and those that come back take their parts in the same window.
+# All entries restart at once and two of them can't reach the store: the others are told
+# of two members, and those that return take their shares in the same window.
 @example(
     [(98, "kill", {0, 1, 2, 3}, 0.5), (98, "cut", {0, 1}, 15.0)],
     [(160, {0, 1, 2, 3})],
@@ -231,11 +234,11 @@
     size: int,
     listed: bool,
 ) -> None:
-    """With and without the entries' own list, which may not be read yet."""
+    """Holds with and without the entries' own list, which may not be read yet."""
     store = Store()
     members = {name: Member() for name in range(size)}
     spent: list[tuple[float, int]] = []
-    # Each entry has known its part for a while when the first event comes.
+    # Each entry has known its share for a while when the first event comes.
     for step in range(-40, LAST_STEP + 1):
         now_s = EVENTS_FROM_S + step * STEP_S
         for at, kind, names, for_s in events:
@@ -274,7 +277,7 @@
 
 
 def spend_all(member: Member, now_s: float) -> int:
-    """Spend all that an entry is allowed now."""
+    """Spend all that an entry is allowed now; return how much that is."""
     if now_s < member.down_until_s:
         return 0
     slack = LIMIT * fleet_limits._RETRY_SAFETY * member.fleet.share(now_s)
@@ -286,7 +289,7 @@
 
 
 def test_fractional_budgets_of_many_entries_add_up_to_the_limit() -> None:
-    """Each of 68 entries may spend 3.76 of 256: whole numbers alone made it 204."""
+    """Each of 68 entries may spend 3.76 of 256; rounding down made it 204 in total."""
     rng = random.Random(11)
     limits = RetryLimits(0.0, 256 / 68, WINDOW_S)
     rounded = [RetryBudget(limits, rng.random()) for _ in range(68)]
--- a/tests/unit/test_load_rounds.py
+++ b/tests/unit/test_load_rounds.py
@@ -1,4 +1,9 @@
-"""Entries that add up their load in rounds, over a network that fails."""
+"""Aggregation of load in rounds, over a simulated network with faults.
+
+These tests guard against entries that use an outdated sum, that count a contribution
+twice, or that never learn the load of all after datagrams were lost, duplicated or
+delayed, or after entries were cut off, paused or restarted.
+"""
 
 from __future__ import annotations
 
@@ -47,7 +52,7 @@
 
 
 class Network:
-    """Entries in some failure domains, with datagrams between them."""
+    """Entries in several failure domains, with datagrams between them."""
 
     def __init__(self, sizes: Sequence[int], rng: random.Random) -> None:
         self.rng = rng
@@ -202,7 +207,7 @@
 
 
 def rounds_after_first_contribution() -> LoadRounds:
-    """One of two entries of a domain, which has sent its part for the first round."""
+    """Return the state of one of two entries that contributed to the first round."""
     rounds = LoadRounds("0-0", "domain-0", INTERVAL_S, lambda: 0.0)
     members = {"domain-0": ["0-0", "0-1"]}
     rounds.step(0.0, members, dict)
@@ -217,7 +222,7 @@
 
 
 def test_sum_without_the_own_contribution_is_ignored() -> None:
-    """Only a sum with the own part in it was surely made after that was sent."""
+    """A sum without the own contribution may have been made before it was sent."""
     assert receive_sum(rounds_after_first_contribution(), includes_own=False) is None
     found = receive_sum(rounds_after_first_contribution(), includes_own=True)
     assert found == OtherEntriesLoad(0.75 * INTERVAL_S, {KEY: (3,)}, 1)
@@ -233,7 +238,7 @@
         if isinstance(action, SendContribution)
     ]
     assert sorted(set(sent_to)) == ["0-1", "0-2"]
-    # In 50 intervals nobody answers; each is tried twice, and again after 20 of them.
+    # In 50 intervals no collector replies: each is tried twice, then again after 20.
     assert max(sent_to.count(name) for name in set(sent_to)) <= 6
 
 
@@ -296,7 +301,7 @@
             entry.restart(rng)
         network.run(for_s)
         for known in network.entries.values():
-            # A sum is never older than what the entry has sent for it.
+            # A sum is never older than what the entry has contributed to it.
             assert known.fleet.age_s(network.now_s) < LIFETIME_S
             assert known.load(len(names), network.now_s) >= known.tokens
     network.loss_probability = network.duplicate_probability = network.delay_s = 0.0
--- a/tests/unit/test_peers.py
+++ b/tests/unit/test_peers.py
@@ -1,4 +1,9 @@
-"""Entries that tell each other news: who is told, and what is refused."""
+"""Messages between entries: which peers get them, and which messages are refused.
+
+These tests guard against messages that don't reach most of a large fleet, and against
+malformed, forged or replayed datagrams and store records that are accepted or that
+raise unexpected errors.
+"""
 
 from __future__ import annotations
 
@@ -66,7 +71,10 @@
 def test_gossip_reaches_nearly_all_of_a_large_fleet(
     size: int, loss_probability: float
 ) -> None:
-    """With datagrams lost, in 200 spreads each; who misses one hears the next."""
+    """Datagrams are lost; an entry that misses a message gets the next.
+
+    Simulates 200 messages per fleet.
+    """
     rng = random.Random(7)
     names = [f"entry-{n}" for n in range(size)]
     missed = max_rounds = max_sent = 0
@@ -164,7 +172,7 @@
 def test_sum_of_a_large_failure_domain_fits_in_a_datagram(
     codec: PeerMessageCodec,
 ) -> None:
-    """Domains of over 64 entries had no sums: their messages were refused."""
+    """Sums of domains with more than 64 entries were refused as too large."""
     included = [65_535 - n for n in range(127)]
     rows = LoadRows([[2**32 - 2 - 2 * n, 200, 9] for n in range(80)], 0, 2)
     message = LoadSumNotice("entry-1", 3, included, 127, rows, 5, {"west-a": 1})
--- a/tests/unit/test_probe_backoff.py
+++ b/tests/unit/test_probe_backoff.py
@@ -1,4 +1,8 @@
-"""Silent chains are probed at once, and rarely while probes find nothing."""
+"""Silent chains are probed at once, and less and less often while nothing is found.
+
+These tests guard against many wasted probes of a slow chain, and against a second dead
+server that is found late.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +12,7 @@
 
 
 def allowed_probes(backoff: ProbeBackoff, until_s: float) -> list[float]:
-    """Ask for a probe every 10 ms; return when it was allowed."""
+    """Ask for a probe every 10 ms; return the times at which it was allowed."""
     times_s = [round(step * 0.01, 2) for step in range(round(until_s * 100))]
     return [now_s for now_s in times_s if backoff.allow_probe("a1", now_s)]
 
--- a/tests/unit/test_proof_exchange.py
+++ b/tests/unit/test_proof_exchange.py
@@ -1,7 +1,9 @@
-"""Entries that hand on what the store proved, played without a network.
+"""Exchange of proofs between entries, simulated without a network.
 
-Asked for: calls to the store a third of those of entries that each read every 1.85 s,
-and a proof that is under a second old when the store is lost.
+These tests guard against entries that read the store more often than necessary, that
+rely on a proof past its lease, or that stay ready though only they can't get a proof.
+Required are at most a third of the store reads of entries that each read every 1.85 s,
+and a proof that is less than a second old when the store is lost.
 """
 
 from __future__ import annotations
@@ -26,7 +28,7 @@
 
 @dataclass
 class Entry:
-    """One entry; ``lost_s`` is when it stops to answer and to read."""
+    """One entry; from ``stopped_s`` on it neither replies nor reads."""
 
     name: str
     exchange: ProofExchange
@@ -38,7 +40,7 @@
 
 @dataclass
 class Fleet:
-    """Entries that look every tick, each at a time of its own."""
+    """Entries that each take a step once per tick, at different times."""
 
     entries: dict[str, Entry]
     store_lost_s: float = float("inf")
@@ -47,11 +49,11 @@
     ages_s: list[float] = field(default_factory=list)
 
     def partition(self, names: set[str]) -> None:
-        """Cut these off from the store and from all others but themselves."""
+        """Cut these entries off from the store and from all other entries."""
         self.partitioned = names
 
     def run(self, from_s: float, to_s: float) -> None:
-        """Let time pass."""
+        """Run all entries from one time to another."""
         self.ages_s.clear()
         ticks = int((to_s - from_s) / TICK_S)
         wakeups = [
@@ -94,7 +96,7 @@
             entry.proof_s = max(entry.proof_s, reported_proof_s)
 
     def reads_per_s(self, for_s: float) -> float:
-        """Return how often all read since the last call."""
+        """Return the rate of store reads of all entries since the last call."""
         reads = sum(entry.reads for entry in self.entries.values())
         for entry in self.entries.values():
             entry.reads = 0
@@ -118,7 +120,10 @@
 
 @pytest.mark.parametrize("count", [5, 21, 68, 380])
 def test_few_entries_read_the_store_and_all_get_fresh_proofs(count: int) -> None:
-    """Reads a second before: 2.7, 11, 37, 205; now 1.5, 2.8, 9.5, 43."""
+    """Without the exchange, these fleets read 2.7, 11, 37 and 205 times a second.
+
+    With it, they read 1.5, 2.8, 9.5 and 43 times a second.
+    """
     entries = fleet(count)
     entries.run(0.0, 5.0)
     entries.reads_per_s(5.0)
@@ -150,7 +155,7 @@
 
 
 def test_exchanged_proofs_expire_when_the_store_is_lost() -> None:
-    """Nobody's proof is renewed by those that are handed round."""
+    """Passing a proof on doesn't renew it."""
     entries = fleet(21)
     entries.run(0.0, 8.0)
     entries.store_lost_s = 8.0
@@ -176,7 +181,7 @@
 
 
 def expiring_alone(entries: Fleet, now_s: float) -> set[str]:
-    """Return which entries ask for no new clients since only they lack a proof."""
+    """Return the entries that are not ready since only they lack a proof."""
     return {
         name
         for name, entry in entries.entries.items()
@@ -188,7 +193,11 @@
 def test_partitioned_entries_become_unready_before_they_must_refuse(
     count: int,
 ) -> None:
-    """With time for two questions of the balancer, also if a third is cut off."""
+    """A third of the entries is cut off.
+
+    They must be unready 2 s before their proof expires, which leaves the load balancer
+    time for two health checks.
+    """
     entries = fleet(count)
     entries.run(0.0, 8.0)
     disconnected = set(list(entries.entries)[: count // 3])
@@ -205,7 +214,7 @@
 
 @pytest.mark.parametrize("count", [4, 21, 68])
 def test_store_outage_for_all_leaves_entries_ready(count: int) -> None:
-    """Clients that are led elsewhere would gain nothing."""
+    """Clients would gain nothing from using other entries."""
     entries = fleet(count)
     entries.run(0.0, 8.0)
     entries.store_lost_s = 8.0
@@ -215,7 +224,7 @@
 
 @pytest.mark.parametrize("count", [4, 21, 68])
 def test_entries_that_only_lost_their_peers_stay_ready(count: int) -> None:
-    """Each reads the store by itself."""
+    """Each entry can still read the store itself."""
     entries = fleet(count)
     entries.run(0.0, 8.0)
     entries.disconnected = True
