--- a/tests/lib/admission_simulation.py
+++ b/tests/lib/admission_simulation.py
@@ -128,10 +128,10 @@
 
         def total(counts: Counter[tuple[int, str]]) -> int:
             return sum(
-                n
-                for (r, w), n in counts.items()
-                if priority in (None, r)
-                and (workspace is None or (w == workspace) != others)
+                number
+                for (request_priority, request_workspace), number in counts.items()
+                if priority in (None, request_priority)
+                and (workspace is None or (request_workspace == workspace) != others)
             )
 
         counted = self.in_time if in_time else self.served
@@ -159,7 +159,7 @@
         self.name = name
         self.load = FleetLoad(LIFETIME_S)
         self.demand = FleetDemand(LIFETIME_S)
-        self.shares = PriorityShedder()
+        self.shedder = PriorityShedder()
         self.waiting: WaitingRequests[ClientRequest] = WaitingRequests()
         self.first_attempts = self.retries = 0
 
@@ -241,14 +241,14 @@
             demand.update(entry.demand.own_per_s(now_s))  # type: ignore[arg-type]
         others = len(self.entries) - 1
         for entry in self.entries[self.scenario.isolated_entries :] if others else ():
-            parts = {
+            loads = {
                 server: EntryLoad(
                     tokens - entry.load.own_load(server).tokens,
                     sequences[server] - entry.load.own_load(server).sequences,
                 )
                 for server, tokens in totals.items()
             }
-            entry.load.announced("others", parts, now_s, now_s, others)
+            entry.load.announced("others", loads, now_s, now_s, others)
             own = entry.demand.own_per_s(now_s)
             others_demand = {
                 key: max(0.0, d - own.get(key, 0.0)) for key, d in demand.items()
@@ -312,7 +312,7 @@
         ):
             self._send(entry, request, self.rng.choice(list(self.engines)), now_s)
             return
-        request.decision = entry.shares.arrived(
+        request.decision = entry.shedder.arrived(
             self._demand_key(request), request.tokens, self._demand(entry, now_s), now_s
         )
         if self.rng.random() < request.decision.shed_probability:
@@ -388,10 +388,10 @@
     ) -> None:
         engine = self.engines[chain]
         used_tokens = request.prompt + request.answer / 2
-        part = EntryLoad(request.tokens, 1)
+        entry_load = EntryLoad(request.tokens, 1)
         engine.used_tokens += used_tokens
-        entry.load.add(chain, part)
-        entry.shares.dispatched(self._demand_key(request), request.tokens, now_s)
+        entry.load.add(chain, entry_load)
+        entry.shedder.dispatched(self._demand_key(request), request.tokens, now_s)
         if request.first_s >= MEASURE_FROM_S:
             late = now_s - request.first_s + PROMPT_S > OBJECTIVE_S[request.priority]
             self.outcome.served[request.priority, request.workspace] += 1
@@ -404,7 +404,7 @@
 
         def ended(at_s: float) -> None:
             engine.used_tokens -= used_tokens
-            entry.load.subtract(chain, part)
+            entry.load.subtract(chain, entry_load)
             entry.load.capacity_freed(chain)
 
         self.at(now_s + PROMPT_S + TOKEN_S * request.answer, ended)
@@ -418,7 +418,7 @@
         if request.client_retries:
             return
         request.client_retries = 1
-        share = entry.shares.served.share(
+        share = entry.shedder.served.share(
             SERVICE, now_s, self._demand_key(request).priority
         )
         left_s = request.first_s + DEADLINE_S - now_s
--- a/tests/unit/test_admission_shares.py
+++ b/tests/unit/test_admission_shares.py
@@ -28,71 +28,74 @@
 
 
 def serve_share(
-    shares: PriorityShedder, demand_key: DemandKey, served: float, count: int = 200
+    shedder: PriorityShedder,
+    demand_key: DemandKey,
+    served_share: float,
+    count: int = 200,
 ) -> None:
     """Serve ``served_share`` of ``count`` requests, sent at 100 per second."""
     demand = {demand_key: 1000.0}
     for number in range(count):
         now_s = number / 100
-        shares.arrived(demand_key, 100.0, demand, now_s)
-        if number % 10 < 10 * served:
-            shares.dispatched(demand_key, 100.0, now_s)
+        shedder.arrived(demand_key, 100.0, demand, now_s)
+        if number % 10 < 10 * served_share:
+            shedder.dispatched(demand_key, 100.0, now_s)
 
 
 @pytest.mark.parametrize(
-    ("demands", "total", "level"),
+    ("demands", "total", "fair_share"),
     [([1.0, 2.0, 6.0], 6.0, 3.0), ([4.0, 4.0], 2.0, 1.0), ([1.0], 2.0, float("inf"))],
 )
 def test_max_min_fair_share_redistributes_what_small_demands_leave(
-    demands: list[float], total: float, level: float
+    demands: list[float], total: float, fair_share: float
 ) -> None:
-    assert max_min_fair_share(demands, total) == pytest.approx(level)
+    assert max_min_fair_share(demands, total) == pytest.approx(fair_share)
 
 
 def test_no_request_is_shed_while_all_find_capacity() -> None:
-    shares = PriorityShedder()
-    serve_share(shares, key(0), 1.0)
+    shedder = PriorityShedder()
+    serve_share(shedder, key(0), 1.0)
     demand = {key(0): 1000.0, key(2): 500.0}
-    assert shares.arrived(key(2), 100.0, demand, 2.0).shed_probability == 0.0
+    assert shedder.arrived(key(2), 100.0, demand, 2.0).shed_probability == 0.0
 
 
 def test_lowest_priority_is_shed_first_and_by_the_missing_amount() -> None:
-    shares = PriorityShedder()
-    serve_share(shares, key(0), 0.8)
+    shedder = PriorityShedder()
+    serve_share(shedder, key(0), 0.8)
     demand = {key(0): 1000.0, key(1): 500.0, key(2): 500.0}
-    last = shares.arrived(key(2), 100.0, demand, 2.0)
-    middle = shares.arrived(key(1), 100.0, demand, 2.0)
-    first = shares.arrived(key(0), 100.0, demand, 2.0)
+    last = shedder.arrived(key(2), 100.0, demand, 2.0)
+    middle = shedder.arrived(key(1), 100.0, demand, 2.0)
+    first = shedder.arrived(key(0), 100.0, demand, 2.0)
     assert last.shed_probability == pytest.approx(0.4, abs=0.1)
     assert middle.shed_probability == 0.0
     assert first.shed_probability == 0.0
 
 
 def test_starving_priority_goes_first() -> None:
-    shares = PriorityShedder()
-    serve_share(shares, key(0), 0.8)
+    shedder = PriorityShedder()
+    serve_share(shedder, key(0), 0.8)
     demand = {key(0): 1000.0, key(2): 10_000.0}
     for _ in range(50):
-        standing = shares.arrived(key(2), 100.0, demand, 2.0)
-    assert standing.level < 0
-    assert standing.shed_probability == 0.0
+        decision = shedder.arrived(key(2), 100.0, demand, 2.0)
+    assert decision.level < 0
+    assert decision.shed_probability == 0.0
 
 
 def test_large_requests_are_within_share_as_often_as_small_ones() -> None:
     """Large requests of a workspace beyond its share never counted as within it."""
     rng = random.Random(1)
-    shares = PriorityShedder()
+    shedder = PriorityShedder()
     demand = {key(1, "flood"): 10_000.0, key(1): 1000.0}
     within = {100.0: [0, 0], 2000.0: [0, 0]}
     for number in range(4000):
         tokens = rng.choice([100.0, 100.0, 100.0, 2000.0])
-        standing = shares.arrived(key(1, "flood"), tokens, demand, number / 100)
+        decision = shedder.arrived(key(1, "flood"), tokens, demand, number / 100)
         counts = within[tokens]
         counts[1] += 1
-        if standing.level == 2:
+        if decision.level == 2:
             counts[0] += 1
             if rng.random() < 0.7:
-                shares.dispatched(key(1, "flood"), tokens, number / 100)
+                shedder.dispatched(key(1, "flood"), tokens, number / 100)
     small, large = (counts[0] / counts[1] for counts in within.values())
     assert large >= 0.5 * small
 
--- a/tests/unit/test_fleet_size.py
+++ b/tests/unit/test_fleet_size.py
@@ -27,7 +27,7 @@
 from tests.lib.properties import examples
 
 WINDOW_S = 10.0
-LAPSE_S = 2.4
+MEMBER_LEASE_S = 2.4
 PARTITIONS = 408
 
 
@@ -42,7 +42,7 @@
 @pytest.fixture
 def fleet() -> FleetSize:
     """An entry that belongs to the initial members of an installation."""
-    return FleetSize(WINDOW_S, LAPSE_S, initial_members_until_s=1.0)
+    return FleetSize(WINDOW_S, MEMBER_LEASE_S, initial_members_until_s=1.0)
 
 
 def settle_assignment(
@@ -89,7 +89,7 @@
 def test_shares_add_up_with_few_partitions(entries: int, partitions: int) -> None:
     shares = []
     for number in range(entries):
-        fleet = FleetSize(WINDOW_S, LAPSE_S, initial_members_until_s=1.0)
+        fleet = FleetSize(WINDOW_S, MEMBER_LEASE_S, initial_members_until_s=1.0)
         fleet.set_listed_entries(entries)
         own = len(range(number, partitions, entries))
         for now_s in (0.0, 0.75, 1.5):
@@ -133,14 +133,14 @@
 
 
 def test_new_member_has_a_reduced_share_until_all_others_count_it() -> None:
-    fleet = FleetSize(WINDOW_S, LAPSE_S)
+    fleet = FleetSize(WINDOW_S, MEMBER_LEASE_S)
     assert fleet.share(0.0) == 0.0
     fleet.assignment_received(PartitionAssignment(1, 136, PARTITIONS), 0.0)
     assert fleet.share(0.1) == 0.0  # The assignment may be temporary.
     fleet.set_listed_entries(4)
     assert fleet.share(0.1) == 0.25 / 4
     now_s = settle_assignment(fleet, 1, 102, 0.0)
-    while now_s < LAPSE_S + 2 * WINDOW_S:
+    while now_s < MEMBER_LEASE_S + 2 * WINDOW_S:
         assert fleet.share(now_s) == 0.25 / 4
         fleet.assignment_received(PartitionAssignment(1, 102, PARTITIONS), now_s)
         now_s += 0.75
@@ -159,7 +159,7 @@
 ) -> None:
     now_s = settle_assignment(fleet, 1, 82, 0.0)
     assert fleet.share(now_s + WINDOW_S) == 1 / 5
-    assert fleet.share(now_s + WINDOW_S + LAPSE_S) == 0.0
+    assert fleet.share(now_s + WINDOW_S + MEMBER_LEASE_S) == 0.0
 
 
 # Time of the first possible event; all entries know each other by then.
@@ -174,7 +174,7 @@
 
     fleet: FleetSize = field(
         default_factory=lambda: FleetSize(
-            WINDOW_S, LAPSE_S, initial_members_until_s=EVENTS_FROM_S
+            WINDOW_S, MEMBER_LEASE_S, initial_members_until_s=EVENTS_FROM_S
         )
     )
     budget: RetryBudget = field(
@@ -194,7 +194,11 @@
 
     def join(self, name: int, now_s: float) -> PartitionAssignment:
         known = set(self.last_renewals_s)
-        live = {n: at for n, at in self.last_renewals_s.items() if now_s - at < LAPSE_S}
+        live = {
+            n: at
+            for n, at in self.last_renewals_s.items()
+            if now_s - at < MEMBER_LEASE_S
+        }
         self.last_renewals_s = {**live, name: now_s}
         self.generation += set(self.last_renewals_s) != known
         members = sorted(self.last_renewals_s)
@@ -232,7 +236,7 @@
     events: list[tuple[int, str, set[int], float]],
     spenders: list[tuple[int, set[int]]],
     size: int,
-    listed: bool,
+    use_list: bool,
 ) -> None:
     """Holds with and without the entries' own list, which may not be read yet."""
     store = Store()
@@ -245,7 +249,7 @@
             if at == step:
                 for name in names & set(members):
                     apply_event(members, name, kind, now_s, for_s)
-                    if listed:
+                    if use_list:
                         members[name].fleet.set_listed_entries(size)
         for name, member in members.items():
             if now_s >= max(
@@ -272,7 +276,7 @@
         member.down_until_s = now_s + for_s
     else:
         back_s = now_s + for_s
-        fleet = FleetSize(WINDOW_S, LAPSE_S)
+        fleet = FleetSize(WINDOW_S, MEMBER_LEASE_S)
         members[name] = Member(fleet, next_renewal_s=back_s, down_until_s=back_s)
 
 
--- a/tests/unit/test_load_rounds.py
+++ b/tests/unit/test_load_rounds.py
@@ -115,14 +115,14 @@
                 self._send(entry.name, [name], (known, 0))
             for known in action.forwarded_sums:
                 self._send(entry.name, [action.next_collector], (known, 1))
-            self._take(entry, entry.name, action)
+            self._receive_sum(entry, entry.name, action)
 
     def _deliver(self, sender: str, entry: Entry, message: object) -> None:
         match message:
             case SendContribution(round=number, contribution=contribution):
                 entry.rounds.contribution_received(sender, number, contribution)
             case PublishSum():
-                self._take(entry, sender, message)
+                self._receive_sum(entry, sender, message)
             case (DomainSum() as known, int(hops)):
                 domain_members = self.members[entry.domain]
                 collector = entry.rounds.next_collector(domain_members, self.now_s)
@@ -131,8 +131,8 @@
                     return
                 entry.rounds.domain_sum_received(known, self.now_s)
 
-    def _take(self, entry: Entry, sender: str, published: PublishSum) -> None:
-        taken = entry.rounds.sum_received(
+    def _receive_sum(self, entry: Entry, sender: str, published: PublishSum) -> None:
+        others_load = entry.rounds.sum_received(
             sender,
             published.round,
             published.total,
@@ -142,13 +142,15 @@
             age_s=published.age_s,
             seen=published.seen,
         )
-        if taken is None or not taken.entries:
+        if others_load is None or not others_load.entries:
             return
-        assert taken.entries < len(self.entries)
-        (tokens,) = taken.others.get(KEY, (0,))
+        assert others_load.entries < len(self.entries)
+        (tokens,) = others_load.others.get(KEY, (0,))
         assert tokens >= 0
-        parts = {"i-1": EntryLoad(tokens, 1)}
-        entry.fleet.announced("others", parts, taken.at_s, self.now_s, taken.entries)
+        loads = {"i-1": EntryLoad(tokens, 1)}
+        entry.fleet.announced(
+            "others", loads, others_load.at_s, self.now_s, others_load.entries
+        )
 
     def known_entry_counts(self) -> list[int]:
         return [e.fleet.known_entries(self.now_s) for e in self.entries.values()]
@@ -199,11 +201,11 @@
 def test_isolated_entry_extrapolates_from_its_own_load() -> None:
     network = Network((3, 3), random.Random(3))
     network.run(20 * INTERVAL_S)
-    cut = network.entries["0-0"]
-    cut.cut_until_s = float("inf")
+    isolated = network.entries["0-0"]
+    isolated.cut_until_s = float("inf")
     network.run(LIFETIME_S + INTERVAL_S)
-    assert cut.fleet.known_entries(network.now_s) == 1
-    assert cut.load(6, network.now_s) == 6 * cut.tokens
+    assert isolated.fleet.known_entries(network.now_s) == 1
+    assert isolated.load(6, network.now_s) == 6 * isolated.tokens
 
 
 def rounds_after_first_contribution() -> LoadRounds:
@@ -224,8 +226,8 @@
 def test_sum_without_the_own_contribution_is_ignored() -> None:
     """A sum without the own contribution may have been made before it was sent."""
     assert receive_sum(rounds_after_first_contribution(), includes_own=False) is None
-    found = receive_sum(rounds_after_first_contribution(), includes_own=True)
-    assert found == OtherEntriesLoad(0.75 * INTERVAL_S, {KEY: (3,)}, 1)
+    result = receive_sum(rounds_after_first_contribution(), includes_own=True)
+    assert result == OtherEntriesLoad(0.75 * INTERVAL_S, {KEY: (3,)}, 1)
 
 
 def test_collector_is_skipped_after_two_missed_rounds() -> None:
--- a/tests/unit/test_peers.py
+++ b/tests/unit/test_peers.py
@@ -71,9 +71,9 @@
 def test_gossip_reaches_nearly_all_of_a_large_fleet(
     size: int, loss_probability: float
 ) -> None:
-    """Datagrams are lost; an entry that misses a message gets the next.
+    """Simulates 200 messages per fleet, in one case with lost datagrams.
 
-    Simulates 200 messages per fleet.
+    An entry that misses one message gets the next.
     """
     rng = random.Random(7)
     names = [f"entry-{n}" for n in range(size)]
