--- a/src/railfold/_internal/decisions/load_rounds.py
+++ b/src/railfold/_internal/decisions/load_rounds.py
@@ -71,14 +71,15 @@
     """The sum over one failure domain, as other domains receive it.
 
     :param entries: number of entries that are included.
-    :param seen: the newest round of the receiving domain that the sender knew, if any.
+    :param known_round: the newest round of the receiving domain that the sender knew,
+        if any.
     """
 
     domain: str
     round: int
     entries: int
     amounts_by_key: AmountsByKey
-    seen: int | None
+    known_round: int | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -89,7 +90,7 @@
     :param other_domain_receivers: one entry of each other domain, which get
         ``domain_total``.
     :param next_collector: gets the known sums of other domains, ``forwarded_sums``.
-    :param seen: the newest known round of each other domain.
+    :param known_rounds: the newest known round of each other domain.
     :param included: entries of the own domain whose contributions are included.
     :param domain_total: the sum of the own domain.
     :param total: the sum of the own domain and of other domains.
@@ -103,7 +104,7 @@
     other_domain_receivers: tuple[str, ...]
     next_collector: str
     forwarded_sums: tuple[DomainSum, ...]
-    seen: Mapping[str, int]
+    known_rounds: Mapping[str, int]
     included: tuple[str, ...]
     domain_total: AmountsByKey
     total: AmountsByKey
@@ -120,7 +121,7 @@
     """
 
     at_s: float
-    others: AmountsByKey
+    amounts_by_key: AmountsByKey
     entries: int
 
 
@@ -167,7 +168,7 @@
     _sent: dict[int, _SentContribution] = field(default_factory=dict)
     _collected: dict[int, dict[str, AmountsByKey]] = field(default_factory=dict)
     _other_domain_sums: dict[str, _OtherDomainSum] = field(default_factory=dict)
-    _seen: dict[str, int] = field(default_factory=dict)
+    _known_rounds: dict[str, int] = field(default_factory=dict)
     _missed_rounds: dict[str, int] = field(default_factory=dict)
     _skipped_until_s: dict[str, float] = field(default_factory=dict)
 
@@ -238,13 +239,15 @@
         )
         if is_outdated or received.domain == self.domain:
             return
-        seen = received.seen
-        known_rounds = [n for n in self._sent if seen is not None and n <= seen]
-        at_s = self._sent[max(known_rounds)].at_s if known_rounds else float("-inf")
+        known_round = received.known_round
+        sent_rounds = [
+            n for n in self._sent if known_round is not None and n <= known_round
+        ]
+        at_s = self._sent[max(sent_rounds)].at_s if sent_rounds else float("-inf")
         self._other_domain_sums[received.domain] = _OtherDomainSum(
             received, at_s, now_s
         )
-        self._seen[received.domain] = received.round
+        self._known_rounds[received.domain] = received.round
 
     def sum_received(
         self,
@@ -256,19 +259,19 @@
         *,
         includes_own: bool,
         age_s: float,
-        seen: Mapping[str, int],
+        known_rounds: Mapping[str, int],
     ) -> OtherEntriesLoad | None:
         """Process a sum; return the load of the other entries if the sum is usable.
 
         :param entries: number of entries included in the sum.
         :param includes_own: whether this entry's contribution is included.
         :param age_s: see :class:`PublishSum`.
-        :param seen: see :class:`PublishSum`.
+        :param known_rounds: see :class:`PublishSum`.
         """
         self._mark_reachable(sender)
         if number > self.round:
             self._start_round(number, now_s)
-            self._seen = dict(seen)
+            self._known_rounds = dict(known_rounds)
         sent = self._sent.get(number)
         if sent is None or not includes_own or entries <= sent.included:
             return None
@@ -319,7 +322,7 @@
             tuple(receivers),
             self.next_collector(members.get(self.domain, ()), now_s),
             tuple(known.domain_sum for known in other_sums),
-            dict(self._seen),
+            dict(self._known_rounds),
             (self.name, *contributions),
             domain_total,
             total,
--- a/src/railfold/_internal/forwarding/peers/load_exchange.py
+++ b/src/railfold/_internal/forwarding/peers/load_exchange.py
@@ -143,7 +143,7 @@
                 action.entries,
                 rows,
                 math.ceil(action.age_s * 1000),
-                dict(action.seen),
+                dict(action.known_rounds),
             )
             self._channel.tell_each(action.to, message)
         for rows in (
@@ -156,7 +156,7 @@
                 action.round,
                 len(action.included),
                 rows,
-                dict(action.seen),
+                dict(action.known_rounds),
             )
             self._channel.tell_each(action.other_domain_receivers, domain_message)
         for known in action.forwarded_sums:
@@ -170,14 +170,18 @@
             now_s,
             includes_own=True,
             age_s=action.age_s,
-            seen=action.seen,
+            known_rounds=action.known_rounds,
         )
         self._pace(total, members)
         if taken is not None:
             self._take(taken, now_s)
 
     def _hand_over(self, known: DomainSum, collector: str) -> None:
-        seen = {self._router.failure_domain: known.seen} if known.seen else {}
+        seen = (
+            {self._router.failure_domain: known.known_round}
+            if known.known_round
+            else {}
+        )
         for rows in _pages(known.amounts_by_key) if collector != self._name else ():
             message = DomainLoadNotice(
                 known.domain, known.round, known.entries, rows, seen, hops=1
@@ -218,7 +222,7 @@
                     now_s,
                     includes_own=_short_digest(self._name) in message.included,
                     age_s=message.age_ms / 1000.0,
-                    seen=message.seen,
+                    known_rounds=message.seen,
                 )
                 self._pace(parts, self._channel.names_by_domain)
                 if taken is not None:
@@ -258,7 +262,7 @@
         servers = {_load_key(e.server_id): e.server_id for e in router.directory}
         demand_keys = self._known_demand_keys()
         demand: dict[DemandKey, float] = {}
-        for digest, amounts in taken.others.items():
+        for digest, amounts in taken.amounts_by_key.items():
             if digest % 2:
                 if digest in demand_keys:
                     demand[demand_keys[digest]] = float(amounts[0])
--- a/src/railfold/_internal/platform/store.py
+++ b/src/railfold/_internal/platform/store.py
@@ -289,9 +289,9 @@
     ranges.
 
     Partitions are dealt out evenly, so that a member's share tells how many
-    members there are (:class:`Deal`). The group's generation rises with every
-    change of its members. It falls when the store comes back from an older copy, so
-    that the fencing token is made of the store's epoch and the generation.
+    members there are (:class:`PartitionAssignment`). The group's generation rises with
+    every change of its members. It falls when the store comes back from an older copy,
+    so that the fencing token is made of the store's epoch and the generation.
     """
 
     _first_generation = 0
--- a/tests/unit/test_load_rounds.py
+++ b/tests/unit/test_load_rounds.py
@@ -102,7 +102,7 @@
                 self._send(entry.name, [action.to], action)
                 continue
             self._send(entry.name, action.to, action)
-            seen = action.seen
+            known_rounds = action.known_rounds
             for name in action.other_domain_receivers:
                 domain = self.entries[name].domain
                 known = DomainSum(
@@ -110,7 +110,7 @@
                     action.round,
                     len(action.included),
                     action.domain_total,
-                    seen.get(domain),
+                    known_rounds.get(domain),
                 )
                 self._send(entry.name, [name], (known, 0))
             for known in action.forwarded_sums:
@@ -140,12 +140,12 @@
             self.now_s,
             includes_own=entry.name in published.included,
             age_s=published.age_s,
-            seen=published.seen,
+            known_rounds=published.known_rounds,
         )
         if others_load is None or not others_load.entries:
             return
         assert others_load.entries < len(self.entries)
-        (tokens,) = others_load.others.get(KEY, (0,))
+        (tokens,) = others_load.amounts_by_key.get(KEY, (0,))
         assert tokens >= 0
         loads = {"i-1": EntryLoad(tokens, 1)}
         entry.fleet.announced(
@@ -219,7 +219,14 @@
 
 def receive_sum(rounds: LoadRounds, *, includes_own: bool) -> OtherEntriesLoad | None:
     return rounds.sum_received(
-        "0-1", 1, {KEY: (8,)}, 2, 0.4, includes_own=includes_own, age_s=0.0, seen={}
+        "0-1",
+        1,
+        {KEY: (8,)},
+        2,
+        0.4,
+        includes_own=includes_own,
+        age_s=0.0,
+        known_rounds={},
     )
 
 
@@ -246,14 +253,14 @@
 
 def test_age_of_another_domains_sum_is_that_of_the_round_it_names() -> None:
     published = {}
-    for seen in (None, 1):
+    for known_round in (None, 1):
         rounds = rounds_after_first_contribution()
         receive_sum(rounds, includes_own=True)
-        other_sum = DomainSum("domain-1", 7, 3, {KEY: (30,)}, seen)
+        other_sum = DomainSum("domain-1", 7, 3, {KEY: (30,)}, known_round)
         rounds.domain_sum_received(other_sum, 0.9)
         members = {"domain-0": ["0-0"], "domain-1": ["1-0"]}
         actions = rounds.step(1.0, members, lambda: {KEY: (5,)})
-        (published[seen],) = (a for a in actions if isinstance(a, PublishSum))
+        (published[known_round],) = (a for a in actions if isinstance(a, PublishSum))
     assert (published[None].entries, published[1].entries) == (1, 4)
     assert published[1].age_s == pytest.approx(1.0 - 0.75 * INTERVAL_S)
 
