--- a/src/railfold/_internal/decisions/chain_prediction.py
+++ b/src/railfold/_internal/decisions/chain_prediction.py
@@ -76,5 +76,5 @@
     typical_prompt_tokens = max(1, model.mean_tokens - model.answer_tokens)
     typical_prefill_s = stage.accelerator.prefill_factor * model.prompt_s
     layer_share = stage.layers / model.layer_count
-    pending_tokens = stage.load.unread_tokens + prompt_tokens
+    pending_tokens = stage.load.pending_prompt_tokens + prompt_tokens
     return layer_share * typical_prefill_s * pending_tokens / typical_prompt_tokens
--- a/src/railfold/_internal/decisions/eligibility.py
+++ b/src/railfold/_internal/decisions/eligibility.py
@@ -172,5 +172,5 @@
         return self._backoffs.ineligible_reason(server_id, now_s)
 
     def _is_paused(self, server_id: str, now_s: float) -> bool:
-        load = self._fleet_load.own_part(server_id).tokens
+        load = self._fleet_load.own_load(server_id).tokens
         return self._avoidance.is_avoided(server_id, now_s, load)
--- a/src/railfold/_internal/platform/store.py
+++ b/src/railfold/_internal/platform/store.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from railfold._internal.core import Address
-from railfold._internal.decisions.fleet_size import Deal
+from railfold._internal.decisions.fleet_size import PartitionAssignment
 from railfold._internal.decisions.leadership import LeaseGrant
 from railfold._internal.decisions.log_epoch import fencing_token
 from railfold._internal.errors import (
@@ -289,9 +289,9 @@
     ranges.
 
     Partitions are dealt out evenly, so that a member's share tells how many
-    members there are (:class:`Deal`). The group's generation rises with every
-    change of its members. It falls when the store comes back from an older copy, so
-    that the fencing token is made of the store's epoch and the generation.
+    members there are (:class:`PartitionAssignment`). The group's generation rises with
+    every change of its members. It falls when the store comes back from an older copy,
+    so that the fencing token is made of the store's epoch and the generation.
     """
 
     _first_generation = 0
@@ -343,7 +343,7 @@
         self._generation = joined.generation if same_history else 0
         holding = (self._topics[0], _PARTITION) in rows and same_history
         token = fencing_token(epoch, self._first_generation + joined.generation)
-        deal = Deal(token, len(joined.parts), self._partitions)
+        deal = PartitionAssignment(token, len(joined.parts), self._partitions)
         is_candidate = not rows.isdisjoint(self._candidate_rows)
         return LeaseGrant(holding, token, deal, epoch, is_candidate)
 
--- a/tests/lib/fleet_simulation.py
+++ b/tests/lib/fleet_simulation.py
@@ -31,7 +31,7 @@
     search_chains,
 )
 from railfold._internal.decisions.domain_pipes import DomainPipes
-from railfold._internal.decisions.fleet_load import FleetLoad, LoadPart, ServerLoad
+from railfold._internal.decisions.fleet_load import EntryLoad, FleetLoad, ServerLoad
 from railfold._internal.decisions.planner import Replica
 from railfold._internal.decisions.routing_table import Accelerator, EngineModel
 
@@ -171,7 +171,7 @@
         self.workload = workload
         self.rng = random.Random(seed)
         self.load_views = [FleetLoad(LOAD_LIFETIME_S) for _ in range(workload.entries)]
-        self.held_load: dict[str, LoadPart] = {e.name: LoadPart() for e in engines}
+        self.held_load: dict[str, EntryLoad] = {e.name: EntryLoad() for e in engines}
         self.first_stage_requests: Counter[str] = Counter()
         self.pipes = [DomainPipes() for _ in range(workload.entries)]
         self.pipe_free_at_s: dict[tuple[str, ...], float] = {}
@@ -217,8 +217,12 @@
             state = StageState(
                 engine.accelerator, len(engine.layers), engine.capacity_tokens, load
             )
-            spread = unseen_occupancy(state, MODEL, self.workload.entries, self.workload.rps)
-            result.append(rate_candidate(replica, state, MODEL, needs, spread, self.rng))
+            spread = unseen_occupancy(
+                state, MODEL, self.workload.entries, self.workload.rps
+            )
+            result.append(
+                rate_candidate(replica, state, MODEL, needs, spread, self.rng)
+            )
         return result
 
     def stages_of(self, found: FoundChain) -> list[tuple[Engine, LayerRange]]:
@@ -299,7 +303,7 @@
                 ServerLoad(
                     self.held_load[e.name].tokens,
                     self.held_load[e.name].sequences + 1,
-                    self.held_load[e.name].unread_tokens,
+                    self.held_load[e.name].pending_prompt_tokens,
                 ),
             )
             for e, layers in chain
@@ -321,8 +325,8 @@
         outcome.long_pauses += not pauses_in_time
         outcome.in_time += starts_in_time and pauses_in_time
         self.first_stage_requests[first] += 1
-        prompt_load = LoadPart(0, 0, needs.prompt_tokens)
-        request_load = LoadPart(needs.total_tokens, 1, 0)
+        prompt_load = EntryLoad(0, 0, needs.prompt_tokens)
+        request_load = EntryLoad(needs.total_tokens, 1, 0)
         names = [engine.name for engine, _ in chain]
         self._count(names, entry, request_load)
         self._count(names, entry, prompt_load)
@@ -355,15 +359,15 @@
         return start_s + prompt_s - now_s
 
     def _count(
-        self, names: list[str], entry: int, part: LoadPart, *, remove: bool = False
+        self, names: list[str], entry: int, part: EntryLoad, *, remove: bool = False
     ) -> None:
         sign = -1 if remove else 1
         for name in names:
             current = self.held_load[name]
-            self.held_load[name] = LoadPart(
+            self.held_load[name] = EntryLoad(
                 current.tokens + sign * part.tokens,
                 current.sequences + sign * part.sequences,
-                current.unread_tokens + sign * part.unread_tokens,
+                current.pending_prompt_tokens + sign * part.pending_prompt_tokens,
             )
             if remove:
                 self.load_views[entry].subtract(name, part)
--- a/tests/unit/test_chain_prediction.py
+++ b/tests/unit/test_chain_prediction.py
@@ -37,7 +37,7 @@
 
 
 def test_waiting_prompts_and_sequences_in_flight_delay_a_request() -> None:
-    load = ServerLoad(tokens=40_000, sequences=50, unread_tokens=8000)
+    load = ServerLoad(tokens=40_000, sequences=50, pending_prompt_tokens=8000)
     loaded = replace(IDLE, load=load)
     idle = predict_chain([IDLE], MODEL, 800, 200)
     prediction = predict_chain([loaded], MODEL, 800, 200)
--- a/tests/unit/test_eligibility.py
+++ b/tests/unit/test_eligibility.py
@@ -124,5 +124,5 @@
         server_setup.reason_for(Role.FIRST_STAGE, EligibilityTerms(relaxed=True))
         is None
     )
-    server_setup.fleet_load.room_freed("i-1")
+    server_setup.fleet_load.capacity_freed("i-1")
     assert server_setup.reason_for(Role.FIRST_STAGE) is None
--- a/tests/unit/test_engine_directory.py
+++ b/tests/unit/test_engine_directory.py
@@ -14,7 +14,7 @@
     EngineDirectory,
     Registration,
 )
-from railfold._internal.decisions.fleet_load import FleetLoad, LoadPart, ServerLoad
+from railfold._internal.decisions.fleet_load import EntryLoad, FleetLoad, ServerLoad
 from tests.lib.models import MODEL
 
 ENGINE = Registration(
@@ -93,7 +93,7 @@
     """Return the load lookup of an entry that knows none of the others' load."""
     fleet = FleetLoad(lifetime_s=2.0)
     for server_id, tokens in own_tokens.items():
-        fleet.add(server_id, LoadPart(tokens, 1))
+        fleet.add(server_id, EntryLoad(tokens, 1))
     return lambda server_id: fleet.load(server_id, entries, now_s=0.0)
 
 
@@ -131,7 +131,7 @@
     directory: EngineDirectory,
 ) -> None:
     fleet = FleetLoad(lifetime_s=2.0)
-    fleet.announced("entry-2", {"i-1": LoadPart(100_000, 90)}, at_s=0.0, now_s=0.0)
+    fleet.announced("entry-2", {"i-1": EntryLoad(100_000, 90)}, at_s=0.0, now_s=0.0)
     (replica,) = directory.layer_replicas(
         "llm", MODEL, "west", lambda server_id: fleet.load(server_id, 2, now_s=0.0), 2
     )
@@ -158,8 +158,8 @@
     assert result.entry is not None
     assert result.entry.slowness == 1.0
     fleet = FleetLoad(lifetime_s=2.0)
-    fleet.add(earlier_entry.server_id, LoadPart(4000, 1))
-    assert fleet.own_part(result.entry.server_id) == LoadPart()
+    fleet.add(earlier_entry.server_id, EntryLoad(4000, 1))
+    assert fleet.own_load(result.entry.server_id) == EntryLoad()
     assert result.entry.suspect_since_s is None
     assert directory.get(earlier_entry.server_id) is None
 
--- a/tests/unit/test_fleet_balance.py
+++ b/tests/unit/test_fleet_balance.py
@@ -10,7 +10,7 @@
 
 from railfold._internal.core import LayerRange
 from railfold._internal.decisions.chain_costs import RequestNeeds
-from railfold._internal.decisions.fleet_load import LoadPart
+from railfold._internal.decisions.fleet_load import EntryLoad
 from tests.lib.fleet_simulation import (
     CAPACITY_RPS,
     ChooseChain,
@@ -51,7 +51,7 @@
     fleet: FleetSimulation, entry: int, needs: RequestNeeds, now_s: float
 ) -> Stages:
     def own_tokens(engines: list[Engine]) -> tuple[int, float]:
-        part = fleet.load_views[entry].own.get(engines[0].name, LoadPart())
+        part = fleet.load_views[entry].own.get(engines[0].name, EntryLoad())
         return part.tokens, fleet.rng.random()
 
     return full_stages(min(parallel_chains(fleet.engines), key=own_tokens))
