--- a/soak/faults.py
+++ b/soak/faults.py
@@ -23,7 +23,10 @@
     PeerMessageCodec,
 )
 from railfold._internal.forwarding.quarantine.content_digest import derived_key
-from railfold._internal.forwarding.store.shared_records import KEY_NAME, decode_key
+from railfold._internal.forwarding.store.shared_records import (
+    PEER_KEY_RECORD,
+    decode_peer_key,
+)
 from soak.world import Injected, World
 from standins.chaining_engine import Engine
 from tests.lib.crashing_fleet import POISON_BODY
@@ -304,9 +307,9 @@
 async def load_lies(world: World, rng: random.Random) -> None:
     """Send entries false load, as another one that has their key."""
     records = world.store.topic("keyed.railfold-quarantine").newest
-    if KEY_NAME not in records:
+    if PEER_KEY_RECORD not in records:
         return
-    key = derived_key(decode_key(records[KEY_NAME][1]), b"peers")
+    key = derived_key(decode_peer_key(records[PEER_KEY_RECORD][1]), b"peers")
     codec = PeerMessageCodec(key)
     names = [entry.name for entry in world.entries]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
--- a/src/railfold/_internal/commands/held.py
+++ b/src/railfold/_internal/commands/held.py
@@ -11,7 +11,7 @@
 from railfold._internal.cli.options import as_json, print_json, run
 from railfold._internal.errors import PeerMessageError, RequestNotHeldError
 from railfold._internal.forwarding.store.shared_records import (
-    KEY_NAME,
+    PEER_KEY_RECORD,
     HoldRecord,
     decode_hold,
 )
@@ -74,7 +74,7 @@
     found = []
     for record in page.records:
         item = record.body
-        if item.key == KEY_NAME or not item.value:
+        if item.key == PEER_KEY_RECORD or not item.value:
             continue
         try:
             found.append(_Held(item.key, decode_hold(item.value)))
--- a/src/railfold/_internal/forwarding/adapter.py
+++ b/src/railfold/_internal/forwarding/adapter.py
@@ -70,10 +70,10 @@
     def new_log(self) -> WritableLog:
         """Return a new client of the store's log."""
 
-    def new_member_client(self, duty: str) -> LeaseClient:
+    def new_member_client(self, role: str) -> LeaseClient:
         """Return a client of the group of all entries, which names candidates."""
 
-    def new_lease_client(self, duty: str) -> LeaseClient:
+    def new_lease_client(self, role: str) -> LeaseClient:
         """Return a client for the lease of a duty."""
 
     def decode_configuration(self, value: bytes) -> RoutingTable:
--- a/src/railfold/_internal/forwarding/dialect.py
+++ b/src/railfold/_internal/forwarding/dialect.py
@@ -24,13 +24,13 @@
     "Dialect",
     "EngineCall",
     "EngineReport",
-    "ForeignAnswer",
+    "MismatchedAnswer",
     "NotExecuted",
-    "OrderBegun",
+    "OrderAccepted",
     "OrderFenced",
     "OrderOutcome",
+    "OrderOutcomeUnknown",
     "OrderRefused",
-    "OrderUnsettled",
     "SendPlan",
     "ServedAnswer",
     "ServerFailure",
@@ -62,7 +62,7 @@
     priority: int = 1
     urgent: bool = False
 
-    def left_s(self, now_s: float) -> float:
+    def remaining_s(self, now_s: float) -> float:
         """Return how long its client waits from now on."""
         return max(0.0, self.deadline_s - now_s)
 
@@ -82,7 +82,7 @@
 
     address: str
     reason: str
-    misplaced: bool = False
+    lacks_layers: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,7 +91,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ForeignAnswer:
+class MismatchedAnswer:
     """An answer to another request."""
 
 
@@ -102,7 +102,9 @@
     reason: str
 
 
-AnswerKind = ServedAnswer | NotExecuted | ServerFailure | ForeignAnswer | UnusableAnswer
+AnswerKind = (
+    ServedAnswer | NotExecuted | ServerFailure | MismatchedAnswer | UnusableAnswer
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -130,13 +132,13 @@
     order_count: int
     busy: bool
     layers: LayerRange | None
-    stalled: frozenset[str] = frozenset()
+    stalled_addresses: frozenset[str] = frozenset()
     slowness: float = 1.0
     started_at_ms: int | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class OrderBegun:
+class OrderAccepted:
     """The engine carries the order out, or already holds what it asks for."""
 
 
@@ -153,13 +155,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OrderUnsettled:
+class OrderOutcomeUnknown:
     """No answer came: the order may be carried out, also later."""
 
     reason: str
 
 
-OrderOutcome = OrderBegun | OrderRefused | OrderFenced | OrderUnsettled
+OrderOutcome = OrderAccepted | OrderRefused | OrderFenced | OrderOutcomeUnknown
 
 
 class Dialect(Protocol):
@@ -186,7 +188,7 @@
     ) -> Sequence[Header]:
         """Return the headers that the backend server gets if it is sent now."""
 
-    def classify(self, head: ResponseHead, request_id: str) -> AnswerKind:
+    def classify_answer(self, head: ResponseHead, request_id: str) -> AnswerKind:
         """Return what an answer's head says."""
 
     def unknown_headers(self, head: ResponseHead) -> Sequence[str]:
@@ -198,7 +200,7 @@
     def retry_after(self, head: ResponseHead) -> RetryAfterHeader:
         """Return for how long an answer's head asks to send nothing."""
 
-    def says_leaving(self, head: ResponseHead) -> bool:
+    def announces_leaving(self, head: ResponseHead) -> bool:
         """Return whether an answer's head says that its server leaves."""
 
     def report_call(self) -> EngineCall:
@@ -221,5 +223,5 @@
     def reroute_call(self, request_id: str, chain: Chain) -> EngineCall:
         """Return the order to go on with a running request over another chain."""
 
-    def order_outcome(self, head: ResponseHead) -> OrderOutcome:
+    def classify_order_answer(self, head: ResponseHead) -> OrderOutcome:
         """Return what the answer to an order says."""
--- a/src/railfold/_internal/forwarding/listeners.py
+++ b/src/railfold/_internal/forwarding/listeners.py
@@ -39,7 +39,9 @@
 
     :raises ListenError: an address can't be listened on.
     """
-    return Listeners(_listen(settings.clients), _listen(settings.readiness))
+    return Listeners(
+        _listen(settings.client_address), _listen(settings.readiness_address)
+    )
 
 
 def _listen(address: Address) -> socket.socket:
--- a/src/railfold/_internal/forwarding/peers/peering.py
+++ b/src/railfold/_internal/forwarding/peers/peering.py
@@ -103,14 +103,21 @@
             self._tell,
             keeps_key=settings.peer_key is None,
         )
-        if settings.peers is not None:
+        if settings.peer_address is not None:
             started_at_ms = int(clock.unix_time_s() * 1000)
             own = Peer(
-                settings.name, settings.peers, started_at_ms, settings.failure_domain
+                settings.name,
+                settings.peer_address,
+                started_at_ms,
+                settings.failure_domain,
             )
             view = PeerView(own)
             self._channel = PeerChannel(
-                settings.peers, view, router.metrics, router.rng, self._on_message
+                settings.peer_address,
+                view,
+                router.metrics,
+                router.rng,
+                self._on_message,
             )
             proofs.use(self._channel)
             router.limits.use(settings.name, self._channel)
--- a/src/railfold/_internal/forwarding/peers/proof_keeper.py
+++ b/src/railfold/_internal/forwarding/peers/proof_keeper.py
@@ -155,10 +155,10 @@
     def _note_behind(self) -> None:
         """Tell when another entry's configuration stays out of reach, and its end."""
         now_s = self._loop.time()
-        elsewhere = self._feed.version_elsewhere
+        elsewhere = self._feed.newest_peer_version
         table, lease = self._router.table, self._router.lease
         version = table.version if table is not None else 0
-        if not self._feed.newer_elsewhere:
+        if not self._feed.peer_has_newer:
             self._behind_since_s = None
             self._behind_logged = False
         elif self._behind_since_s is None:
@@ -238,7 +238,7 @@
         table = self._router.table
         if table is not None and version > table.version:
             self._router.metrics.count("proofs.behind")
-            self._feed.version_elsewhere = version
+            self._feed.newest_peer_version = version
             self._behind = True
 
     def others_have_proof(self, now_s: float) -> bool:
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -51,7 +51,7 @@
 )
 from railfold._internal.forwarding.store.leadership import (
     LEASE_S,
-    MEMBER_S,
+    MEMBER_LEASE_S,
     LeadershipKeeper,
     MembershipKeeper,
 )
@@ -112,7 +112,7 @@
 
 # The same while the entry is only unready: by then the balancer leads a client whose
 # connection is closed elsewhere.
-_BALANCER_ASKS_S = 2.2
+_BALANCER_PROBE_S = 2.2
 
 # Kept from the grace time, to close what is left and end.
 _EXIT_S = 0.4
@@ -163,12 +163,12 @@
         self.destinations = DestinationChooser(self.router)
         self._refusals = Refusals(self.router)
         self._room = RoomQueue(self.router)
-        fleet = FleetSize(settings.retry_window_s, MEMBER_S, founded_by_s)
+        fleet = FleetSize(settings.retry_window_s, MEMBER_LEASE_S, founded_by_s)
         self._fleet_limits = FleetLimits(settings, fleet, self.router)
         calls = EngineCalls(self.router)
         self._prober = ChainProber(self.router, calls)
         self._leadership = Leadership(LEASE_S)
-        self._candidacy = Candidacy(MEMBER_S)
+        self._candidacy = Candidacy(MEMBER_LEASE_S)
         self._leadership_keeper = LeadershipKeeper(
             settings.name,
             self._leadership,
@@ -212,7 +212,7 @@
             lambda: self._configuration.reading,
         )
         self.router.others_have_proof = self._proofs.others_have_proof
-        self.router.newer_elsewhere = lambda: self._configuration_feed.newer_elsewhere
+        self.router.newer_elsewhere = lambda: self._configuration_feed.peer_has_newer
         self._configuration = self._configuration_follower()
         self._peering = Peering(
             settings,
@@ -230,14 +230,14 @@
         self._prober.on_well = self._peering.quarantine.server_answered
         self._held = MemoryQuota(int(settings.memory_bytes * _HELD_SHARE))
         self._clients = ClientServer(
-            settings.clients,
+            settings.client_address,
             self,
             self._held,
             listeners.clients if listeners else None,
         )
         self._readiness = HttpServerChild(
             SmallAnswers(self._readiness_answer),
-            settings.readiness,
+            settings.readiness_address,
             listener=listeners.readiness if listeners else None,
         )
         self._drivers: dict[ClientExchange, RequestDriver] = {}
@@ -270,8 +270,10 @@
         if self._source is not None:
             watcher = SettingsWatcher(self._source, self._on_settings, self.log)
             children.insert(0, ChildSpec("settings", watcher.run))
-        if settings.metrics is not None:
-            server = HttpServerChild(SmallAnswers(self._metrics_page), settings.metrics)
+        if settings.metrics_address is not None:
+            server = HttpServerChild(
+                SmallAnswers(self._metrics_page), settings.metrics_address
+            )
             children.append(ChildSpec("metrics", server.run))
         return Supervisor("forwarding", children)
 
@@ -339,7 +341,7 @@
                 )
             )
         since_s = self._lapsing_since_s
-        gone = since_s is not None and now_s - since_s >= _BALANCER_ASKS_S
+        gone = since_s is not None and now_s - since_s >= _BALANCER_PROBE_S
         self._clients.closes_connections = self._draining or gone
 
     @property
--- a/src/railfold/_internal/forwarding/quarantine/quarantine_records.py
+++ b/src/railfold/_internal/forwarding/quarantine/quarantine_records.py
@@ -18,11 +18,11 @@
 from railfold._internal.forwarding.quarantine.content_digest import ContentDigests
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.store.shared_records import (
-    KEY_NAME,
+    PEER_KEY_RECORD,
     HoldRecord,
     RecordedCrash,
     encode_hold,
-    encode_key,
+    encode_peer_key,
 )
 
 __all__ = ["QuarantineRecords"]
@@ -153,9 +153,11 @@
         self._key_missing_at = None
         if known is None and self._digests.ready:
             return  # Another entry's was read meanwhile.
-        key = encode_key(known or secrets.token_bytes(_KEY_BYTES))
+        key = encode_peer_key(known or secrets.token_bytes(_KEY_BYTES))
         try:
-            await self._log.put(self._stream, KEY_NAME, key, expected_end=next_offset)
+            await self._log.put(
+                self._stream, PEER_KEY_RECORD, key, expected_end=next_offset
+            )
         except LogUnavailableError:
             self._key_missing_at = next_offset
             raise
--- a/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
+++ b/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
@@ -371,7 +371,7 @@
         offset_s = clock.unix_time_s() - self._loop.time()
         changes = self._quarantine.restore_hold(
             record.content(digest),
-            record.crashes_at(offset_s),
+            record.crashes_on_clock(offset_s),
             record.held_at_unix_ms / 1000.0 - offset_s,
             record.holds,
         )
--- a/src/railfold/_internal/forwarding/requests/exchange.py
+++ b/src/railfold/_internal/forwarding/requests/exchange.py
@@ -11,7 +11,7 @@
 from railfold._internal.forwarding.dialect import (
     AnswerKind,
     Dialect,
-    ForeignAnswer,
+    MismatchedAnswer,
     SendPlan,
 )
 from railfold._internal.forwarding.messages import ClientRequest, ResponseHead
@@ -162,8 +162,8 @@
 
     def head(self, head: ResponseHead) -> bool:
         """Take the head of an answer."""
-        kind = self._dialect.classify(head, self._request.request_id)
-        if isinstance(kind, ForeignAnswer):
+        kind = self._dialect.classify_answer(head, self._request.request_id)
+        if isinstance(kind, MismatchedAnswer):
             return False
         if not self._cancelled:
             self._listener.answer_head(kind, head)
--- a/src/railfold/_internal/forwarding/requests/request_log.py
+++ b/src/railfold/_internal/forwarding/requests/request_log.py
@@ -60,7 +60,7 @@
                 _chain_text(plan.chain),
                 self._routed.configuration_version,
                 _finite_ms(self._router.lease.age_s(now_s)),
-                round(plan.left_s(now_s) * 1000),
+                round(plan.remaining_s(now_s) * 1000),
                 resume_after,
                 destination.crossings,
                 *_predicted(prediction),
--- a/src/railfold/_internal/forwarding/servers/engine_calls.py
+++ b/src/railfold/_internal/forwarding/servers/engine_calls.py
@@ -21,10 +21,10 @@
 from railfold._internal.forwarding.dialect import (
     EngineCall,
     EngineReport,
-    OrderBegun,
+    OrderAccepted,
     OrderFenced,
+    OrderOutcomeUnknown,
     OrderRefused,
-    OrderUnsettled,
 )
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.servers.http_client import (
@@ -237,10 +237,10 @@
         started_at_ms = self._router.dialect.decode_started_at_ms(response.body)
         if entry.is_other_incarnation(started_at_ms):
             return "its first backend server has started again"
-        match self._router.dialect.order_outcome(response.head):
-            case OrderBegun():
+        match self._router.dialect.classify_order_answer(response.head):
+            case OrderAccepted():
                 return ""
-            case OrderRefused(reason=reason) | OrderUnsettled(reason=reason):
+            case OrderRefused(reason=reason) | OrderOutcomeUnknown(reason=reason):
                 return reason
             case OrderFenced():
                 return "fenced"
--- a/src/railfold/_internal/forwarding/servers/layer_orders.py
+++ b/src/railfold/_internal/forwarding/servers/layer_orders.py
@@ -15,11 +15,11 @@
 from railfold._internal.decisions.orders import LoadOrder
 from railfold._internal.errors import EngineError, LeaseLostError
 from railfold._internal.forwarding.dialect import (
-    OrderBegun,
+    OrderAccepted,
     OrderFenced,
     OrderOutcome,
+    OrderOutcomeUnknown,
     OrderRefused,
-    OrderUnsettled,
 )
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.servers.engine_calls import EngineCalls
@@ -39,7 +39,7 @@
 _CARRYING_MOST_S = 4.0
 
 # An order is for one incarnation: what its successor says proves nothing of it.
-_ANOTHER_ANSWERED = OrderUnsettled("the engine has started again")
+_ANOTHER_ANSWERED = OrderOutcomeUnknown("the engine has started again")
 
 
 class LayerOrders:
@@ -100,13 +100,13 @@
             outcome = await self._send(entry, order)
             self._note(entry, order, outcome)
             match outcome:
-                case OrderBegun():
+                case OrderAccepted():
                     self._begun[entry.server_id] = order.layers
                     self._carrying_s.pop(entry.server_id, None)
                     await self._wait_loaded(entry, order.layers, load_s)
                 case OrderFenced():
                     self._leadership.fenced(order.fencing)
-                case OrderRefused() | OrderUnsettled():
+                case OrderRefused() | OrderOutcomeUnknown():
                     pass  # The level is looked at again when the order is due.
         finally:
             self._under_way.discard(entry.server_id)
@@ -145,10 +145,10 @@
         except LeaseLostError as error:
             return OrderRefused(error.what)
         except EngineError as error:
-            return OrderUnsettled(str(error))
+            return OrderOutcomeUnknown(str(error))
         if entry.is_other_incarnation(dialect.decode_started_at_ms(response.body)):
             return _ANOTHER_ANSWERED
-        return dialect.order_outcome(response.head)
+        return dialect.classify_order_answer(response.head)
 
     def _note_carrying(self, server_id: str) -> None:
         known_s = self._carrying_s.get(server_id)
@@ -177,11 +177,11 @@
 
 def _outcome_text(outcome: OrderOutcome) -> str:
     match outcome:
-        case OrderBegun():
+        case OrderAccepted():
             return "begun"
         case OrderFenced():
             return "fenced"
         case OrderRefused(reason=reason):
             return f"refused: {reason}"
-        case OrderUnsettled(reason=reason):
+        case OrderOutcomeUnknown(reason=reason):
             return f"no answer: {reason}"
--- a/src/railfold/_internal/forwarding/servers/probes.py
+++ b/src/railfold/_internal/forwarding/servers/probes.py
@@ -126,13 +126,13 @@
         if not refusal.address:
             entry = self._router.directory.get(server_id)
             if entry is not None and not backed_off:
-                self._refused(entry, load, misplaced=refusal.misplaced)
+                self._refused(entry, load, misplaced=refusal.lacks_layers)
             return
         entry = self._router.directory.get_by_address(refusal.address)
         if entry is not None:
             if entry.server_id != server_id or not backed_off:
-                self._refused(entry, load, misplaced=refusal.misplaced)
-            if refusal.misplaced:
+                self._refused(entry, load, misplaced=refusal.lacks_layers)
+            if refusal.lacks_layers:
                 until_s = self._loop.time() + _MISPLACED_S
                 self._router.avoidance.avoid(entry.server_id, until_s)
             if entry.server_id not in self._checking:
@@ -218,7 +218,7 @@
         if is_another(first, report.started_at_ms):
             await self._probe_chain(chain, chain.hosts[:1], request_id, silent_s)
             return
-        stalled = report.stalled
+        stalled = report.stalled_addresses
         waited_for = tuple(
             stage.host for stage in chain.stages if stage.address in stalled
         )
--- a/src/railfold/_internal/forwarding/servers/rate_limits.py
+++ b/src/railfold/_internal/forwarding/servers/rate_limits.py
@@ -103,7 +103,7 @@
         server's: that it names no limit says nothing.
         """
         word = self._dialect.rate_limit(head)
-        misplaced = isinstance(kind, NotExecuted) and kind.misplaced
+        misplaced = isinstance(kind, NotExecuted) and kind.lacks_layers
         if isinstance(word, NoRateLimit) and (misplaced or not self._limits):
             return
         now_s = _now_s()
--- a/src/railfold/_internal/forwarding/servers/statements.py
+++ b/src/railfold/_internal/forwarding/servers/statements.py
@@ -76,7 +76,7 @@
         self._record_leaving(server_id, head)
 
     def _record_leaving(self, server_id: str, head: ResponseHead) -> None:
-        if not self._dialect.says_leaving(head):
+        if not self._dialect.announces_leaving(head):
             return
         if self._note_leaving(server_id, _BY_SERVER) and self._channel is not None:
             self._channel.tell(LeavingNotice(server_id))
--- a/src/railfold/_internal/forwarding/settings.py
+++ b/src/railfold/_internal/forwarding/settings.py
@@ -40,9 +40,9 @@
     name: str
     failure_domain: str
     region: str
-    clients: Address
-    readiness: Address
-    metrics: Address | None
+    client_address: Address
+    readiness_address: Address
+    metrics_address: Address | None
     credential_lease_s: float
     grace_s: float
     drain_notice_s: float
@@ -50,7 +50,7 @@
     retry_slack: float
     retry_window_s: float
     first_start: bool
-    peers: Address | None = None
+    peer_address: Address | None = None
     peer_key: bytes | None = None
     memory_bytes: int = DEFAULT_MEMORY_BYTES
     predicts_chains: bool = False
--- a/src/railfold/_internal/forwarding/store/feeds.py
+++ b/src/railfold/_internal/forwarding/store/feeds.py
@@ -21,9 +21,9 @@
 )
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.store.shared_records import (
-    KEY_NAME,
+    PEER_KEY_RECORD,
     decode_hold,
-    decode_key,
+    decode_peer_key,
 )
 from railfold._internal.observability.events import (
     ConfigurationAccepted,
@@ -63,7 +63,7 @@
         # The newest version that was read since the stream was read anew.
         self._read_version = 0
         # The newest that another entry has read.
-        self.version_elsewhere = 0
+        self.newest_peer_version = 0
 
     def next_offset(self) -> int:
         """Return the offset to read from."""
@@ -118,13 +118,13 @@
         """Whether this or another entry knows a newer configuration than was read."""
         table = self._router.table
         known = table.version if table is not None else 0
-        return self._read_version < max(known, self.version_elsewhere)
+        return self._read_version < max(known, self.newest_peer_version)
 
     @property
-    def newer_elsewhere(self) -> bool:
+    def peer_has_newer(self) -> bool:
         """Whether another entry knows a newer configuration."""
         table = self._router.table
-        return table is None or table.version < self.version_elsewhere
+        return table is None or table.version < self.newest_peer_version
 
     def expired(self, first_offset: int) -> int:
         """History is gone: take the newest record of each key."""
@@ -328,8 +328,8 @@
             )
 
     def _take(self, item: KeyedValue) -> None:
-        if item.key == KEY_NAME:
-            self._on_key(decode_key(item.value))
+        if item.key == PEER_KEY_RECORD:
+            self._on_key(decode_peer_key(item.value))
             self._has_key = True
         elif item.value:
             self._quarantine.record_read(item.key, decode_hold(item.value))
--- a/src/railfold/_internal/forwarding/store/leadership.py
+++ b/src/railfold/_internal/forwarding/store/leadership.py
@@ -18,14 +18,14 @@
 
 __all__ = [
     "LEASE_S",
-    "MEMBER_S",
+    "MEMBER_LEASE_S",
     "LeadershipKeeper",
     "LeaseClient",
     "MembershipKeeper",
 ]
 
 # How long an entry that is lost counts as one; three renewals fit in.
-MEMBER_S = 2.4
+MEMBER_LEASE_S = 2.4
 
 # How long a dead holder keeps its successor waiting; three renewals fit in.
 LEASE_S = 1.0
@@ -99,7 +99,7 @@
     async def _renew(self) -> float:
         sent_s = asyncio.get_running_loop().time()
         try:
-            grant = await self._client.renew(self._name, MEMBER_S)
+            grant = await self._client.renew(self._name, MEMBER_LEASE_S)
         except LogUnavailableError:
             # The follower of the configuration tells of the store's outages.
             self._metrics.count("members.renewals_failed")
@@ -145,7 +145,7 @@
     ) -> None:
         self._holder = holder
         self._stints = itertools.count(1)
-        self._member = self._next_member()
+        self._member_id = self._next_member()
         self._leadership = leadership
         self._on_epoch = on_epoch
         self._candidacy = candidacy
@@ -190,7 +190,7 @@
     async def _renew(self) -> float:
         sent_s = asyncio.get_running_loop().time()
         self._joined = True
-        member = self._member
+        member = self._member_id
         call = self._client.renew(member, self._leadership.duration_s)
         try:
             grant = await answer_within(call, _CALL_S)
@@ -199,7 +199,7 @@
             self._failures += 1
             self._stop_if_lapsing(str(error) or f"no answer within {_CALL_S} s")
             return _RETRY_S
-        if self._released or member != self._member:
+        if self._released or member != self._member_id:
             return _STANDBY_RENEW_S  # What it grants was given back meanwhile.
         self._failures = 0
         self._renewed_s = sent_s
@@ -229,13 +229,13 @@
         self._metrics.count("lease.stopped")
         why = f"not renewed for {age_s:.2f} s: {cause}"
         self._log.write(LeadershipChanged(leading=False, fencing=fencing, cause=why))
-        stopped, self._member = self._member, self._next_member()
+        stopped, self._member_id = self._member_id, self._next_member()
         self._note_stopped(stopped)
         self._on_stopped(stopped)
 
     def holder_stopped(self, member: str) -> None:
         """Another process led under this member id, and doesn't any more."""
-        if member == self._member:
+        if member == self._member_id:
             return
         self._note_stopped(member)
         self._wake.set()
@@ -264,7 +264,7 @@
     async def _leave(self) -> None:
         """Stop to ask; another candidate took this one's place."""
         self._joined = False
-        left, self._member = self._member, self._next_member()
+        left, self._member_id = self._member_id, self._next_member()
         newest = self._leadership.newest_fencing
         self._leadership.renewed(LeaseGrant(holding=False, fencing=newest), 0.0)
         await self._end(left)
--- a/src/railfold/_internal/forwarding/store/shared_records.py
+++ b/src/railfold/_internal/forwarding/store/shared_records.py
@@ -18,19 +18,19 @@
 from railfold._internal.errors import PeerMessageError
 
 __all__ = [
-    "KEY_NAME",
+    "PEER_KEY_RECORD",
     "HoldRecord",
     "RecordedCrash",
     "decode_entry",
     "decode_hold",
-    "decode_key",
+    "decode_peer_key",
     "encode_entry",
     "encode_hold",
-    "encode_key",
+    "encode_peer_key",
 ]
 
 # The key of the record that holds the entries' common secret; digests can't be alike.
-KEY_NAME = "key"
+PEER_KEY_RECORD = "key"
 
 # As long as the keys that are made from it.
 _LEAST_KEY_BYTES = 16
@@ -70,7 +70,7 @@
         """Return what the record is about."""
         return RequestContent(digest, self.service, self.route, self.workspace)
 
-    def crashes_at(self, offset_s: float) -> list[Crash]:
+    def crashes_on_clock(self, offset_s: float) -> list[Crash]:
         """Return the crashes on a clock that is behind the time of day by so much."""
         return [
             Crash(
@@ -115,12 +115,12 @@
     return _decode(value, HoldRecord)
 
 
-def encode_key(key: bytes) -> bytes:
+def encode_peer_key(key: bytes) -> bytes:
     """Return the value of the record that holds the secret."""
     return msgspec.json.encode(_Key(base64.b64encode(key).decode()))
 
 
-def decode_key(value: bytes) -> bytes:
+def decode_peer_key(value: bytes) -> bytes:
     """Return the entries' common secret.
 
     :raises PeerMessageError: it can't be read, or is too short to be one.
--- a/src/railfold/_internal/platform/dialect.py
+++ b/src/railfold/_internal/platform/dialect.py
@@ -18,9 +18,9 @@
     AnswerKind,
     EngineCall,
     EngineReport,
-    ForeignAnswer,
+    MismatchedAnswer,
     NotExecuted,
-    OrderBegun,
+    OrderAccepted,
     OrderFenced,
     OrderOutcome,
     OrderRefused,
@@ -149,7 +149,7 @@
     ) -> Sequence[Header]:
         """Return the headers that the backend server gets."""
         headers: list[Header] = [("Host", request.host), *request.headers]
-        headers.append((_DEADLINE, str(max(1, int(plan.left_s(now_s) * 1000)))))
+        headers.append((_DEADLINE, str(max(1, int(plan.remaining_s(now_s) * 1000)))))
         headers.append((_TARGET, plan.registered_id))
         if plan.workspace is not None:
             headers.append((_WORKSPACE, plan.workspace))
@@ -160,11 +160,11 @@
             headers.append((_CHAIN, engines.chain_text(plan.chain)))
         return headers
 
-    def classify(self, head: ResponseHead, request_id: str) -> AnswerKind:
+    def classify_answer(self, head: ResponseHead, request_id: str) -> AnswerKind:
         """Return what an answer's head says."""
         answered_id = head.get(_REQUEST_ID)
         if answered_id and answered_id != request_id:
-            return ForeignAnswer()
+            return MismatchedAnswer()
         if head.get(_NOT_EXECUTED) or head.status == _MISDIRECTED:
             at_fault = head.get(_AT_FAULT)
             where = f" because of {at_fault}" if at_fault else ""
@@ -206,7 +206,7 @@
         """Return for how long an answer's head asks to send nothing."""
         return retry_after.retry_after(head)
 
-    def says_leaving(self, head: ResponseHead) -> bool:
+    def announces_leaving(self, head: ResponseHead) -> bool:
         """Return whether an answer's head says that its server leaves."""
         return head.get(_LEAVING).strip() == _IS_LEAVING
 
@@ -232,10 +232,10 @@
         """Return the order to go on with a running request over another chain."""
         return engines.reroute_call(request_id, chain)
 
-    def order_outcome(self, head: ResponseHead) -> OrderOutcome:
+    def classify_order_answer(self, head: ResponseHead) -> OrderOutcome:
         """Return what the answer to an order says."""
         if head.status in _ACCEPTED:
-            return OrderBegun()
+            return OrderAccepted()
         if head.status == _FENCED:
             return OrderFenced()
         return OrderRefused(f"it answered {head.status}")
--- a/src/railfold/_internal/platform/engines.py
+++ b/src/railfold/_internal/platform/engines.py
@@ -194,7 +194,7 @@
         order_count=report.seq,
         busy=report.busy,
         layers=layers,
-        stalled=frozenset(s.address for s in report.stalled),
+        stalled_addresses=frozenset(s.address for s in report.stalled),
         slowness=max(1.0, report.pace),
         started_at_ms=_started_at_ms(report.born),
     )
--- a/tests/forwarding/test_incarnations.py
+++ b/tests/forwarding/test_incarnations.py
@@ -15,7 +15,7 @@
 from railfold._internal.core import LayerRange
 from railfold._internal.decisions.engine_directory import DirectoryEntry
 from railfold._internal.decisions.orders import LoadOrder
-from railfold._internal.forwarding.dialect import OrderUnsettled
+from railfold._internal.forwarding.dialect import OrderOutcomeUnknown
 from standins.chaining_engine import Engine
 from tests.lib.forwarding import (
     Deployment,
@@ -120,7 +120,7 @@
     engine.born = SECOND_START
     order = LoadOrder("inspect", "", LayerRange(0, 3), fencing=1)
     outcome = await dated.entry._placement._orders._send(entry, order)
-    assert outcome == OrderUnsettled("the engine has started again")
+    assert outcome == OrderOutcomeUnknown("the engine has started again")
     assert not engine.given
 
 
--- a/tests/forwarding/test_proofs_from_peers.py
+++ b/tests/forwarding/test_proofs_from_peers.py
@@ -144,7 +144,7 @@
     two_entries: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """They kept their connections to it, and were refused until they gave up."""
-    monkeypatch.setattr(process, "_BALANCER_ASKS_S", 0.3)
+    monkeypatch.setattr(process, "_BALANCER_PROBE_S", 0.3)
     entry = two_entries.entry
     kept: Connection = await two_entries.connect(0)
     assert (await kept.ask("/tray/1", "before")).headers.get("Connection") != "close"
--- a/tests/forwarding/test_requests.py
+++ b/tests/forwarding/test_requests.py
@@ -187,7 +187,7 @@
 
 async def test_metrics_are_served(deployment: Deployment) -> None:
     await deployment.ask("/draft/1", "s-1")
-    metrics = deployment.settings.metrics
+    metrics = deployment.settings.metrics_address
     assert metrics is not None
     url = f"http://{metrics}/metrics"
     text = await asyncio.to_thread(lambda: urllib.request.urlopen(url).read().decode())
--- a/tests/forwarding/test_slow_store_link.py
+++ b/tests/forwarding/test_slow_store_link.py
@@ -125,7 +125,7 @@
     behind._configuration.give_up_waiting()
     two_entries.store.put("keyed.op", "config", large_configuration(2, 1000))
     await until(lambda: other.router.table and other.router.table.version == 2)
-    await until(lambda: behind._configuration_feed.newer_elsewhere)
+    await until(lambda: behind._configuration_feed.peer_has_newer)
     assert behind.router.lease.valid(asyncio.get_running_loop().time())
     reply = await two_entries.ask("/tray/1", "r-key", key=ADDED_KEY)
     assert reply.status == 503
--- a/tests/forwarding/test_starting.py
+++ b/tests/forwarding/test_starting.py
@@ -68,7 +68,7 @@
     prepared: Deployment, listeners: Listeners
 ) -> None:
     prepared.store.mode = "out"
-    address = prepared.settings.readiness
+    address = prepared.settings.readiness_address
     reader, writer = await asyncio.open_connection(address.ip, address.port)
     writer.write(READINESS_PROBE)
     prepared.run_entry(listeners)
@@ -83,7 +83,7 @@
 ) -> None:
     with pytest.raises(ListenError) as caught:
         open_listeners(prepared.settings)
-    assert str(prepared.settings.clients) in caught.value.what
+    assert str(prepared.settings.client_address) in caught.value.what
     for listener in (listeners.clients, listeners.readiness):
         listener.close()
     prepared.run_entry()
--- a/tests/forwarding/test_store_goes_back.py
+++ b/tests/forwarding/test_store_goes_back.py
@@ -15,7 +15,7 @@
 from railfold._internal.core import Address
 from railfold._internal.decisions.log_epoch import RETURN_S
 from railfold._internal.decisions.quarantine import Crash, RequestContent
-from railfold._internal.forwarding.store.shared_records import KEY_NAME
+from railfold._internal.forwarding.store.shared_records import PEER_KEY_RECORD
 from railfold._internal.platform.store import GroupLease
 from standins.metadata_store import PARTITIONS, StoreCopy
 from tests.lib.forwarding import KEY, Deployment, configuration, running, until
@@ -181,7 +181,7 @@
     store = deployment.store
     await until(lambda: all(entry.recognizes_requests for entry in deployment.entries))
     await until(lambda: len(store.topic(ENTRIES).newest) == 2)
-    old_key = store.topic(QUARANTINE).newest[KEY_NAME][1]
+    old_key = store.topic(QUARANTINE).newest[PEER_KEY_RECORD][1]
     quarantine = deployment.entry._peering.quarantine._quarantine
     content, crashes = held_content(asyncio.get_running_loop().time())
     quarantine.restore_hold(content, crashes, crashes[-1].ended_s, 1)
@@ -191,9 +191,9 @@
     copy.topics[ENTRIES].newest.clear()
     await come_back(deployment, copy)
     await until(lambda: len(store.topic(ENTRIES).newest) == 2)
-    await until(lambda: KEY_NAME in store.topic(QUARANTINE).newest)
+    await until(lambda: PEER_KEY_RECORD in store.topic(QUARANTINE).newest)
     await until(lambda: content.digest in store.topic(QUARANTINE).newest)
-    assert store.topic(QUARANTINE).newest[KEY_NAME][1] == old_key
+    assert store.topic(QUARANTINE).newest[PEER_KEY_RECORD][1] == old_key
     assert all(len(e._peering._channel._view) == 1 for e in deployment.entries)  # type: ignore[union-attr]
 
 
--- a/tests/lib/forwarding.py
+++ b/tests/lib/forwarding.py
@@ -143,9 +143,9 @@
             name=f"entry-{number + 1}",
             failure_domain=ZONES[number % len(ZONES)],
             region="west",
-            clients=Address("127.0.0.1", free_port()),
-            readiness=Address("127.0.0.1", free_port()),
-            metrics=Address("127.0.0.1", free_port()),
+            client_address=Address("127.0.0.1", free_port()),
+            readiness_address=Address("127.0.0.1", free_port()),
+            metrics_address=Address("127.0.0.1", free_port()),
             credential_lease_s=self.lease_s,
             grace_s=4.0,
             drain_notice_s=2.0,
@@ -154,7 +154,7 @@
             retry_slack=4000.0,
             retry_window_s=10.0,
             first_start=False,
-            peers=Address("127.0.0.1", free_port()),
+            peer_address=Address("127.0.0.1", free_port()),
             memory_bytes=self.memory_bytes,
         )
 
@@ -257,7 +257,7 @@
 
     async def connect(self, number: int = 0) -> Connection:
         """Open a client's connection to an entry, by default the first."""
-        address = self._settings[number].clients
+        address = self._settings[number].client_address
         reader, writer = await asyncio.open_connection(address.ip, address.port)
         return Connection(reader, writer)
 
--- a/tests/unit/test_layer_orders.py
+++ b/tests/unit/test_layer_orders.py
@@ -11,7 +11,7 @@
 
 from railfold._internal.core import LayerRange
 from railfold._internal.decisions.orders import LoadOrder
-from railfold._internal.forwarding.dialect import OrderBegun, OrderOutcome
+from railfold._internal.forwarding.dialect import OrderAccepted, OrderOutcome
 from railfold._internal.forwarding.servers.layer_orders import LayerOrders
 
 WANTED = LayerRange(0, 9)
@@ -45,8 +45,8 @@
     def decode_started_at_ms(self, body: bytes) -> int:
         return 1
 
-    def order_outcome(self, head: object) -> OrderOutcome:
-        return OrderBegun()
+    def classify_order_answer(self, head: object) -> OrderOutcome:
+        return OrderAccepted()
 
 
 def orders_of(engine: Engine) -> LayerOrders:
--- a/tests/unit/test_leadership_handover.py
+++ b/tests/unit/test_leadership_handover.py
@@ -14,7 +14,7 @@
 from railfold._internal.errors import LogUnavailableError
 from railfold._internal.forwarding.store.leadership import (
     LEASE_S,
-    MEMBER_S,
+    MEMBER_LEASE_S,
     LeadershipKeeper,
 )
 from railfold._internal.observability.decision_log import DecisionLog
@@ -249,7 +249,7 @@
     async def refuse_leader() -> tuple[str, set[str]]:
         async with candidates(2) as (group, processes):
             (leader,) = leaders(processes)
-            given_up = leader.keeper._member
+            given_up = leader.keeper._member_id
             leader.strike("refused", 0.6)
             await asyncio.sleep(0.6)
             group.named.clear()
@@ -308,7 +308,7 @@
 
 
 def test_a_former_candidate_stays_for_some_time_and_then_goes() -> None:
-    candidacy = Candidacy(MEMBER_S)
+    candidacy = Candidacy(MEMBER_LEASE_S)
     assert not candidacy.asks(0.0)
     candidacy.renewed(LeaseGrant(False, 1, is_candidate=True), 10.0)
     assert candidacy.asks(10.1)
@@ -321,6 +321,6 @@
 
 def test_a_candidate_that_the_store_does_not_hear_asks_no_more() -> None:
     """It isn't a member by now, and others have been named."""
-    candidacy = Candidacy(MEMBER_S)
+    candidacy = Candidacy(MEMBER_LEASE_S)
     candidacy.renewed(LeaseGrant(False, 1, is_candidate=True), 10.0)
-    assert not candidacy.asks(10.0 + MEMBER_S)
+    assert not candidacy.asks(10.0 + MEMBER_LEASE_S)
--- a/tests/unit/test_peers.py
+++ b/tests/unit/test_peers.py
@@ -40,7 +40,7 @@
 from railfold._internal.forwarding.store.shared_records import (
     decode_entry,
     decode_hold,
-    decode_key,
+    decode_peer_key,
 )
 
 NOW_S = 1_764_000_000.0
@@ -253,7 +253,7 @@
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=200))
 def test_arbitrary_records_raise_only_peer_message_errors(value: bytes) -> None:
-    for decode in (decode_hold, decode_key, lambda v: decode_entry("e", v, 0.0)):
+    for decode in (decode_hold, decode_peer_key, lambda v: decode_entry("e", v, 0.0)):
         with pytest.raises(PeerMessageError):
             decode(value)
 
@@ -261,8 +261,8 @@
 @pytest.mark.parametrize(
     ("decode", "value"),
     [
-        (decode_key, b'{"key":"c2hvcnQ="}'),
-        (decode_key, b'{"key":"no base64 at all!"}'),
+        (decode_peer_key, b'{"key":"c2hvcnQ="}'),
+        (decode_peer_key, b'{"key":"no base64 at all!"}'),
         (
             lambda value: decode_entry("entry-1", value, 0.0),
             b'{"address":"nowhere","started_at_ms":1,"written_at_unix_ms":1}',
--- a/tests/unit/test_platform_settings.py
+++ b/tests/unit/test_platform_settings.py
@@ -74,8 +74,8 @@
     assert loaded.store == Address("10.200.1.7", 8223)
     assert loaded.store_partitions == 12
     settings = loaded.forwarding
-    assert settings.clients == Address("10.1.0.40", 8227)
-    assert settings.metrics == Address("10.1.0.40", 7340)
+    assert settings.client_address == Address("10.1.0.40", 8227)
+    assert settings.metrics_address == Address("10.1.0.40", 7340)
     assert settings.failure_domain == "hall-a"
     assert settings.credential_lease_s == 5.0
     assert (settings.retry_share, settings.retry_slack) == (0.2, 202)
