--- a/src/railfold/_internal/forwarding/listeners.py
+++ b/src/railfold/_internal/forwarding/listeners.py
@@ -19,7 +19,7 @@
 
 # Connections that may wait to be accepted: about 30 clients an entry on the first
 # sites, all of which come again at once after a kill.
-_BACKLOG = 1024
+_ACCEPT_BACKLOG = 1024
 
 
 @dataclass(slots=True)
@@ -46,7 +46,9 @@
 
 def _listen(address: Address) -> socket.socket:
     try:
-        listener = socket.create_server((address.ip, address.port), backlog=_BACKLOG)
+        listener = socket.create_server(
+            (address.ip, address.port), backlog=_ACCEPT_BACKLOG
+        )
     except OSError as error:
         raise ListenError(
             f"{address} can't be listened on", why=error.strerror or str(error)
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -56,9 +56,9 @@
     MembershipKeeper,
 )
 from railfold._internal.forwarding.store.registration_pace import (
-    calm_pace,
-    eager_pace,
-    leading_pace,
+    default_pace,
+    leader_pace,
+    missing_chain_pace,
 )
 from railfold._internal.observability.decision_log import DecisionLog
 from railfold._internal.observability.events import (
@@ -82,40 +82,40 @@
 _OK = 200
 _SERVICE_UNAVAILABLE = 503
 
-_PLACEMENT_DUTY = "placement"
+_PLACEMENT_ROLE = "placement"
 
 # A read of the configuration is answered as soon as there is a newer one. That the one
 # that is known is in force is proved beside it (:class:`ProofKeeper`); with reads of
 # 1.85 s that were to prove it too, half of an entry's calls to the store were these.
-_CONFIGURATION_WAIT_S = 10.0
+_CONFIGURATION_READ_WAIT_S = 10.0
 
 _MAX_BACKOFF_S = 0.6
 
 # Versions that come in quick succession are read in batches: of 25 in 2 s some 8. One
 # that comes alone is read at once, and all well within the seconds that operators give
 # a change.
-_CONFIGURATION_INTERVAL_S = 0.25
+_CONFIGURATION_MIN_INTERVAL_S = 0.25
 
 # Clients of an installation that starts for the first time come 12 s after it.
-_FIRST_START_S = 10.0
+_FIRST_START_DURATION_S = 10.0
 
-_TICK_S = 0.25
+_UPKEEP_INTERVAL_S = 0.25
 
 # Of a host's memory this share may be held for clients. A body is there up to three
 # times, while it is put together and while it is written to a server.
-_HELD_SHARE = 0.2
+_CLIENT_MEMORY_SHARE = 0.2
 
 # The balancer needs two probes, one a second, to send new connections elsewhere.
 # After that connections without a request are closed: a stream that began later
 # could not end within the grace time.
-_LEAVE_BALANCER_S = 2.8
+_BALANCER_DRAIN_S = 2.8
 
 # The same while the entry is only unready: by then the balancer leads a client whose
 # connection is closed elsewhere.
 _BALANCER_PROBE_S = 2.2
 
 # Kept from the grace time, to close what is left and end.
-_EXIT_S = 0.4
+_EXIT_RESERVE_S = 0.4
 
 
 class ForwardingEntry:
@@ -141,9 +141,9 @@
         self._draining = False
         self._started_s = self._loop.time()
         self._store_reachable = asyncio.Event()
-        founded_by_s = float("-inf")
+        initial_members_until_s = float("-inf")
         if settings.first_start:
-            founded_by_s = self._started_s + _FIRST_START_S
+            initial_members_until_s = self._started_s + _FIRST_START_DURATION_S
         self.metrics = Metrics()
         self.log = DecisionLog(settings.name, log_fd)
         rng = random.Random()
@@ -162,8 +162,10 @@
         )
         self.destinations = DestinationChooser(self.router)
         self._refusals = Refusals(self.router)
-        self._room = RoomQueue(self.router)
-        fleet = FleetSize(settings.retry_window_s, MEMBER_LEASE_S, founded_by_s)
+        self._room_queue = RoomQueue(self.router)
+        fleet = FleetSize(
+            settings.retry_window_s, MEMBER_LEASE_S, initial_members_until_s
+        )
         self._fleet_limits = FleetLimits(settings, fleet, self.router)
         calls = EngineCalls(self.router)
         self._prober = ChainProber(self.router, calls)
@@ -172,7 +174,7 @@
         self._leadership_keeper = LeadershipKeeper(
             settings.name,
             self._leadership,
-            adapter.new_lease_client(_PLACEMENT_DUTY),
+            adapter.new_lease_client(_PLACEMENT_ROLE),
             self.log,
             self.metrics,
             self._on_epoch,
@@ -181,7 +183,7 @@
         )
         self._membership = MembershipKeeper(
             settings.name,
-            adapter.new_member_client(_PLACEMENT_DUTY),
+            adapter.new_member_client(_PLACEMENT_ROLE),
             self.metrics,
             self._on_member_renewed,
             self._on_epoch,
@@ -220,7 +222,7 @@
             self.router,
             self._leadership,
             self._store_reachable,
-            on_known=self._on_quarantine,
+            on_known=self._on_quarantine_read,
             fleet_limits=self._fleet_limits,
             on_epoch=self._on_epoch,
             proofs=self._proofs,
@@ -228,11 +230,13 @@
         )
         calls.on_refused = self._peering.quarantine.server_refused
         self._prober.on_well = self._peering.quarantine.server_answered
-        self._held = MemoryQuota(int(settings.memory_bytes * _HELD_SHARE))
+        self._memory_quota = MemoryQuota(
+            int(settings.memory_bytes * _CLIENT_MEMORY_SHARE)
+        )
         self._clients = ClientServer(
             settings.client_address,
             self,
-            self._held,
+            self._memory_quota,
             listeners.clients if listeners else None,
         )
         self._readiness = HttpServerChild(
@@ -242,11 +246,11 @@
         )
         self._drivers: dict[ClientExchange, RequestDriver] = {}
         # Since when only this entry gets no proof of its configuration.
-        self._lapsing_since_s: float | None = None
-        self._registrations_known = False
-        self._quarantine_known = False
+        self._unproven_since_s: float | None = None
+        self._registrations_read = False
+        self._quarantine_read = False
         self._registration_feed = RegistrationFeed(
-            self.router, adapter.decode_registration, self._on_copy
+            self.router, adapter.decode_registration, self._on_registrations_read
         )
         self._registrations = self._registration_follower()
 
@@ -284,8 +288,8 @@
             self._configuration_feed,
             self.metrics,
             FollowerPace(
-                wait_s=_CONFIGURATION_WAIT_S,
-                min_interval_s=_CONFIGURATION_INTERVAL_S,
+                wait_s=_CONFIGURATION_READ_WAIT_S,
+                min_interval_s=_CONFIGURATION_MIN_INTERVAL_S,
                 max_backoff_s=_MAX_BACKOFF_S,
             ),
             on_lost=self._on_store_lost,
@@ -300,7 +304,7 @@
             self._adapter.registrations_stream,
             self._registration_feed,
             self.metrics,
-            eager_pace(),
+            missing_chain_pace(),
             on_regained=self._on_registrations_regained,
             reachable=self._store_reachable,
             on_epoch=self._on_epoch,
@@ -327,22 +331,22 @@
             and not self._proofs.lapses_alone(now_s)
         )
 
-    def _look_whether_useful(self, now_s: float) -> None:
+    def _update_readiness(self, now_s: float) -> None:
         """Lead clients elsewhere while only this entry can't check credentials."""
-        lapses = self._proofs.lapses_alone(now_s)
-        if lapses != (self._lapsing_since_s is not None):
-            self._lapsing_since_s = now_s if lapses else None
-            self.metrics.count("readiness.lapses" if lapses else "readiness.regained")
+        unproven = self._proofs.lapses_alone(now_s)
+        if unproven != (self._unproven_since_s is not None):
+            self._unproven_since_s = now_s if unproven else None
+            self.metrics.count("readiness.lapses" if unproven else "readiness.regained")
             cause = "only this entry gets no proof of its configuration"
             age_s = min(self.router.lease.age_s(now_s), 1e6)
             self.log.write(
                 ReadinessChanged(
-                    not lapses, cause if lapses else "", round(age_s * 1000, 1)
+                    not unproven, cause if unproven else "", round(age_s * 1000, 1)
                 )
             )
-        since_s = self._lapsing_since_s
-        gone = since_s is not None and now_s - since_s >= _BALANCER_PROBE_S
-        self._clients.closes_connections = self._draining or gone
+        since_s = self._unproven_since_s
+        balancer_noticed = since_s is not None and now_s - since_s >= _BALANCER_PROBE_S
+        self._clients.closes_connections = self._draining or balancer_noticed
 
     @property
     def recognizes_requests(self) -> bool:
@@ -359,19 +363,19 @@
 
     def _on_configuration(self, table: RoutingTable) -> None:
         self._clients.set_limits(table.limits)
-        self._begin_if_known()
+        self._accept_clients_if_ready()
 
-    def _on_copy(self) -> None:
-        self._registrations_known = True
-        self._begin_if_known()
+    def _on_registrations_read(self) -> None:
+        self._registrations_read = True
+        self._accept_clients_if_ready()
 
-    def _on_quarantine(self) -> None:
-        self._quarantine_known = True
-        self._begin_if_known()
+    def _on_quarantine_read(self) -> None:
+        self._quarantine_read = True
+        self._accept_clients_if_ready()
 
-    def _begin_if_known(self) -> None:
+    def _accept_clients_if_ready(self) -> None:
         """Accept clients once it is known where their requests may go."""
-        known = self._registrations_known and self._quarantine_known
+        known = self._registrations_read and self._quarantine_read
         if self.router.table is not None and known:
             self._clients.begin.set()
 
@@ -449,14 +453,14 @@
             self.destinations,
             self._prober,
             self._peering.quarantine,
-            self._room,
+            self._room_queue,
         )
         self._drivers[exchange] = driver
         driver.start()
         if len(self._drivers) > len(router.active):
-            self._forget_finished()
+            self._drop_finished_drivers()
 
-    def _forget_finished(self) -> None:
+    def _drop_finished_drivers(self) -> None:
         active = self.router.active
         self._drivers = {e: d for e, d in self._drivers.items() if d in active}
 
@@ -470,10 +474,10 @@
 
     def refuse_unread(self, exchange: ClientExchange) -> None:
         """Answer a request whose body there is no memory for."""
-        held_mb = self._held.total_bytes / 1e6
+        reserved_mb = self._memory_quota.total_bytes / 1e6
         error = MemoryShortError(
             "there is no memory for the request's body",
-            why=f"{held_mb:.1f} MB are held for clients",
+            why=f"{reserved_mb:.1f} MB are held for clients",
             hint="come back after Retry-After",
         )
         self._refusals.refuse_unread(exchange, error)
@@ -507,8 +511,8 @@
             self._loop.call_when_resumed(self._on_resumed)
         ready.set()
         while True:
-            due_s = self._loop.time() + _TICK_S
-            await asyncio.sleep(_TICK_S)
+            due_s = self._loop.time() + _UPKEEP_INTERVAL_S
+            await asyncio.sleep(_UPKEEP_INTERVAL_S)
             now_s = self._loop.time()
             self.metrics.timing("loop.late", now_s - due_s)
             self.router.directory.expire(now_s)
@@ -523,25 +527,25 @@
             self.router.limits.upkeep(known, now_s)
             self.router.backoffs.upkeep(known, now_s)
             self._registrations.pace = self._registration_pace(now_s)
-            self._forget_finished()
-            self._look_whether_useful(now_s)
-            self._room.forget()
+            self._drop_finished_drivers()
+            self._update_readiness(now_s)
+            self._room_queue.forget()
             self._clients.forget_closed()
             self.metrics.gauge("in_flight", len(self.router.active))
-            self.metrics.gauge("memory.held_bytes", self._held.total_bytes)
+            self.metrics.gauge("memory.held_bytes", self._memory_quota.total_bytes)
             self.metrics.gauge("configuration.age_s", self.router.lease.age_s(now_s))
 
     def _registration_pace(self, now_s: float) -> FollowerPace:
         leads = self._leadership.fencing(now_s) is not None
         if leads:
-            return leading_pace()
-        starting = now_s - self._started_s < _FIRST_START_S
+            return leader_pace()
+        starting = now_s - self._started_s < _FIRST_START_DURATION_S
         if self._settings.first_start and starting:
             # No client waits for the first placement yet.
-            return calm_pace(self._settings.drain_notice_s)
+            return default_pace(self._settings.drain_notice_s)
         if self.router.chain_missing():
-            return eager_pace()
-        return calm_pace(self._settings.drain_notice_s)
+            return missing_chain_pace()
+        return default_pace(self._settings.drain_notice_s)
 
     async def drain(self) -> None:
         """Leave the balancer, finish what is in flight, then return."""
@@ -550,22 +554,22 @@
         self._clients.closes_connections = True
         self.log.write(ProcessStopping("told to stop", len(self.router.active)))
         # The store may not answer; the rest of the stop doesn't wait for it.
-        leaving = self._loop.create_task(self._peering.leave())
+        leave_task = self._loop.create_task(self._peering.leave())
         await asyncio.gather(
             self._leadership_keeper.release(), self._membership.release()
         )
-        end_s = started_s + self._settings.grace_s - _EXIT_S
-        await asyncio.sleep(_LEAVE_BALANCER_S)
+        end_s = started_s + self._settings.grace_s - _EXIT_RESERVE_S
+        await asyncio.sleep(_BALANCER_DRAIN_S)
         self._clients.stop_accepting()
         # Connections end in tornado's callbacks, requests in drivers.
         while self._clients.open_connections and self._loop.time() < end_s:  # noqa: ASYNC110
-            await asyncio.sleep(_TICK_S / 5)
+            await asyncio.sleep(_UPKEEP_INTERVAL_S / 5)
         self.log.write(ProcessStopping("the process ends", len(self.router.active)))
         # What still runs is cut visibly; waiting for it would outlast the grace.
         for exchange, driver in list(self._drivers.items()):
             exchange.abort()
             driver.client_gone()
-        leaving.cancel()
+        leave_task.cancel()
         self.log.flush()
 
 
--- a/src/railfold/_internal/forwarding/reload.py
+++ b/src/railfold/_internal/forwarding/reload.py
@@ -15,7 +15,7 @@
 __all__ = ["SettingsWatcher"]
 
 # A file that changes without a signal is noticed within this time.
-_LOOK_S = 1.0
+_CHECK_INTERVAL_S = 1.0
 
 
 class SettingsWatcher:
@@ -35,27 +35,27 @@
         self._source = source
         self._on_settings = on_settings
         self._log = log
-        self._told = asyncio.Event()
+        self._reload_requested = asyncio.Event()
 
     async def run(self, ready: asyncio.Event) -> None:
         """Watch until cancelled."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGHUP, self._told.set)
+        loop.add_signal_handler(signal.SIGHUP, self._reload_requested.set)
         ready.set()
         try:
             while True:
-                told = await self._wait()
-                if told or self._source.stamp() != self._source.loaded_stamp:
+                requested = await self._wait_for_request()
+                if requested or self._source.stamp() != self._source.loaded_stamp:
                     self._reload()
         finally:
             loop.remove_signal_handler(signal.SIGHUP)
 
-    async def _wait(self) -> bool:
+    async def _wait_for_request(self) -> bool:
         try:
-            await asyncio.wait_for(self._told.wait(), _LOOK_S)
+            await asyncio.wait_for(self._reload_requested.wait(), _CHECK_INTERVAL_S)
         except TimeoutError:
             return False
-        self._told.clear()
+        self._reload_requested.clear()
         return True
 
     def _reload(self) -> None:
--- a/src/railfold/_internal/forwarding/store/feeds.py
+++ b/src/railfold/_internal/forwarding/store/feeds.py
@@ -35,14 +35,14 @@
 
 # Records that name no backend server are remembered up to this many, so that a flood
 # of them takes little memory and few log lines.
-_REFUSED_KEPT = 1000
+_MAX_REFUSED_IDS = 1000
 
 # Of an id that somebody else wrote, so much stands in the logs.
-_ID_SHOWN = 128
+_MAX_LOGGED_ID_LENGTH = 128
 
 # A registration that nobody renews has lapsed by then: after three heartbeats, and at
 # most about two seconds more after the store was away.
-_LAPSED_S = 6.0
+_REGISTRATION_LAPSE_S = 6.0
 
 
 class ConfigurationFeed:
@@ -59,7 +59,7 @@
         self._key = key
         self._decode = decode
         self._on_accepted = on_accepted
-        self._next = NEWEST_OF_EACH_KEY
+        self._next_offset = NEWEST_OF_EACH_KEY
         # The newest version that was read since the stream was read anew.
         self._read_version = 0
         # The newest that another entry has read.
@@ -67,11 +67,11 @@
 
     def next_offset(self) -> int:
         """Return the offset to read from."""
-        return self._next
+        return self._next_offset
 
     def record(self, record: LogRecord) -> None:
         """Take one record."""
-        self._next = record.offset + 1
+        self._next_offset = record.offset + 1
         item: KeyedValue = record.body
         if item.key != self._key or not item.value:
             return
@@ -109,7 +109,7 @@
         Unless the log went back, and holds an older configuration than is known: what
         else it lacks isn't known either.
         """
-        self._next = next_offset
+        self._next_offset = next_offset
         if not self.lacks_newest:
             self._router.lease.renew(sent_s)
 
@@ -128,7 +128,7 @@
 
     def expired(self, first_offset: int) -> int:
         """History is gone: take the newest record of each key."""
-        self._next = NEWEST_OF_EACH_KEY
+        self._next_offset = NEWEST_OF_EACH_KEY
         self._read_version = 0
         return NEWEST_OF_EACH_KEY
 
@@ -143,117 +143,128 @@
         self,
         router: Router,
         decode: Callable[[str, bytes], Registration],
-        on_copy: Callable[[], None],
+        on_snapshot: Callable[[], None],
     ) -> None:
         self._router = router
         self._decode = decode
-        self._on_copy = on_copy
-        self._next = NEWEST_OF_EACH_KEY
-        self._copy: dict[str, Registration] | None = {}
+        self._on_snapshot = on_snapshot
+        self._next_offset = NEWEST_OF_EACH_KEY
+        self._snapshot: dict[str, Registration] | None = {}
         # Registered ids whose newest record names no backend server to use.
-        self._refused: set[str] = set()
+        self._refused_ids: set[str] = set()
         # Whether the next whole copy is of before what was known last.
-        self._went_back = False
+        self._store_went_back = False
         # What such a copy holds of servers that were seen to leave.
-        self._left: dict[str, Registration] = {}
-        self._left_due_s = 0.0
+        self._departed: dict[str, Registration] = {}
+        self._departed_due_s = 0.0
 
     def next_offset(self) -> int:
         """Return the offset to read from."""
-        return self._next
+        return self._next_offset
 
     def record(self, record: LogRecord) -> None:
         """Take one record."""
-        self._next = record.offset + 1
+        self._next_offset = record.offset + 1
         item: KeyedValue = record.body
-        self._left.pop(item.key, None)
+        self._departed.pop(item.key, None)
         if not item.value:
-            self._refused.discard(item.key)
+            self._refused_ids.discard(item.key)
             self._remove(item.key)
             return
         try:
             registration = self._decode(item.key, item.value)
         except RailfoldError as error:
-            self._refuse(item.key, error)
+            self._refuse_registration(item.key, error)
             return
-        self._refused.discard(item.key)
-        if self._copy is not None:
-            self._copy[registration.registered_id] = registration
+        self._refused_ids.discard(item.key)
+        if self._snapshot is not None:
+            self._snapshot[registration.registered_id] = registration
         else:
             self._register(registration)
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
         """All registrations there are have been given."""
-        self._next = next_offset
+        self._next_offset = next_offset
         now_s = asyncio.get_running_loop().time()
-        if self._copy is None:
-            self._take_left(now_s)
+        if self._snapshot is None:
+            self._register_departed(now_s)
             return
-        copy, self._copy = self._copy, None
-        if self._went_back:
-            self._pass_over_left(copy, now_s)
+        snapshot, self._snapshot = self._snapshot, None
+        if self._store_went_back:
+            self._exclude_departed(snapshot, now_s)
         known = [e.registration.registered_id for e in self._router.directory]
         for registered_id in known:
-            if registered_id in self._refused:
+            if registered_id in self._refused_ids:
                 self._router.directory.withdraw(registered_id)
-            elif registered_id not in copy:
+            elif registered_id not in snapshot:
                 self._remove(registered_id)
-        for registration in copy.values():
+        for registration in snapshot.values():
             self._register(registration)
         self._router.directory.expire(now_s)
-        self._on_copy()
+        self._on_snapshot()
 
     def expired(self, first_offset: int) -> int:
         """History is gone: take a whole copy."""
-        self._next = NEWEST_OF_EACH_KEY
-        self._copy = {}
-        self._refused = set()
+        self._next_offset = NEWEST_OF_EACH_KEY
+        self._snapshot = {}
+        self._refused_ids = set()
         return NEWEST_OF_EACH_KEY
 
     def log_went_back(self) -> None:
         """The log came back from an older copy; the next whole copy is of that."""
-        self._went_back = True
+        self._store_went_back = True
 
-    def _pass_over_left(self, copy: dict[str, Registration], now_s: float) -> None:
+    def _exclude_departed(
+        self, snapshot: dict[str, Registration], now_s: float
+    ) -> None:
         """Pass over servers of an older copy that were seen to leave since.
 
         One that does live is taken once it is written again, or if its registration
         hasn't lapsed by the time at which that of a dead one has.
         """
-        self._went_back = False
+        self._store_went_back = False
         directory = self._router.directory
-        self._left = {i: r for i, r in copy.items() if directory.has_left(r)}
-        self._left_due_s = now_s + _LAPSED_S
-        for registered_id in self._left:
+        self._departed = {i: r for i, r in snapshot.items() if directory.has_left(r)}
+        self._departed_due_s = now_s + _REGISTRATION_LAPSE_S
+        for registered_id in self._departed:
             if directory.get_by_registered_id(registered_id) is None:
-                del copy[registered_id]
+                del snapshot[registered_id]
             else:
-                copy[registered_id] = replace(copy[registered_id], draining=True)
+                snapshot[registered_id] = replace(
+                    snapshot[registered_id], draining=True
+                )
 
-    def _take_left(self, now_s: float) -> None:
-        if not self._left or now_s < self._left_due_s:
+    def _register_departed(self, now_s: float) -> None:
+        if not self._departed or now_s < self._departed_due_s:
             return
-        left, self._left = self._left, {}
-        for registered_id, registration in left.items():
+        departed, self._departed = self._departed, {}
+        for registered_id, registration in departed.items():
             if self._router.directory.get_by_registered_id(registered_id) is None:
                 self._register(registration)
 
-    def _refuse(self, registered_id: str, error: RailfoldError) -> None:
+    def _refuse_registration(self, registered_id: str, error: RailfoldError) -> None:
         """Take a record that names no backend server to use.
 
         The same holds in a whole copy and behind it, so that entries that read it at
         different times agree.
         """
         self._router.metrics.count("registrations.refused")
-        if self._copy is not None:
-            self._copy.pop(registered_id, None)
+        if self._snapshot is not None:
+            self._snapshot.pop(registered_id, None)
         else:
             self._router.directory.withdraw(registered_id)
-        if registered_id in self._refused or len(self._refused) >= _REFUSED_KEPT:
+        if (
+            registered_id in self._refused_ids
+            or len(self._refused_ids) >= _MAX_REFUSED_IDS
+        ):
             return  # One line a change: whoever writes such records may write many.
-        self._refused.add(registered_id)
+        self._refused_ids.add(registered_id)
         self._router.log.write(
-            EngineChanged(registered_id[:_ID_SHOWN], "registration refused", str(error))
+            EngineChanged(
+                registered_id[:_MAX_LOGGED_ID_LENGTH],
+                "registration refused",
+                str(error),
+            )
         )
 
     def _register(self, registration: Registration) -> None:
@@ -262,32 +273,36 @@
         if known is not None and known.registration == registration:
             known.removal_due_s = None
             return
-        taken = directory.register(registration)
-        if taken.entry is None:
+        result = directory.register(registration)
+        if result.entry is None:
             self._router.metrics.count("registrations.outdated")
             return
-        self._router.avoidance.readmit(taken.entry.server_id)
+        self._router.avoidance.readmit(result.entry.server_id)
         self._router.log.write(
             EngineChanged(
-                taken.entry.server_id,
-                "draining" if taken.entry.draining else "serving",
+                result.entry.server_id,
+                "draining" if result.entry.draining else "serving",
                 "registered",
                 str(registration.layers) if registration.layers else "",
             )
         )
-        if taken.ended:
-            self._router.report_ended(frozenset(taken.ended))
+        if result.ended:
+            self._router.report_ended(frozenset(result.ended))
 
     def _remove(self, registered_id: str) -> None:
-        if self._copy is not None:
-            self._copy.pop(registered_id, None)
+        if self._snapshot is not None:
+            self._snapshot.pop(registered_id, None)
         directory = self._router.directory
         entry = directory.get_by_registered_id(registered_id)
         directory.remove(registered_id, asyncio.get_running_loop().time())
         state = "removed"
         if directory.get_by_registered_id(registered_id) is not None:
             state = "removal waits"
-        name = entry.server_id if entry is not None else registered_id[:_ID_SHOWN]
+        name = (
+            entry.server_id
+            if entry is not None
+            else registered_id[:_MAX_LOGGED_ID_LENGTH]
+        )
         self._router.log.write(EngineChanged(name, state, "registration removed"))
 
 
@@ -301,36 +316,36 @@
     def __init__(
         self,
         quarantine: RequestQuarantine,
-        on_key: Callable[[bytes], None],
-        on_known: Callable[[], None],
+        on_peer_key: Callable[[bytes], None],
+        on_loaded: Callable[[], None],
     ) -> None:
         self._quarantine = quarantine
-        self._on_key = on_key
-        self._on_known = on_known
-        self._next = NEWEST_OF_EACH_KEY
-        self._known = False
-        self._has_key = False
+        self._on_peer_key = on_peer_key
+        self._on_loaded = on_loaded
+        self._next_offset = NEWEST_OF_EACH_KEY
+        self._loaded = False
+        self._has_peer_key = False
 
     def next_offset(self) -> int:
         """Return the offset to read from."""
-        return self._next
+        return self._next_offset
 
     def record(self, record: LogRecord) -> None:
         """Take one record."""
-        self._next = record.offset + 1
+        self._next_offset = record.offset + 1
         item: KeyedValue = record.body
         try:
-            self._take(item)
+            self._apply(item)
         except PeerMessageError as error:
-            name = item.key[:_ID_SHOWN]
+            name = item.key[:_MAX_LOGGED_ID_LENGTH]
             logging.warning(
                 "record %r of the quarantine is passed over: %s", name, error
             )
 
-    def _take(self, item: KeyedValue) -> None:
+    def _apply(self, item: KeyedValue) -> None:
         if item.key == PEER_KEY_RECORD:
-            self._on_key(decode_peer_key(item.value))
-            self._has_key = True
+            self._on_peer_key(decode_peer_key(item.value))
+            self._has_peer_key = True
         elif item.value:
             self._quarantine.record_read(item.key, decode_hold(item.value))
         else:
@@ -338,15 +353,15 @@
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
         """All that was recorded when the read was sent is known."""
-        self._next = next_offset
-        if not self._has_key:
+        self._next_offset = next_offset
+        if not self._has_peer_key:
             self._quarantine.key_missing(next_offset)
-        if not self._known:
-            self._known = True
-            self._on_known()
+        if not self._loaded:
+            self._loaded = True
+            self._on_loaded()
 
     def expired(self, first_offset: int) -> int:
         """History is gone: take the newest record of each key."""
-        self._next = NEWEST_OF_EACH_KEY
-        self._has_key = False
+        self._next_offset = NEWEST_OF_EACH_KEY
+        self._has_peer_key = False
         return NEWEST_OF_EACH_KEY
--- a/src/railfold/_internal/forwarding/store/leadership.py
+++ b/src/railfold/_internal/forwarding/store/leadership.py
@@ -30,24 +30,24 @@
 # How long a dead holder keeps its successor waiting; three renewals fit in.
 LEASE_S = 1.0
 
-_MEMBER_RENEW_S = 0.75
-_RENEW_S = 0.25
+_MEMBER_RENEWAL_INTERVAL_S = 0.75
+_RENEWAL_INTERVAL_S = 0.25
 # A successor finds the lease free by its next renewal.
-_STANDBY_RENEW_S = 0.4
-_RETRY_S = 0.1
-_MEMBER_RETRY_S = 0.3
-_CONFIRM_S = 0.03
+_STANDBY_INTERVAL_S = 0.4
+_RETRY_DELAY_S = 0.1
+_MEMBER_RETRY_DELAY_S = 0.3
+_CONFIRMATION_DELAY_S = 0.03
 
 # The store answers within 0.24 s in its slow times.
-_CALL_S = 0.35
+_CALL_TIMEOUT_S = 0.35
 
 # A holder stops after so many failed renewals in a row, or if none that succeeded was
 # sent within this share of the lease: a successor can then begin before the lease ends.
-_MOST_FAILURES = 2
-_STOP_SHARE = 0.5
+_MAX_FAILED_RENEWALS = 2
+_MAX_RENEWAL_AGE_SHARE = 0.5
 
 # Members that stopped, and whose memberships are to be ended; others lapse.
-_MOST_STOPPED = 16
+_MAX_STOPPED_MEMBERS = 16
 
 
 class LeaseClient(Protocol):
@@ -93,7 +93,9 @@
         """Renew until cancelled."""
         ready.set()
         while True:
-            delay_s = _MEMBER_RENEW_S if self._released else await self._renew()
+            delay_s = (
+                _MEMBER_RENEWAL_INTERVAL_S if self._released else await self._renew()
+            )
             await asyncio.sleep(delay_s)
 
     async def _renew(self) -> float:
@@ -103,13 +105,13 @@
         except LogUnavailableError:
             # The follower of the configuration tells of the store's outages.
             self._metrics.count("members.renewals_failed")
-            return _MEMBER_RETRY_S
+            return _MEMBER_RETRY_DELAY_S
         self._on_epoch(grant.epoch)
         self._on_renewed(grant, sent_s)
         is_new = grant.fencing != self._newest_fencing
         self._newest_fencing = grant.fencing
         # A partition passes on once its former holder has named the new deal.
-        return _CONFIRM_S if is_new else _MEMBER_RENEW_S
+        return _CONFIRMATION_DELAY_S if is_new else _MEMBER_RENEWAL_INTERVAL_S
 
     async def release(self) -> None:
         """Leave, so that the others needn't wait for this one's lapse."""
@@ -141,11 +143,11 @@
         metrics: Metrics,
         on_epoch: Callable[[int], None],
         candidacy: Candidacy | None = None,
-        on_stopped: Callable[[str], None] = lambda member: None,
+        on_stopped: Callable[[str], None] = lambda member_id: None,
     ) -> None:
         self._holder = holder
-        self._stints = itertools.count(1)
-        self._member_id = self._next_member()
+        self._member_numbers = itertools.count(1)
+        self._member_id = self._new_member_id()
         self._leadership = leadership
         self._on_epoch = on_epoch
         self._candidacy = candidacy
@@ -155,20 +157,20 @@
         self._metrics = metrics
         self._released = False
         self._joined = False
-        self._failures = 0
+        self._failed_renewals = 0
         self._renewed_s = float("-inf")
-        self._stopped: dict[str, float] = {}
+        self._stopped_members: dict[str, float] = {}
         self._wake = asyncio.Event()
 
-    def _next_member(self) -> str:
+    def _new_member_id(self) -> str:
         # The process may have run before under the same name.
-        return f"{self._holder}#{secrets.token_hex(4)}.{next(self._stints)}"
+        return f"{self._holder}#{secrets.token_hex(4)}.{next(self._member_numbers)}"
 
     async def run(self, ready: asyncio.Event) -> None:
         """Renew until cancelled."""
         ready.set()
         while True:
-            delay_s = _RENEW_S
+            delay_s = _RENEWAL_INTERVAL_S
             self._wake.clear()
             if not self._released:
                 delay_s = await self._step()
@@ -178,30 +180,30 @@
     async def _step(self) -> float:
         now_s = asyncio.get_running_loop().time()
         leads = self._leadership.fencing(now_s) is not None
-        asks = self._candidacy is None or self._candidacy.asks(now_s)
-        if leads or asks:
-            await self._end_stopped()
+        is_candidate = self._candidacy is None or self._candidacy.asks(now_s)
+        if leads or is_candidate:
+            await self._end_stopped_memberships()
             return await self._renew()
         if self._joined:
-            await self._leave()
-        self._stopped.clear()
-        return _STANDBY_RENEW_S
+            await self._stand_down()
+        self._stopped_members.clear()
+        return _STANDBY_INTERVAL_S
 
     async def _renew(self) -> float:
         sent_s = asyncio.get_running_loop().time()
         self._joined = True
-        member = self._member_id
-        call = self._client.renew(member, self._leadership.duration_s)
+        member_id = self._member_id
+        call = self._client.renew(member_id, self._leadership.duration_s)
         try:
-            grant = await answer_within(call, _CALL_S)
+            grant = await answer_within(call, _CALL_TIMEOUT_S)
         except (LogUnavailableError, TimeoutError) as error:
             self._metrics.count("lease.renewals_failed")
-            self._failures += 1
-            self._stop_if_lapsing(str(error) or f"no answer within {_CALL_S} s")
-            return _RETRY_S
-        if self._released or member != self._member_id:
-            return _STANDBY_RENEW_S  # What it grants was given back meanwhile.
-        self._failures = 0
+            self._failed_renewals += 1
+            self._stop_if_lapsing(str(error) or f"no answer within {_CALL_TIMEOUT_S} s")
+            return _RETRY_DELAY_S
+        if self._released or member_id != self._member_id:
+            return _STANDBY_INTERVAL_S  # What it grants was given back meanwhile.
+        self._failed_renewals = 0
         self._renewed_s = sent_s
         self._on_epoch(grant.epoch)
         is_new = grant.fencing != self._leadership.newest_fencing
@@ -212,8 +214,8 @@
         # A former holder gives the lease up by naming the new term: until all
         # have, nobody holds it.
         if is_new:
-            return _CONFIRM_S
-        return _RENEW_S if grant.holding else _STANDBY_RENEW_S
+            return _CONFIRMATION_DELAY_S
+        return _RENEWAL_INTERVAL_S if grant.holding else _STANDBY_INTERVAL_S
 
     def _stop_if_lapsing(self, cause: str) -> None:
         now_s = asyncio.get_running_loop().time()
@@ -221,56 +223,56 @@
         if fencing is None:
             return
         age_s = now_s - self._renewed_s
-        is_old = age_s >= _STOP_SHARE * self._leadership.duration_s
-        if self._failures < _MOST_FAILURES and not is_old:
+        is_old = age_s >= _MAX_RENEWAL_AGE_SHARE * self._leadership.duration_s
+        if self._failed_renewals < _MAX_FAILED_RENEWALS and not is_old:
             return
         self._leadership.fenced(fencing)
         self._leadership.revoke()
         self._metrics.count("lease.stopped")
         why = f"not renewed for {age_s:.2f} s: {cause}"
         self._log.write(LeadershipChanged(leading=False, fencing=fencing, cause=why))
-        stopped, self._member_id = self._member_id, self._next_member()
-        self._note_stopped(stopped)
-        self._on_stopped(stopped)
+        stopped_id, self._member_id = self._member_id, self._new_member_id()
+        self._record_stopped(stopped_id)
+        self._on_stopped(stopped_id)
 
-    def holder_stopped(self, member: str) -> None:
+    def holder_stopped(self, member_id: str) -> None:
         """Another process led under this member id, and doesn't any more."""
-        if member == self._member_id:
+        if member_id == self._member_id:
             return
-        self._note_stopped(member)
+        self._record_stopped(member_id)
         self._wake.set()
 
-    def _note_stopped(self, member: str) -> None:
-        if len(self._stopped) < _MOST_STOPPED:
-            self._stopped[member] = asyncio.get_running_loop().time()
+    def _record_stopped(self, member_id: str) -> None:
+        if len(self._stopped_members) < _MAX_STOPPED_MEMBERS:
+            self._stopped_members[member_id] = asyncio.get_running_loop().time()
 
-    async def _end_stopped(self) -> None:
+    async def _end_stopped_memberships(self) -> None:
         """End memberships of holders that stopped; the lease passes on by that."""
         loop = asyncio.get_running_loop()
-        for member, stopped_s in list(self._stopped.items()):
+        for member_id, stopped_s in list(self._stopped_members.items()):
             has_lapsed = loop.time() - stopped_s >= self._leadership.duration_s
-            if not has_lapsed and not await self._end(member):
+            if not has_lapsed and not await self._end_membership(member_id):
                 return  # The store doesn't answer; it is asked again.
-            self._stopped.pop(member, None)
+            self._stopped_members.pop(member_id, None)
 
-    async def _end(self, member: str) -> bool:
+    async def _end_membership(self, member_id: str) -> bool:
         try:
-            await answer_within(self._client.release(member), _CALL_S)
+            await answer_within(self._client.release(member_id), _CALL_TIMEOUT_S)
         except (LogUnavailableError, TimeoutError):
             self._metrics.count("lease.release_failed")  # It lapses by itself.
             return False
         return True
 
-    async def _leave(self) -> None:
+    async def _stand_down(self) -> None:
         """Stop to ask; another candidate took this one's place."""
         self._joined = False
-        left, self._member_id = self._member_id, self._next_member()
+        former_id, self._member_id = self._member_id, self._new_member_id()
         newest = self._leadership.newest_fencing
         self._leadership.renewed(LeaseGrant(holding=False, fencing=newest), 0.0)
-        await self._end(left)
+        await self._end_membership(former_id)
 
     async def release(self) -> None:
         """Give the lease back, so that a successor needn't wait."""
         self._released = True
         if self._joined:
-            await self._leave()
+            await self._stand_down()
--- a/src/railfold/_internal/forwarding/store/shared_records.py
+++ b/src/railfold/_internal/forwarding/store/shared_records.py
@@ -33,7 +33,7 @@
 PEER_KEY_RECORD = "key"
 
 # As long as the keys that are made from it.
-_LEAST_KEY_BYTES = 16
+_MIN_KEY_BYTES = 16
 
 _Name = Annotated[str, Meta(min_length=1, max_length=128)]
 _Text = Annotated[str, Meta(max_length=128)]
@@ -70,13 +70,13 @@
         """Return what the record is about."""
         return RequestContent(digest, self.service, self.route, self.workspace)
 
-    def crashes_on_clock(self, offset_s: float) -> list[Crash]:
+    def crashes_on_clock(self, clock_offset_s: float) -> list[Crash]:
         """Return the crashes on a clock that is behind the time of day by so much."""
         return [
             Crash(
                 crash.server_id,
-                crash.began_unix_ms / 1000.0 - offset_s,
-                crash.ended_unix_ms / 1000.0 - offset_s,
+                crash.began_unix_ms / 1000.0 - clock_offset_s,
+                crash.ended_unix_ms / 1000.0 - clock_offset_s,
                 crash.version,
                 crash.after_event,
             )
@@ -84,13 +84,13 @@
         ]
 
 
-class _Key(msgspec.Struct, frozen=True):
+class _PeerKeyRecord(msgspec.Struct, frozen=True):
     """The entries' common secret, in base64."""
 
     key: str
 
 
-class _Entry(msgspec.Struct, frozen=True):
+class _EntryRecord(msgspec.Struct, frozen=True):
     """Where an entry takes messages; the record's key is its name.
 
     ``written_at_unix_ms`` tells those of entries that are gone for good.
@@ -117,7 +117,7 @@
 
 def encode_peer_key(key: bytes) -> bytes:
     """Return the value of the record that holds the secret."""
-    return msgspec.json.encode(_Key(base64.b64encode(key).decode()))
+    return msgspec.json.encode(_PeerKeyRecord(base64.b64encode(key).decode()))
 
 
 def decode_peer_key(value: bytes) -> bytes:
@@ -126,10 +126,10 @@
     :raises PeerMessageError: it can't be read, or is too short to be one.
     """
     try:
-        key = base64.b64decode(_decode(value, _Key).key, validate=True)
+        key = base64.b64decode(_decode(value, _PeerKeyRecord).key, validate=True)
     except binascii.Error as error:
         raise PeerMessageError("the key isn't base64", why=str(error)) from error
-    if len(key) < _LEAST_KEY_BYTES:
+    if len(key) < _MIN_KEY_BYTES:
         raise PeerMessageError("the key is too short", why=f"{len(key)} bytes")
     return key
 
@@ -137,19 +137,19 @@
 def encode_entry(peer: Peer, now_unix_s: float) -> bytes:
     """Return the value of an entry's record."""
     written_at_ms = int(now_unix_s * 1000)
-    entry = _Entry(
+    entry = _EntryRecord(
         str(peer.address), peer.started_at_ms, written_at_ms, peer.failure_domain
     )
     return msgspec.json.encode(entry)
 
 
-def decode_entry(name: str, value: bytes, oldest_unix_s: float) -> Peer | None:
+def decode_entry(name: str, value: bytes, not_before_unix_s: float) -> Peer | None:
     """Return an entry; nothing if its record is older than that.
 
     :raises PeerMessageError: it can't be read.
     """
-    entry = _decode(value, _Entry)
-    if entry.written_at_unix_ms < oldest_unix_s * 1000:
+    entry = _decode(value, _EntryRecord)
+    if entry.written_at_unix_ms < not_before_unix_s * 1000:
         return None
     try:
         address = parse_address(entry.address)
@@ -158,8 +158,8 @@
         raise PeerMessageError("an entry's address is wrong", why=str(error)) from error
 
 
-def _decode(value: bytes, form: type[T]) -> T:
+def _decode(value: bytes, record_type: type[T]) -> T:
     try:
-        return msgspec.json.decode(value, type=form)
+        return msgspec.json.decode(value, type=record_type)
     except msgspec.DecodeError as error:
         raise PeerMessageError("a record can't be read", why=str(error)) from error
--- a/tests/forwarding/test_memory_held_for_clients.py
+++ b/tests/forwarding/test_memory_held_for_clients.py
@@ -48,7 +48,7 @@
 
 
 def held_bytes(deployment: Deployment) -> int:
-    return deployment.entry._held.total_bytes
+    return deployment.entry._memory_quota.total_bytes
 
 
 async def flood(deployment: Deployment, count: int) -> list[Connection]:
--- a/tests/unit/test_peers.py
+++ b/tests/unit/test_peers.py
@@ -286,5 +286,5 @@
 
 def test_row_of_an_entry_that_is_gone_is_skipped() -> None:
     row = b'{"address":"10.0.0.1:7355","started_at_ms":1,"written_at_unix_ms":5000}'
-    assert decode_entry("entry-1", row, oldest_unix_s=4.0) == peer("entry-1")
-    assert decode_entry("entry-1", row, oldest_unix_s=6.0) is None
+    assert decode_entry("entry-1", row, not_before_unix_s=4.0) == peer("entry-1")
+    assert decode_entry("entry-1", row, not_before_unix_s=6.0) is None
--- a/tests/unit/test_platform_settings.py
+++ b/tests/unit/test_platform_settings.py
@@ -119,7 +119,7 @@
 async def test_settings_are_read_again(
     path: Path, signalled: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(reload, "_LOOK_S", 0.02 if not signalled else 60.0)
+    monkeypatch.setattr(reload, "_CHECK_INTERVAL_S", 0.02 if not signalled else 60.0)
     taken: list[ForwardingSettings] = []
     out, into = os.pipe()
     log = DecisionLog("front-1", into)
--- a/tests/unit/test_registration_feed.py
+++ b/tests/unit/test_registration_feed.py
@@ -108,7 +108,7 @@
         offset = reader.take([("i-1", b"{}")], offset)
     assert reader.router.metrics.counters["registrations.refused"] == 50
     reader.router.log.flush()
-    assert len(reader.feed._refused) == 1
+    assert len(reader.feed._refused_ids) == 1
 
 
 WRITES = st.lists(
