--- a/src/railfold/_internal/forwarding/__init__.py
+++ b/src/railfold/_internal/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""An entry that reaches engines directly, which forward among themselves."""
+"""The forwarding entry: sends requests directly to engines, which pass work on."""
--- a/src/railfold/_internal/forwarding/adapter.py
+++ b/src/railfold/_internal/forwarding/adapter.py
@@ -1,4 +1,4 @@
-"""What a platform's adapter brings beside its dialect."""
+"""Interfaces that the adapter of a platform implements, except for its dialect."""
 
 from __future__ import annotations
 
@@ -16,74 +16,78 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedValue:
-    """Body of a record of a keyed stream; no value means the key is gone."""
+    """Body of a record of a keyed stream; an empty value means the key was removed."""
 
     key: str
     value: bytes
 
 
 class WritableLog(ReadableLog, Protocol):
-    """A log whose keyed streams can be written too."""
+    """A log whose keyed streams can also be written."""
 
     async def put(
         self, stream: str, key: str, value: bytes, expected_end: int | None = None
     ) -> bool:
-        """Write the newest record of a key; no value takes it away.
+        """Write the newest record of a key; an empty value removes the key.
 
-        :param expected_end: write only if the stream ends there.
-        :return: whether it was written; not, if the stream ends elsewhere.
-        :raises LogUnavailableError: no answer came; it may be written, also later.
+        :param expected_end: write only if the stream ends at this offset.
+        :return: whether the record was written; False if the stream ends elsewhere.
+        :raises LogUnavailableError: no answer arrived; the record may have been written
+            or may still be.
         """
 
 
 class PlatformAdapter(Protocol):
-    """Everything that the forwarding entry needs of its platform.
+    """Everything that the forwarding entry needs from its platform.
 
-    Streams hold :class:`KeyedValue` records. Each log is a client with a
-    connection of its own, so that reads that wait don't hold each other up.
+    Streams contain :class:`KeyedValue` records. Each log client has its own connection,
+    so that a read that waits for a record doesn't delay other reads.
     """
 
     @property
     def dialect(self) -> Dialect:
-        """Translates requests, answers and engine calls."""
+        """Translation of requests, answers and engine calls."""
 
     @property
     def configuration_stream(self) -> str:
-        """The stream that holds the configuration."""
+        """The stream that contains the configuration."""
 
     @property
     def configuration_key(self) -> str:
-        """The key of the newest configuration there."""
+        """The key of the configuration in its stream."""
 
     @property
     def registrations_stream(self) -> str:
-        """The stream of backend servers' registrations, by their id."""
+        """The stream of backend servers' registrations, keyed by registered id."""
 
     @property
     def quarantine_stream(self) -> str:
-        """The stream of what entries record of requests that are held back."""
+        """The stream of entries' records about request contents that are held back."""
 
     @property
     def entries_stream(self) -> str:
-        """The stream of entries' addresses, by their name."""
+        """The stream of entries' addresses, keyed by entry name."""
 
     def new_log(self) -> WritableLog:
-        """Return a new client of the store's log."""
+        """Return a new client of the store's log, with its own connection."""
 
     def new_member_client(self, role: str) -> LeaseClient:
-        """Return a client of the group of all entries, which names candidates."""
+        """Return a client for membership in the group of all entries.
+
+        Its grants say whether this entry is a candidate for the role.
+        """
 
     def new_lease_client(self, role: str) -> LeaseClient:
-        """Return a client for the lease of a duty."""
+        """Return a client for the lease of a role, which one entry holds at a time."""
 
     def decode_configuration(self, value: bytes) -> RoutingTable:
-        """Return a configuration.
+        """Decode a configuration record.
 
-        :raises ConfigurationRefusedError: it can't be read.
+        :raises ConfigurationRefusedError: the record is invalid.
         """
 
     def decode_registration(self, key: str, value: bytes) -> Registration:
-        """Return a backend server's registration.
+        """Decode a backend server's registration record.
 
-        :raises EngineError: it can't be read.
+        :raises EngineError: the record is invalid.
         """
--- a/src/railfold/_internal/forwarding/dialect.py
+++ b/src/railfold/_internal/forwarding/dialect.py
@@ -1,7 +1,7 @@
-"""What the forwarding entry needs of the platform that it runs on.
+"""Translation between the forwarding entry and the protocol of its platform.
 
-An adapter implements these interfaces. It translates names and forms, and
-decides nothing.
+An adapter implements :class:`Dialect`. It translates names and formats, and makes no
+decisions.
 """
 
 from __future__ import annotations
@@ -42,14 +42,16 @@
 class SendPlan:
     """How a request is sent to its backend server.
 
-    :param server_id: the one incarnation that may run it.
-    :param registered_id: the id under which that one is registered.
-    :param chain: the stages that run it, if it is for a model.
-    :param deadline_s: until when its client waits.
-    :param workspace: who sends it, if that is known.
-    :param resume_after: the event after which a stream goes on.
-    :param priority: rank of the request, 0 first; 1 is usual.
-    :param urgent: whether a client waits in the middle of its answer.
+    :param server_id: the only incarnation that may run the request.
+    :param registered_id: the id under which this incarnation is registered.
+    :param address: ``ip:port`` of the backend server.
+    :param chain: the stages that run the request, if it is for a model.
+    :param deadline_s: loop time until which the client waits.
+    :param workspace: the workspace of the client, if it is known.
+    :param resume_after: the event after which a stream resumes.
+    :param priority: rank of the request; 0 is served first, 1 is the default.
+    :param urgent: whether the client has received a part of its answer and waits for
+        the rest.
     """
 
     server_id: str
@@ -63,21 +65,23 @@
     urgent: bool = False
 
     def remaining_s(self, now_s: float) -> float:
-        """Return how long its client waits from now on."""
+        """Return the time left until the client's deadline, at least 0."""
         return max(0.0, self.deadline_s - now_s)
 
 
 @dataclass(frozen=True, slots=True)
 class ServedAnswer:
-    """The backend server's answer to this request."""
+    """The answer is the backend server's answer to this request."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotExecuted:
-    """Proof that the request wasn't run.
+    """The answer proves that the request wasn't run.
 
-    :param address: the backend server at fault, if it isn't the one asked.
-    :param misplaced: whether the one at fault doesn't hold the layers asked of it.
+    :param address: address of the backend server at fault; empty if it is the one that
+        answered.
+    :param lacks_layers: whether the server at fault doesn't hold the layers that the
+        chain assigns to it.
     """
 
     address: str
@@ -87,17 +91,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerFailure:
-    """The request ran, or may have run, and the backend server failed."""
+    """The backend server failed, and the request ran or may have run."""
 
 
 @dataclass(frozen=True, slots=True)
 class MismatchedAnswer:
-    """An answer to another request."""
+    """The answer belongs to another request."""
 
 
 @dataclass(frozen=True, slots=True)
 class UnusableAnswer:
-    """It claims success but isn't what a backend server sends."""
+    """The answer isn't a valid answer of a backend server, whatever its status says."""
 
     reason: str
 
@@ -109,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineCall:
-    """A call to an engine's own interface."""
+    """An HTTP call to the interface that engines have for entries."""
 
     method: str
     target: str
@@ -119,14 +123,15 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineReport:
-    """An engine's state in its own words.
-
-    :param order_count: orders that it has begun in this incarnation.
-    :param layers: the layers it holds.
-    :param stalled: addresses of backend servers that streams which begin here
-        wait for.
-    :param slowness: how many times longer than usual its steps take.
-    :param started_at_ms: Unix time of its start, if it tells.
+    """An engine's state as the engine itself reports it.
+
+    :param order_count: number of orders that this incarnation has accepted.
+    :param busy: whether it is still carrying out an order.
+    :param layers: the layers it holds, if it holds any.
+    :param stalled_addresses: addresses of the backend servers that streams are waiting
+        for whose first stage is this engine.
+    :param slowness: duration of its steps relative to the usual one.
+    :param started_at_ms: Unix time of its start, if it reports it.
     """
 
     order_count: int
@@ -139,24 +144,24 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderAccepted:
-    """The engine carries the order out, or already holds what it asks for."""
+    """The engine carries out the order, or already holds the requested layers."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderRefused:
-    """The order doesn't fit the engine's state."""
+    """The order doesn't match the engine's state."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class OrderFenced:
-    """The engine has seen a higher fencing token."""
+    """The engine refused the order because it has seen a higher fencing token."""
 
 
 @dataclass(frozen=True, slots=True)
 class OrderOutcomeUnknown:
-    """No answer came: the order may be carried out, also later."""
+    """No answer arrived: the engine may have accepted the order, or may still do so."""
 
     reason: str
 
@@ -165,10 +170,13 @@
 
 
 class Dialect(Protocol):
-    """Translates requests, answers and engine calls."""
+    """Translates requests, answers and engine calls.
+
+    Methods with a ``head`` argument read the head of a backend server's answer.
+    """
 
     def credential(self, headers: Iterable[Header]) -> str:
-        """Return the credential that a request holds; empty if it holds none."""
+        """Return the credential in a request's headers; empty if there is none."""
 
     def decode_request(
         self,
@@ -178,7 +186,7 @@
         body: bytes,
         now_s: float,
     ) -> ClientRequest:
-        """Return a client's request.
+        """Decode a client's request that was received at ``now_s``.
 
         :raises InvalidRequestError: a header is malformed or missing.
         """
@@ -186,42 +194,46 @@
     def forward_headers(
         self, request: ClientRequest, plan: SendPlan, now_s: float
     ) -> Sequence[Header]:
-        """Return the headers that the backend server gets if it is sent now."""
+        """Return the headers to send to the backend server at ``now_s``."""
 
     def classify_answer(self, head: ResponseHead, request_id: str) -> AnswerKind:
-        """Return what an answer's head says."""
+        """Return what kind of answer to the request this is."""
 
     def unknown_headers(self, head: ResponseHead) -> Sequence[str]:
-        """Return names of the platform's own headers that the adapter doesn't know."""
+        """Return the names of platform headers that the adapter doesn't know."""
 
     def rate_limit(self, head: ResponseHead) -> RateLimitHeader:
-        """Return what an answer's head says of the rate that its server takes."""
+        """Return the rate limit that the server advertises."""
 
     def retry_after(self, head: ResponseHead) -> RetryAfterHeader:
-        """Return for how long an answer's head asks to send nothing."""
+        """Return for how long the server asks to be sent no requests."""
 
     def announces_leaving(self, head: ResponseHead) -> bool:
-        """Return whether an answer's head says that its server leaves."""
+        """Return whether the server announces that it is leaving."""
 
     def report_call(self) -> EngineCall:
-        """Return the call that asks an engine for its report."""
+        """Return the call that requests an engine's report."""
 
     def decode_report(self, body: bytes) -> EngineReport:
-        """Return an engine's report.
+        """Decode the body of an engine's report.
 
-        :raises EngineError: the body can't be read.
+        :raises EngineError: the body is invalid.
         """
 
     def decode_started_at_ms(self, body: bytes) -> int | None:
-        """Return when the server that sent a message started, if the message tells."""
+        """Return the start time of the server that sent ``body``, if it is included."""
 
     def place_call(
         self, layers: LayerRange, fencing: int, order_count: int
     ) -> EngineCall:
-        """Return the order to hold these layers."""
+        """Return the call that orders an engine to load these layers.
+
+        :param fencing: fencing token of the lease under which the order is given.
+        :param order_count: number of accepted orders in the engine's latest report.
+        """
 
     def reroute_call(self, request_id: str, chain: Chain) -> EngineCall:
-        """Return the order to go on with a running request over another chain."""
+        """Return the call that moves a running request to another chain."""
 
     def classify_order_answer(self, head: ResponseHead) -> OrderOutcome:
-        """Return what the answer to an order says."""
+        """Return the outcome of an order by the engine's answer to it."""
--- a/src/railfold/_internal/forwarding/listeners.py
+++ b/src/railfold/_internal/forwarding/listeners.py
@@ -1,9 +1,9 @@
-"""Sockets that listen before the rest of the program is imported.
+"""Opens the listening sockets before the rest of the program is imported.
 
-A daemon that was killed is away until it listens again, and importing it takes
-several times as long as opening its sockets. Clients that connect meanwhile wait
-in the kernel's queue instead of being turned away. This module imports next to
-nothing for that reason.
+After a crash, clients can't connect until the restarted process listens, and importing
+the program takes several times as long as opening its sockets. Clients that connect
+during the import wait in the kernel's accept queue instead of being refused. This
+module therefore imports as little as possible.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 
 __all__ = ["Listeners", "open_listeners"]
 
-# Connections that may wait to be accepted: about 30 clients an entry on the first
-# sites, all of which come again at once after a kill.
+# Connections that may wait to be accepted. All clients of an entry reconnect at once
+# after a crash; at the first sites these are about 30.
 _ACCEPT_BACKLOG = 1024
 
 
 @dataclass(slots=True)
 class Listeners:
-    """Listening sockets that no server accepts from yet.
+    """Listening sockets whose connections aren't accepted yet.
 
-    :param clients: where clients come.
-    :param readiness: where the balancer asks whether they may.
+    :param clients: the socket for clients.
+    :param readiness: the socket for the load balancer's readiness probes.
     """
 
     clients: socket.socket
@@ -35,9 +35,9 @@
 
 
 def open_listeners(settings: ForwardingSettings) -> Listeners:
-    """Listen on a forwarding entry's addresses.
+    """Open the listening sockets of a forwarding entry.
 
-    :raises ListenError: an address can't be listened on.
+    :raises ListenError: a socket can't listen on its address.
     """
     return Listeners(
         _listen(settings.client_address), _listen(settings.readiness_address)
--- a/src/railfold/_internal/forwarding/messages.py
+++ b/src/railfold/_internal/forwarding/messages.py
@@ -1,4 +1,4 @@
-"""HTTP messages as the forwarding entry holds them."""
+"""HTTP requests and response heads as the forwarding entry represents them."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     headers: tuple[Header, ...]
 
     def get(self, name: str, default: str = "") -> str:
-        """Return the first header of that name, whatever its case."""
+        """Return the first header of that name, ignoring case."""
         name = name.lower()
         for key, value in self.headers:
             if key.lower() == name:
@@ -28,25 +28,27 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSize:
-    """Tokens that a request to a model brings and may produce."""
+    """Number of tokens in a request's prompt, and at most in its answer."""
 
     prompt_tokens: int = 0
     answer_tokens: int = 0
 
     @property
     def total(self) -> int:
-        """All tokens that its state may grow to."""
+        """The largest number of tokens that the request's state may reach."""
         return self.prompt_tokens + self.answer_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """A whole request from a client, its headers decoded.
+    """A complete request from a client, with decoded headers.
 
     :param target: path and query as the client sent them.
-    :param headers: what is passed on; no connection headers, no credential.
-    :param deadline_s: on the loop's clock; how long the client waits.
-    :param last_event_id: the event after which a stream is to go on.
+    :param headers: the headers to pass on, without connection headers and credential.
+    :param received_s: loop time at which the request was received.
+    :param deadline_s: loop time until which the client waits, if it sent a deadline.
+    :param last_event_id: the event after which the client wants a stream to resume.
+    :param size: the number of tokens, if the request is for a model.
     """
 
     request_id: str
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -1,4 +1,4 @@
-"""A forwarding entry: engines that it sends requests to pass work on by themselves."""
+"""The process of a forwarding entry, with all its parts and their connections."""
 
 from __future__ import annotations
 
@@ -84,46 +84,50 @@
 
 _PLACEMENT_ROLE = "placement"
 
-# A read of the configuration is answered as soon as there is a newer one. That the one
-# that is known is in force is proved beside it (:class:`ProofKeeper`); with reads of
-# 1.85 s that were to prove it too, half of an entry's calls to the store were these.
+# How long one read waits for a newer configuration; it is answered as soon as there is
+# one. Separate reads prove that the known configuration is in force (see
+# :class:`ProofKeeper`). If these reads had to prove it too, they would have to end
+# after 1.85 s, and would make up half of an entry's calls to the store.
 _CONFIGURATION_READ_WAIT_S = 10.0
 
 _MAX_BACKOFF_S = 0.6
 
-# Versions that come in quick succession are read in batches: of 25 in 2 s some 8. One
-# that comes alone is read at once, and all well within the seconds that operators give
-# a change.
+# Versions in quick succession are read in batches: 25 versions within 2 s take about 8
+# reads. A single new version is read at once. Both are well within the few seconds that
+# operators allow until a change is in force.
 _CONFIGURATION_MIN_INTERVAL_S = 0.25
 
-# Clients of an installation that starts for the first time come 12 s after it.
+# How long an installation that starts for the first time counts as starting; its
+# clients connect after 12 s.
 _FIRST_START_DURATION_S = 10.0
 
 _UPKEEP_INTERVAL_S = 0.25
 
-# Of a host's memory this share may be held for clients. A body is there up to three
-# times, while it is put together and while it is written to a server.
+# The share of the process's memory that may be reserved for clients' requests and
+# answers. A body may exist three times in memory while it is assembled and while it is
+# written to a server.
 _CLIENT_MEMORY_SHARE = 0.2
 
-# The balancer needs two probes, one a second, to send new connections elsewhere.
-# After that connections without a request are closed: a stream that began later
-# could not end within the grace time.
+# How long the load balancer may still send new connections after the readiness probe
+# fails; it probes once a second and reacts to the second failure. After this time,
+# connections without a request are closed: a stream that began later couldn't end
+# within the grace time.
 _BALANCER_DRAIN_S = 2.8
 
-# The same while the entry is only unready: by then the balancer leads a client whose
-# connection is closed elsewhere.
+# The same for an entry that is unready but not stopping: after this time, the load
+# balancer sends a client whose connection is closed to another entry.
 _BALANCER_PROBE_S = 2.2
 
-# Kept from the grace time, to close what is left and end.
+# The part of the grace time reserved for closing the remaining connections and exiting.
 _EXIT_RESERVE_S = 0.4
 
 
 class ForwardingEntry:
-    """The parts of one forwarding entry, wired together.
+    """The parts of one forwarding entry and their connections.
 
-    :param source: where settings are read again, if they can change.
-    :param listeners: sockets that listen already, if there are any.
-    :param log_fd: where log lines are written.
+    :param source: the source of reloaded settings, if they can change.
+    :param listeners: sockets that already listen, if there are any.
+    :param log_fd: file descriptor that log lines are written to.
     """
 
     def __init__(
@@ -245,7 +249,7 @@
             listener=listeners.readiness if listeners else None,
         )
         self._drivers: dict[ClientExchange, RequestDriver] = {}
-        # Since when only this entry gets no proof of its configuration.
+        # Since when this entry alone lacks a proof that its configuration is in force.
         self._unproven_since_s: float | None = None
         self._registrations_read = False
         self._quarantine_read = False
@@ -314,14 +318,14 @@
         return SmallAnswer(_OK if self.ready() else _SERVICE_UNAVAILABLE)
 
     def _metrics_page(self, path: str) -> SmallAnswer:
-        # Imported when somebody looks: a daemon that starts after a kill pays
-        # only for what serves.
+        # Imported at the first request for metrics, so that a process that restarts
+        # after a crash only imports what it needs for serving clients.
         from railfold._internal.observability import prometheus
 
         return SmallAnswer(_OK, prometheus.render(self.metrics), prometheus.FORMAT)
 
     def ready(self) -> bool:
-        """Return whether new clients may come."""
+        """Return whether the load balancer may send new clients."""
         now_s = self._loop.time()
         known = self.router.table is not None
         return (
@@ -332,7 +336,7 @@
         )
 
     def _update_readiness(self, now_s: float) -> None:
-        """Lead clients elsewhere while only this entry can't check credentials."""
+        """Send clients to other entries while only this one can't check credentials."""
         unproven = self._proofs.lapses_alone(now_s)
         if unproven != (self._unproven_since_s is not None):
             self._unproven_since_s = now_s if unproven else None
@@ -350,16 +354,16 @@
 
     @property
     def recognizes_requests(self) -> bool:
-        """Whether requests that come again are recognized by their content."""
+        """Whether repeated requests are recognized by their content."""
         return self._peering.quarantine.ready
 
     def _on_settings(self, settings: ForwardingSettings) -> None:
-        """Take new bounds; addresses and the place stay until a restart."""
+        """Apply new limits; addresses, failure domain and region need a restart."""
         self._settings = self._fleet_limits.settings = settings
         self.router.lease.duration_s = settings.credential_lease_s
         self.router.predicts_chains = settings.predicts_chains
 
-    # What the store says
+    # Callbacks of the store's readers
 
     def _on_configuration(self, table: RoutingTable) -> None:
         self._clients.set_limits(table.limits)
@@ -374,13 +378,13 @@
         self._accept_clients_if_ready()
 
     def _accept_clients_if_ready(self) -> None:
-        """Accept clients once it is known where their requests may go."""
+        """Accept clients once all that is needed to route requests has been read."""
         known = self._registrations_read and self._quarantine_read
         if self.router.table is not None and known:
             self._clients.begin.set()
 
     def _on_proof_failure(self) -> None:
-        """Find out at once whether the store is lost: another read may wait on it."""
+        """End the waiting read, so that an outage of the store is detected at once."""
         self._configuration.give_up_waiting()
 
     def _on_store_lost(self, error: LogUnavailableError) -> None:
@@ -403,10 +407,11 @@
         self.router.directory.store_recovered(self._loop.time())
 
     def _on_epoch(self, epoch: int) -> None:
-        """Take the store's epoch; let go of what doesn't hold after it went back.
+        """Observe the store's epoch; discard what is invalid if the store went back.
 
-        It may lack a configuration that took credentials away, servers that live, and
-        all that entries wrote of late, until it is written again.
+        A store that goes back is restored from an older copy. Until they are written
+        again, it may lack a configuration that revoked credentials, registrations of
+        running servers, and everything that entries wrote recently.
         """
         if not self._epoch.observe(epoch):
             return
@@ -419,7 +424,7 @@
         self._registration_feed.log_went_back()
         self._peering.log_went_back()
 
-    # Clients' requests
+    # Callbacks of the client server
 
     def request(
         self,
@@ -429,7 +434,7 @@
         headers: Sequence[Header],
         body: bytes,
     ) -> None:
-        """Take a client's request."""
+        """Process a client's request."""
         now_s = self._loop.time()
         router = self.router
         request_id = ""
@@ -465,7 +470,7 @@
         self._drivers = {e: d for e, d in self._drivers.items() if d in active}
 
     def workspace_of(self, headers: Sequence[Header]) -> str:
-        """Return the workspace that a request's head names; empty if none is known."""
+        """Return the workspace of a request's credential; empty if it is unknown."""
         table = self.router.table
         if table is None or table.credentials is None:
             return ""
@@ -473,29 +478,30 @@
         return owner.workspace if owner is not None else ""
 
     def refuse_unread(self, exchange: ClientExchange) -> None:
-        """Answer a request whose body there is no memory for."""
+        """Refuse a request because there isn't enough memory for its body."""
         reserved_mb = self._memory_quota.total_bytes / 1e6
         error = MemoryShortError(
-            "there is no memory for the request's body",
-            why=f"{reserved_mb:.1f} MB are held for clients",
+            "there isn't enough memory for the request's body",
+            why=f"{reserved_mb:.1f} MB are reserved for clients",
             hint="come back after Retry-After",
         )
         self._refusals.refuse_unread(exchange, error)
 
     def client_gone(self, exchange: ClientExchange) -> None:
-        """A client closed its connection."""
+        """Stop working on a request whose client closed its connection."""
         driver = self._drivers.pop(exchange, None)
         if driver is not None:
             self.metrics.count("clients.gone")
             driver.client_gone()
 
-    # Upkeep and the end
+    # Upkeep and shutdown
 
     def _on_resumed(self, suspended_s: float) -> None:
-        """Let go of what can't be relied on after the host was suspended.
+        """Discard what is no longer valid after the host was suspended.
 
-        Leases and ages are reckoned by a clock that went on meanwhile. Connections that
-        rested for longer than their servers keep them must not be met by a request.
+        Leases and ages need no correction: their clock includes suspended time. Idle
+        connections that their servers have probably closed must not be used for
+        requests.
         """
         now_s = self._loop.time()
         self.metrics.count("process.resumed")
@@ -541,19 +547,19 @@
             return leader_pace()
         starting = now_s - self._started_s < _FIRST_START_DURATION_S
         if self._settings.first_start and starting:
-            # No client waits for the first placement yet.
+            # There are no clients yet that wait for the first placement.
             return default_pace(self._settings.drain_notice_s)
         if self.router.chain_missing():
             return missing_chain_pace()
         return default_pace(self._settings.drain_notice_s)
 
     async def drain(self) -> None:
-        """Leave the balancer, finish what is in flight, then return."""
+        """Become unready, finish the requests in flight, then return."""
         started_s = self._loop.time()
         self._draining = True
         self._clients.closes_connections = True
         self.log.write(ProcessStopping("told to stop", len(self.router.active)))
-        # The store may not answer; the rest of the stop doesn't wait for it.
+        # Runs concurrently, since the store may not answer.
         leave_task = self._loop.create_task(self._peering.leave())
         await asyncio.gather(
             self._leadership_keeper.release(), self._membership.release()
@@ -561,11 +567,13 @@
         end_s = started_s + self._settings.grace_s - _EXIT_RESERVE_S
         await asyncio.sleep(_BALANCER_DRAIN_S)
         self._clients.stop_accepting()
-        # Connections end in tornado's callbacks, requests in drivers.
+        # There is no event to wait for: connections end in tornado's callbacks,
+        # requests in their drivers.
         while self._clients.open_connections and self._loop.time() < end_s:  # noqa: ASYNC110
             await asyncio.sleep(_UPKEEP_INTERVAL_S / 5)
-        self.log.write(ProcessStopping("the process ends", len(self.router.active)))
-        # What still runs is cut visibly; waiting for it would outlast the grace.
+        self.log.write(ProcessStopping("the process exits", len(self.router.active)))
+        # Remaining requests are aborted so that their clients notice; they couldn't
+        # end within the grace time.
         for exchange, driver in list(self._drivers.items()):
             exchange.abort()
             driver.client_gone()
@@ -579,7 +587,7 @@
     source: SettingsSource,
     listeners: Listeners,
 ) -> None:
-    """Run a forwarding entry until it is told to stop."""
+    """Run a forwarding entry until it receives a signal to stop."""
     entry = ForwardingEntry(settings, adapter, source, listeners)
     entry.log.write(
         ProcessStarted(
--- a/src/railfold/_internal/forwarding/reload.py
+++ b/src/railfold/_internal/forwarding/reload.py
@@ -1,4 +1,4 @@
-"""Reading the settings again: when told to, and when their file changes."""
+"""Reloads the settings on SIGHUP and when their file changes."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 
 __all__ = ["SettingsWatcher"]
 
-# A file that changes without a signal is noticed within this time.
+# How often the file is checked for changes.
 _CHECK_INTERVAL_S = 1.0
 
 
 class SettingsWatcher:
-    """Child that reads the settings again.
+    """Child that reloads the settings.
 
-    A file with faults is refused whole: the settings before stay in force.
+    If the file has any fault, none of it is applied and the previous settings stay in
+    force.
 
-    :param on_settings: takes new settings.
+    :param on_settings: called with the new settings.
     """
 
     def __init__(
@@ -38,7 +39,7 @@
         self._reload_requested = asyncio.Event()
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Watch until cancelled."""
+        """Watch for changes until cancelled."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGHUP, self._reload_requested.set)
         ready.set()
@@ -51,6 +52,7 @@
             loop.remove_signal_handler(signal.SIGHUP)
 
     async def _wait_for_request(self) -> bool:
+        """Wait for a signal or the next check; return whether a signal arrived."""
         try:
             await asyncio.wait_for(self._reload_requested.wait(), _CHECK_INTERVAL_S)
         except TimeoutError:
--- a/src/railfold/_internal/forwarding/settings.py
+++ b/src/railfold/_internal/forwarding/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a forwarding entry, as its platform's adapter gives them."""
+"""Settings of a forwarding entry, as its platform's adapter provides them."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 __all__ = ["DEFAULT_MEMORY_BYTES", "ForwardingSettings"]
 
-# The memory that a process reckons with if its settings don't tell.
+# The memory for a process whose settings don't specify it.
 DEFAULT_MEMORY_BYTES = 256 * 1024 * 1024
 
 
@@ -16,25 +16,27 @@
 class ForwardingSettings:
     """Settings of one process.
 
-    :param clients: where clients are served.
-    :param readiness: where the balancer asks whether it may send clients.
-    :param metrics: where metrics are served, if they are.
-    :param credential_lease_s: how long credentials may be used after the store
-        was last known to allow them.
-    :param grace_s: time between the order to stop and the kill.
-    :param drain_notice_s: how long after a backend server has registered that it
-        leaves new work may still reach it.
-    :param retry_share: retries as a share of first sends that all entries
-        together may make.
-    :param retry_slack: retries beyond that share that all entries together may
-        make in any ``retry_window_s``, to each service.
-    :param memory_bytes: of the host, for this process.
-    :param predicts_chains: whether chains over engines of unlike speeds are chosen by
-        what a request is predicted to get there, instead of by their cost.
+    :param name: name of the entry.
+    :param client_address: the address that serves clients.
+    :param readiness_address: the address for the load balancer's readiness probes.
+    :param metrics_address: the address that serves metrics, if they are served.
+    :param credential_lease_s: how long credentials may be used after the last proof
+        that the store's configuration allows them.
+    :param grace_s: time between the signal to stop and the kill.
+    :param drain_notice_s: how long a backend server that has registered as leaving may
+        still be sent new requests.
+    :param retry_share: limit of the retries of all entries together, as a share of
+        first attempts.
+    :param retry_slack: number of retries beyond that share that all entries together
+        may make in any ``retry_window_s``, for each service.
     :param first_start: whether the whole installation starts for the first time.
-    :param peers: where other entries' messages are taken, if they are.
-    :param peer_key: makes the codes by which entries know each other's messages; if
-        none is given, the first entry makes one and leaves it in the store.
+    :param peer_address: the address that receives other entries' messages, if this
+        entry exchanges messages.
+    :param peer_key: shared key that authenticates messages between entries; if it is
+        None, the first entry creates one and writes it to the store.
+    :param memory_bytes: the part of the host's memory for this process.
+    :param predicts_chains: whether chains over engines of different speeds are chosen
+        by the performance predicted for a request, rather than by their cost.
     """
 
     name: str
--- a/src/railfold/_internal/forwarding/settings_source.py
+++ b/src/railfold/_internal/forwarding/settings_source.py
@@ -1,4 +1,4 @@
-"""A settings file that may change while the process runs."""
+"""Access to a settings file that may change while the process runs."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class SettingsSource:
-    """A settings file and how to read it.
+    """A settings file and the function that loads it.
 
-    Made before the file is first read: ``loaded_stamp`` is the file's stamp right
-    before it was last read.
+    ``loaded_stamp`` is the file's stamp from immediately before it was last loaded. An
+    instance must be created before the file is loaded for the first time.
     """
 
     def __init__(self, path: Path, load: Callable[[Path], ForwardingSettings]) -> None:
@@ -23,7 +23,7 @@
         self.loaded_stamp = self.stamp()
 
     def stamp(self) -> tuple[int, int]:
-        """Return what changes with the file; zeros if it can't be looked at."""
+        """Return the file's modification time in ns and size in bytes, or zeros."""
         try:
             status = self._path.stat()
         except OSError:
@@ -31,10 +31,10 @@
         return (status.st_mtime_ns, status.st_size)
 
     def load(self) -> ForwardingSettings:
-        """Return the settings as they are now.
+        """Load the current settings.
 
         :raises SettingsError: the file has faults.
         """
-        # Before the file is read, so that a change meanwhile is seen later.
+        # Taken before the file is read, so that a change during the read is noticed.
         self.loaded_stamp = self.stamp()
         return self._load(self._path)
--- a/src/railfold/_internal/forwarding/store/__init__.py
+++ b/src/railfold/_internal/forwarding/store/__init__.py
@@ -1,1 +1,1 @@
-"""What the platform's store holds: read, leased and written."""
+"""Access to the platform's store: streams, leases and records shared by entries."""
--- a/src/railfold/_internal/forwarding/store/feeds.py
+++ b/src/railfold/_internal/forwarding/store/feeds.py
@@ -1,4 +1,4 @@
-"""Taking what the store says into what an entry knows."""
+"""Readers of the store's streams, which update the state of an entry."""
 
 from __future__ import annotations
 
@@ -33,20 +33,20 @@
 
 __all__ = ["ConfigurationFeed", "QuarantineFeed", "RegistrationFeed"]
 
-# Records that name no backend server are remembered up to this many, so that a flood
-# of them takes little memory and few log lines.
+# Limits how many ids of refused registrations are remembered, so that many such records
+# take little memory and few log lines.
 _MAX_REFUSED_IDS = 1000
 
-# Of an id that somebody else wrote, so much stands in the logs.
+# Ids in records are written by others and may be long; this many characters are logged.
 _MAX_LOGGED_ID_LENGTH = 128
 
-# A registration that nobody renews has lapsed by then: after three heartbeats, and at
-# most about two seconds more after the store was away.
+# A registration that isn't renewed lapses within this time: after three heartbeats, and
+# up to about two seconds later after an outage of the store.
 _REGISTRATION_LAPSE_S = 6.0
 
 
 class ConfigurationFeed:
-    """Reads the configuration: the newest version wins, and none goes back."""
+    """Reads the configuration and applies each version that is newer than the last."""
 
     def __init__(
         self,
@@ -60,9 +60,9 @@
         self._decode = decode
         self._on_accepted = on_accepted
         self._next_offset = NEWEST_OF_EACH_KEY
-        # The newest version that was read since the stream was read anew.
+        # The newest version read since the stream was last read from its start.
         self._read_version = 0
-        # The newest that another entry has read.
+        # The newest version that another entry is known to have read.
         self.newest_peer_version = 0
 
     def next_offset(self) -> int:
@@ -70,7 +70,7 @@
         return self._next_offset
 
     def record(self, record: LogRecord) -> None:
-        """Take one record."""
+        """Process one record."""
         self._next_offset = record.offset + 1
         item: KeyedValue = record.body
         if item.key != self._key or not item.value:
@@ -104,10 +104,11 @@
         self._on_accepted(table)
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
-        """All that was in force when the read was sent is known.
+        """Renew the proof that the known configuration is in force.
 
-        Unless the log went back, and holds an older configuration than is known: what
-        else it lacks isn't known either.
+        It was in force when the read was sent. If the log went back and contains an
+        older configuration than the known one, the read proves nothing, since other
+        changes may be missing too.
         """
         self._next_offset = next_offset
         if not self.lacks_newest:
@@ -115,28 +116,31 @@
 
     @property
     def lacks_newest(self) -> bool:
-        """Whether this or another entry knows a newer configuration than was read."""
+        """Whether a newer version than the last one read is known here or elsewhere."""
         table = self._router.table
         known = table.version if table is not None else 0
         return self._read_version < max(known, self.newest_peer_version)
 
     @property
     def peer_has_newer(self) -> bool:
-        """Whether another entry knows a newer configuration."""
+        """Whether another entry knows a newer version than this one."""
         table = self._router.table
         return table is None or table.version < self.newest_peer_version
 
     def expired(self, first_offset: int) -> int:
-        """History is gone: take the newest record of each key."""
+        """Read the newest record of each key, since earlier records have expired."""
         self._next_offset = NEWEST_OF_EACH_KEY
         self._read_version = 0
         return NEWEST_OF_EACH_KEY
 
 
 class RegistrationFeed:
-    """Reads the backend servers' registrations.
+    """Reads the backend servers' registrations into the directory.
 
-    :param on_copy: called when a whole copy of them has been taken.
+    It first reads a snapshot, which is the newest record of each key, and then the
+    records that follow it. It reads another snapshot when it has missed records.
+
+    :param on_snapshot: called when a snapshot has been applied.
     """
 
     def __init__(
@@ -150,11 +154,11 @@
         self._on_snapshot = on_snapshot
         self._next_offset = NEWEST_OF_EACH_KEY
         self._snapshot: dict[str, Registration] | None = {}
-        # Registered ids whose newest record names no backend server to use.
+        # Registered ids whose newest record describes no usable backend server.
         self._refused_ids: set[str] = set()
-        # Whether the next whole copy is of before what was known last.
+        # Whether the next snapshot may be older than the known registrations.
         self._store_went_back = False
-        # What such a copy holds of servers that were seen to leave.
+        # Registrations in such a snapshot whose servers had left before.
         self._departed: dict[str, Registration] = {}
         self._departed_due_s = 0.0
 
@@ -163,7 +167,7 @@
         return self._next_offset
 
     def record(self, record: LogRecord) -> None:
-        """Take one record."""
+        """Process one record."""
         self._next_offset = record.offset + 1
         item: KeyedValue = record.body
         self._departed.pop(item.key, None)
@@ -183,7 +187,7 @@
             self._register(registration)
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
-        """All registrations there are have been given."""
+        """Apply the snapshot, if one was read."""
         self._next_offset = next_offset
         now_s = asyncio.get_running_loop().time()
         if self._snapshot is None:
@@ -204,23 +208,27 @@
         self._on_snapshot()
 
     def expired(self, first_offset: int) -> int:
-        """History is gone: take a whole copy."""
+        """Read a snapshot, since earlier records have expired."""
         self._next_offset = NEWEST_OF_EACH_KEY
         self._snapshot = {}
         self._refused_ids = set()
         return NEWEST_OF_EACH_KEY
 
     def log_went_back(self) -> None:
-        """The log came back from an older copy; the next whole copy is of that."""
+        """Expect the next snapshot to be older than the known registrations.
+
+        The log went back: it was restored from an older copy.
+        """
         self._store_went_back = True
 
     def _exclude_departed(
         self, snapshot: dict[str, Registration], now_s: float
     ) -> None:
-        """Pass over servers of an older copy that were seen to leave since.
+        """Exclude servers from an older snapshot that have left since.
 
-        One that does live is taken once it is written again, or if its registration
-        hasn't lapsed by the time at which that of a dead one has.
+        A server that is still running is registered once its registration is written
+        again, or if the registration hasn't lapsed by the time at which the one of a
+        stopped server would have.
         """
         self._store_went_back = False
         directory = self._router.directory
@@ -235,6 +243,7 @@
                 )
 
     def _register_departed(self, now_s: float) -> None:
+        """Register excluded servers whose registrations should have lapsed by now."""
         if not self._departed or now_s < self._departed_due_s:
             return
         departed, self._departed = self._departed, {}
@@ -243,10 +252,10 @@
                 self._register(registration)
 
     def _refuse_registration(self, registered_id: str, error: RailfoldError) -> None:
-        """Take a record that names no backend server to use.
+        """Withdraw the server of a record that describes no usable backend server.
 
-        The same holds in a whole copy and behind it, so that entries that read it at
-        different times agree.
+        The result is the same whether the record is part of a snapshot or follows it,
+        so that entries that read it at different times agree.
         """
         self._router.metrics.count("registrations.refused")
         if self._snapshot is not None:
@@ -257,7 +266,7 @@
             registered_id in self._refused_ids
             or len(self._refused_ids) >= _MAX_REFUSED_IDS
         ):
-            return  # One line a change: whoever writes such records may write many.
+            return  # Log once per change; there may be many such records.
         self._refused_ids.add(registered_id)
         self._router.log.write(
             EngineChanged(
@@ -307,10 +316,10 @@
 
 
 class QuarantineFeed:
-    """Reads what entries recorded of requests that are held back.
+    """Reads entries' records about request contents that are held back.
 
-    :param on_key: takes the key that all entries share.
-    :param on_known: called when all records were read once.
+    :param on_peer_key: called with the key that all entries share.
+    :param on_loaded: called once, when all records have been read.
     """
 
     def __init__(
@@ -331,16 +340,14 @@
         return self._next_offset
 
     def record(self, record: LogRecord) -> None:
-        """Take one record."""
+        """Process one record."""
         self._next_offset = record.offset + 1
         item: KeyedValue = record.body
         try:
             self._apply(item)
         except PeerMessageError as error:
             name = item.key[:_MAX_LOGGED_ID_LENGTH]
-            logging.warning(
-                "record %r of the quarantine is passed over: %s", name, error
-            )
+            logging.warning("ignoring quarantine record %r: %s", name, error)
 
     def _apply(self, item: KeyedValue) -> None:
         if item.key == PEER_KEY_RECORD:
@@ -352,7 +359,7 @@
             self._quarantine.record_removed(item.key)
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
-        """All that was recorded when the read was sent is known."""
+        """Report that all records were read, and whether the shared key is missing."""
         self._next_offset = next_offset
         if not self._has_peer_key:
             self._quarantine.key_missing(next_offset)
@@ -361,7 +368,7 @@
             self._on_loaded()
 
     def expired(self, first_offset: int) -> int:
-        """History is gone: take the newest record of each key."""
+        """Read the newest record of each key, since earlier records have expired."""
         self._next_offset = NEWEST_OF_EACH_KEY
         self._has_peer_key = False
         return NEWEST_OF_EACH_KEY
--- a/src/railfold/_internal/forwarding/store/leadership.py
+++ b/src/railfold/_internal/forwarding/store/leadership.py
@@ -1,4 +1,4 @@
-"""Holding the lease of the duty to place layers."""
+"""Keeps the lease for placing layers, and the membership in the group of entries."""
 
 from __future__ import annotations
 
@@ -24,53 +24,57 @@
     "MembershipKeeper",
 ]
 
-# How long an entry that is lost counts as one; three renewals fit in.
+# How long the store counts an entry as a member after its last renewal: at least
+# three renewal intervals.
 MEMBER_LEASE_S = 2.4
 
-# How long a dead holder keeps its successor waiting; three renewals fit in.
+# How long a successor waits for the lease of a holder that crashed: at least three
+# renewal intervals.
 LEASE_S = 1.0
 
 _MEMBER_RENEWAL_INTERVAL_S = 0.75
 _RENEWAL_INTERVAL_S = 0.25
-# A successor finds the lease free by its next renewal.
+# How often a candidate without the lease requests it, and so learns whether it is free.
 _STANDBY_INTERVAL_S = 0.4
 _RETRY_DELAY_S = 0.1
 _MEMBER_RETRY_DELAY_S = 0.3
 _CONFIRMATION_DELAY_S = 0.03
 
-# The store answers within 0.24 s in its slow times.
+# The store answers within 0.24 s when it is slow.
 _CALL_TIMEOUT_S = 0.35
 
-# A holder stops after so many failed renewals in a row, or if none that succeeded was
-# sent within this share of the lease: a successor can then begin before the lease ends.
+# A holder stops after this many failed renewals in a row, or when its last successful
+# renewal was sent longer ago than this share of the lease. A successor can then start
+# before the lease expires.
 _MAX_FAILED_RENEWALS = 2
 _MAX_RENEWAL_AGE_SHARE = 0.5
 
-# Members that stopped, and whose memberships are to be ended; others lapse.
+# Limits how many stopped holders' memberships are ended; others expire.
 _MAX_STOPPED_MEMBERS = 16
 
 
 class LeaseClient(Protocol):
-    """Grants the lease of the duty to one process at a time."""
+    """Grants a lease to one process at a time."""
 
     async def renew(self, holder: str, duration_s: float) -> LeaseGrant:
-        """Ask for the lease, or keep it.
+        """Request the lease, or renew it if ``holder`` holds it.
 
-        :raises LogUnavailableError: no answer came.
+        :raises LogUnavailableError: no answer arrived.
         """
 
     async def release(self, holder: str) -> None:
-        """Give the lease back.
+        """Release the lease.
 
-        :raises LogUnavailableError: no answer came.
+        :raises LogUnavailableError: no answer arrived.
         """
 
 
 class MembershipKeeper:
-    """Child that keeps this process a member of the group of all.
+    """Child that renews this entry's membership in the group of all entries.
 
-    :param on_renewed: takes each answer, and when the renewal was sent.
-    :param on_epoch: takes the epoch of the store's log that an answer tells.
+    :param on_renewed: called with each answer and the time at which its renewal was
+        sent.
+    :param on_epoch: called with the epoch of the store's log in each answer.
     """
 
     def __init__(
@@ -90,7 +94,7 @@
         self._released = False
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Renew until cancelled."""
+        """Renew the membership until cancelled."""
         ready.set()
         while True:
             delay_s = (
@@ -103,35 +107,39 @@
         try:
             grant = await self._client.renew(self._name, MEMBER_LEASE_S)
         except LogUnavailableError:
-            # The follower of the configuration tells of the store's outages.
+            # Not logged: the follower of the configuration logs outages of the store.
             self._metrics.count("members.renewals_failed")
             return _MEMBER_RETRY_DELAY_S
         self._on_epoch(grant.epoch)
         self._on_renewed(grant, sent_s)
         is_new = grant.fencing != self._newest_fencing
         self._newest_fencing = grant.fencing
-        # A partition passes on once its former holder has named the new deal.
+        # A partition moves to its new member only after its former member has renewed
+        # with the new generation, so the next renewal follows soon.
         return _CONFIRMATION_DELAY_S if is_new else _MEMBER_RENEWAL_INTERVAL_S
 
     async def release(self) -> None:
-        """Leave, so that the others needn't wait for this one's lapse."""
+        """End the membership, so that the others needn't wait until it expires."""
         self._released = True
         try:
             await self._client.release(self._name)
         except LogUnavailableError:
-            self._metrics.count("members.release_failed")  # It lapses by itself.
+            self._metrics.count("members.release_failed")  # The membership expires.
 
 
 class LeadershipKeeper:
-    """Child that asks for the lease while this process is a candidate, and renews it.
-
-    A holder that can't renew stops at once, tells the others the member id under which
-    it held the lease, and asks again under another one. So whoever ends the membership
-    of that id, also late, ends one that isn't used any more.
-
-    :param on_epoch: takes the epoch of the store's log that an answer tells.
-    :param candidacy: none for a process that always asks.
-    :param on_stopped: called with the member id of a holder that stopped.
+    """Child that requests the lease while this process is a candidate, and renews it.
+
+    A holder that can't renew the lease stops leading at once, reports the member id
+    under which it held the lease to the other entries, and requests the lease again
+    under a new id. The others end the membership of the reported id; they can't end a
+    current one by mistake, however late they do so.
+
+    :param holder: name of this process.
+    :param on_epoch: called with the epoch of the store's log in each answer.
+    :param candidacy: None for a process that is always a candidate.
+    :param on_stopped: called with the member id under which this process has stopped
+        leading.
     """
 
     def __init__(
@@ -163,11 +171,11 @@
         self._wake = asyncio.Event()
 
     def _new_member_id(self) -> str:
-        # The process may have run before under the same name.
+        # The random part distinguishes earlier processes with the same name.
         return f"{self._holder}#{secrets.token_hex(4)}.{next(self._member_numbers)}"
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Renew until cancelled."""
+        """Request and renew the lease until cancelled."""
         ready.set()
         while True:
             delay_s = _RENEWAL_INTERVAL_S
@@ -202,7 +210,7 @@
             self._stop_if_lapsing(str(error) or f"no answer within {_CALL_TIMEOUT_S} s")
             return _RETRY_DELAY_S
         if self._released or member_id != self._member_id:
-            return _STANDBY_INTERVAL_S  # What it grants was given back meanwhile.
+            return _STANDBY_INTERVAL_S  # The granted lease was released meanwhile.
         self._failed_renewals = 0
         self._renewed_s = sent_s
         self._on_epoch(grant.epoch)
@@ -211,13 +219,14 @@
             self._log.write(
                 LeadershipChanged(grant.holding, grant.fencing, "the store's answer")
             )
-        # A former holder gives the lease up by naming the new term: until all
-        # have, nobody holds it.
+        # Members confirm a new generation by their next renewal. Nobody holds the lease
+        # until the former holder has confirmed it, so the next renewal follows soon.
         if is_new:
             return _CONFIRMATION_DELAY_S
         return _RENEWAL_INTERVAL_S if grant.holding else _STANDBY_INTERVAL_S
 
     def _stop_if_lapsing(self, cause: str) -> None:
+        """Stop leading if renewals have failed for too long."""
         now_s = asyncio.get_running_loop().time()
         fencing = self._leadership.fencing(now_s)
         if fencing is None:
@@ -236,7 +245,7 @@
         self._on_stopped(stopped_id)
 
     def holder_stopped(self, member_id: str) -> None:
-        """Another process led under this member id, and doesn't any more."""
+        """End the membership of another process, which stopped leading."""
         if member_id == self._member_id:
             return
         self._record_stopped(member_id)
@@ -247,24 +256,24 @@
             self._stopped_members[member_id] = asyncio.get_running_loop().time()
 
     async def _end_stopped_memberships(self) -> None:
-        """End memberships of holders that stopped; the lease passes on by that."""
+        """End the memberships of stopped holders, so that the lease becomes free."""
         loop = asyncio.get_running_loop()
         for member_id, stopped_s in list(self._stopped_members.items()):
             has_lapsed = loop.time() - stopped_s >= self._leadership.duration_s
             if not has_lapsed and not await self._end_membership(member_id):
-                return  # The store doesn't answer; it is asked again.
+                return  # The store doesn't answer; retried in the next step.
             self._stopped_members.pop(member_id, None)
 
     async def _end_membership(self, member_id: str) -> bool:
         try:
             await answer_within(self._client.release(member_id), _CALL_TIMEOUT_S)
         except (LogUnavailableError, TimeoutError):
-            self._metrics.count("lease.release_failed")  # It lapses by itself.
+            self._metrics.count("lease.release_failed")  # The lease expires.
             return False
         return True
 
     async def _stand_down(self) -> None:
-        """Stop to ask; another candidate took this one's place."""
+        """Stop requesting the lease, and release it if this process holds it."""
         self._joined = False
         former_id, self._member_id = self._member_id, self._new_member_id()
         newest = self._leadership.newest_fencing
@@ -272,7 +281,7 @@
         await self._end_membership(former_id)
 
     async def release(self) -> None:
-        """Give the lease back, so that a successor needn't wait."""
+        """Release the lease, so that a successor needn't wait until it expires."""
         self._released = True
         if self._joined:
             await self._stand_down()
--- a/src/railfold/_internal/forwarding/store/registration_pace.py
+++ b/src/railfold/_internal/forwarding/store/registration_pace.py
@@ -8,15 +8,15 @@
 
 _MAX_BACKOFF_S = 0.6
 
-# Engines renew their registrations all the time, and each read costs: they are
-# read in batches, as rarely as still tells of a leaving engine well within the time
-# that it serves on. This part of that time leaves the rest for a read that fails and
-# the next one.
+# Engines renew their registrations continually, and each read has a cost. Registrations
+# are therefore read in batches, just often enough that a leaving engine is noticed
+# while it still serves requests. The interval is this share of that time; the rest is
+# for a failed read and its repetition.
 _DEFAULT_INTERVAL_SHARE = 0.7
 
 
 def missing_chain_pace() -> FollowerPace:
-    """Return the pace while a chain is missing: what is loaded is waited for."""
+    """Return the pace while a chain is missing and engines are loading its layers."""
     return FollowerPace(1.4, min_interval_s=0.8, max_backoff_s=_MAX_BACKOFF_S)
 
 
@@ -26,10 +26,10 @@
 
 
 def default_pace(drain_notice_s: float) -> FollowerPace:
-    """Return the pace while nothing is waited for.
+    """Return the pace while no particular registration is awaited.
 
-    :param drain_notice_s: how long after a backend server has registered that it
-        leaves new work may still reach it.
+    :param drain_notice_s: how long a backend server that has registered as leaving may
+        still be sent new requests.
     """
     interval_s = _DEFAULT_INTERVAL_SHARE * drain_notice_s
     return FollowerPace(interval_s, interval_s, _MAX_BACKOFF_S)
--- a/src/railfold/_internal/forwarding/store/shared_records.py
+++ b/src/railfold/_internal/forwarding/store/shared_records.py
@@ -1,6 +1,6 @@
-"""What entries leave in the store for each other and for those that start later.
+"""Records that entries write to the store for each other and for later entries.
 
-Records are JSON. One that can't be read is passed over by all entries alike.
+Records are JSON. All entries ignore a record that can't be decoded.
 """
 
 from __future__ import annotations
@@ -29,10 +29,11 @@
     "encode_peer_key",
 ]
 
-# The key of the record that holds the entries' common secret; digests can't be alike.
+# The key of the record that contains the entries' shared key. The digests that are the
+# keys of the other records can't be equal to it.
 PEER_KEY_RECORD = "key"
 
-# As long as the keys that are made from it.
+# The length of the keys that are derived from the shared key.
 _MIN_KEY_BYTES = 16
 
 _Name = Annotated[str, Meta(min_length=1, max_length=128)]
@@ -43,7 +44,7 @@
 
 
 class RecordedCrash(msgspec.Struct, frozen=True):
-    """A backend server that ended while a request had just begun there."""
+    """The crash of a backend server shortly after a request was sent to it."""
 
     server_id: _Name
     began_unix_ms: _UnixMs
@@ -53,10 +54,11 @@
 
 
 class HoldRecord(msgspec.Struct, frozen=True):
-    """A content that is held back; the record's key is its digest.
+    """A request content that is held back; the record's key is its digest.
 
-    ``holds`` is how often it was in a row. Nothing of a request is in it but where it
-    was sent and by whom.
+    The record contains nothing of a request except its destination and its sender.
+
+    :param holds: how often the content was held back in a row.
     """
 
     service: _Name
@@ -67,11 +69,11 @@
     crashes: Annotated[list[RecordedCrash], Meta(max_length=64)]
 
     def content(self, digest: str) -> RequestContent:
-        """Return what the record is about."""
+        """Return the request content that has this digest."""
         return RequestContent(digest, self.service, self.route, self.workspace)
 
     def crashes_on_clock(self, clock_offset_s: float) -> list[Crash]:
-        """Return the crashes on a clock that is behind the time of day by so much."""
+        """Return the crashes by a clock that is ``clock_offset_s`` behind Unix time."""
         return [
             Crash(
                 crash.server_id,
@@ -85,15 +87,15 @@
 
 
 class _PeerKeyRecord(msgspec.Struct, frozen=True):
-    """The entries' common secret, in base64."""
+    """The entries' shared key, in base64."""
 
     key: str
 
 
 class _EntryRecord(msgspec.Struct, frozen=True):
-    """Where an entry takes messages; the record's key is its name.
+    """The address that receives an entry's messages; the record's key is its name.
 
-    ``written_at_unix_ms`` tells those of entries that are gone for good.
+    ``written_at_unix_ms`` shows which records belong to entries that no longer run.
     """
 
     address: _Name
@@ -103,39 +105,41 @@
 
 
 def encode_hold(record: HoldRecord) -> bytes:
-    """Return a record's value."""
+    """Encode the record of a content that is held back."""
     return msgspec.json.encode(record)
 
 
 def decode_hold(value: bytes) -> HoldRecord:
-    """Return a record.
+    """Decode the record of a content that is held back.
 
-    :raises PeerMessageError: it can't be read.
+    :raises PeerMessageError: the record is invalid.
     """
     return _decode(value, HoldRecord)
 
 
 def encode_peer_key(key: bytes) -> bytes:
-    """Return the value of the record that holds the secret."""
+    """Encode the record of the entries' shared key."""
     return msgspec.json.encode(_PeerKeyRecord(base64.b64encode(key).decode()))
 
 
 def decode_peer_key(value: bytes) -> bytes:
-    """Return the entries' common secret.
+    """Decode the record of the entries' shared key.
 
-    :raises PeerMessageError: it can't be read, or is too short to be one.
+    :raises PeerMessageError: the record is invalid or the key is too short.
     """
     try:
         key = base64.b64decode(_decode(value, _PeerKeyRecord).key, validate=True)
     except binascii.Error as error:
-        raise PeerMessageError("the key isn't base64", why=str(error)) from error
+        raise PeerMessageError(
+            "the shared key isn't valid base64", why=str(error)
+        ) from error
     if len(key) < _MIN_KEY_BYTES:
-        raise PeerMessageError("the key is too short", why=f"{len(key)} bytes")
+        raise PeerMessageError("the shared key is too short", why=f"{len(key)} bytes")
     return key
 
 
 def encode_entry(peer: Peer, now_unix_s: float) -> bytes:
-    """Return the value of an entry's record."""
+    """Encode the record of an entry's address, written at ``now_unix_s``."""
     written_at_ms = int(now_unix_s * 1000)
     entry = _EntryRecord(
         str(peer.address), peer.started_at_ms, written_at_ms, peer.failure_domain
@@ -144,9 +148,10 @@
 
 
 def decode_entry(name: str, value: bytes, not_before_unix_s: float) -> Peer | None:
-    """Return an entry; nothing if its record is older than that.
+    """Decode the record of an entry's address.
 
-    :raises PeerMessageError: it can't be read.
+    :return: the entry; None if its record was written before ``not_before_unix_s``.
+    :raises PeerMessageError: the record is invalid.
     """
     entry = _decode(value, _EntryRecord)
     if entry.written_at_unix_ms < not_before_unix_s * 1000:
@@ -155,11 +160,13 @@
         address = parse_address(entry.address)
         return Peer(name, address, entry.started_at_ms, entry.failure_domain)
     except ValueError as error:
-        raise PeerMessageError("an entry's address is wrong", why=str(error)) from error
+        raise PeerMessageError(
+            "an entry's address is invalid", why=str(error)
+        ) from error
 
 
 def _decode(value: bytes, record_type: type[T]) -> T:
     try:
         return msgspec.json.decode(value, type=record_type)
     except msgspec.DecodeError as error:
-        raise PeerMessageError("a record can't be read", why=str(error)) from error
+        raise PeerMessageError("a record can't be decoded", why=str(error)) from error
--- a/tests/forwarding/test_incarnations.py
+++ b/tests/forwarding/test_incarnations.py
@@ -1,8 +1,9 @@
-"""A backend server that starts again under its id is another one.
+"""A backend server that restarts under the same id is another incarnation.
 
-Its successor answers at the same address under the same id, and knows nothing of the
-work before. Entries went by the id alone: a probe that the successor answered was a
-sign of life of the dead one, whose streams then waited until their clients left.
+The new incarnation answers at the same address under the same id, but has none of the
+requests of the old one. These tests guard against entries that identify servers by id
+alone: they mistook the new incarnation's answer to a probe for one of the old, whose
+streams then waited until their clients gave up.
 """
 
 from __future__ import annotations
@@ -31,8 +32,10 @@
 
 
 @pytest.fixture
-async def dated(deployment: Deployment) -> AsyncIterator[Deployment]:
-    """A deployment whose backend servers tell when they started."""
+async def deployment_with_start_times(
+    deployment: Deployment,
+) -> AsyncIterator[Deployment]:
+    """A deployment whose backend servers register their start times."""
     for server in (*deployment.engines, *deployment.plain):
         server.born = FIRST_START
         server.register()
@@ -46,10 +49,10 @@
     return entry
 
 
-async def test_a_stream_goes_on_elsewhere_when_its_engine_starts_again(
-    dated: Deployment,
+async def test_a_stream_moves_to_another_chain_when_its_engine_restarts(
+    deployment_with_start_times: Deployment,
 ) -> None:
-    connection, engine = await begin_stream(dated)
+    connection, engine = await begin_stream(deployment_with_start_times)
     await engine.restart(SECOND_START)
     reply = await rest_of(connection)
     assert reply.body == events_of(60)
@@ -57,82 +60,90 @@
 
 
 @pytest.mark.parametrize("kind", ["engines", "plain"])
-async def test_an_answer_of_its_successor_is_no_sign_of_life(
-    dated: Deployment, kind: str
+async def test_an_answer_of_a_new_incarnation_does_not_clear_suspicion_of_the_old_one(
+    deployment_with_start_times: Deployment, kind: str
 ) -> None:
-    """Neither an engine's report nor a plain service's health answer."""
-    server: Engine = getattr(dated, kind)[0]
-    server.born = SECOND_START  # Its registration isn't read yet.
-    before = entry_of(dated, server)
-    dated.entry._prober.doubt(before.server_id)
+    """Covers the report of an engine and the health check of a plain service."""
+    server: Engine = getattr(deployment_with_start_times, kind)[0]
+    server.born = SECOND_START  # Not registered yet.
+    before = entry_of(deployment_with_start_times, server)
+    deployment_with_start_times.entry._prober.doubt(before.server_id)
     await until(lambda: before.suspect_since_s is not None)
 
 
-async def test_a_successor_is_used_whatever_was_known_of_the_one_before(
-    dated: Deployment,
+async def test_a_new_incarnation_does_not_inherit_suspicion_and_slowness(
+    deployment_with_start_times: Deployment,
 ) -> None:
-    engine = dated.engines[0]
-    before = entry_of(dated, engine)
+    engine = deployment_with_start_times.engines[0]
+    before = entry_of(deployment_with_start_times, engine)
     before.slowness = 9.0
-    dated.entry.router.directory.mark_suspect(before.server_id, 0.0)
+    deployment_with_start_times.entry.router.directory.mark_suspect(
+        before.server_id, 0.0
+    )
     engine.born = SECOND_START
     engine.register()
-    await until(dated.all_known)
-    after = entry_of(dated, engine)
+    await until(deployment_with_start_times.all_known)
+    after = entry_of(deployment_with_start_times, engine)
     assert after.routable
     assert after.slowness == 1.0
-    assert dated.entry.metrics.counters["servers.replaced"] == 1
+    assert deployment_with_start_times.entry.metrics.counters["servers.replaced"] == 1
 
 
-async def test_an_unrepeatable_request_is_told_at_once_that_its_server_is_gone(
-    dated: Deployment,
+async def test_an_unrepeatable_request_fails_soon_when_its_server_is_replaced(
+    deployment_with_start_times: Deployment,
 ) -> None:
-    for server in dated.plain:
+    for server in deployment_with_start_times.plain:
         server.event_s = 3.0
-    asked = asyncio.create_task(dated.ask("/slip/1", "r-1"))
-    await until(lambda: runs(dated, "r-1") == 1)
-    (server,) = [s for s in dated.plain if s.runs["r-1"]]
+    request_task = asyncio.create_task(
+        deployment_with_start_times.ask("/slip/1", "r-1")
+    )
+    await until(lambda: runs(deployment_with_start_times, "r-1") == 1)
+    (server,) = [s for s in deployment_with_start_times.plain if s.runs["r-1"]]
     started_s = asyncio.get_running_loop().time()
-    # A host that lost power says nothing: the connection stays silent.
+    # As after a power failure of the host, the old connection isn't closed.
     server.born = SECOND_START
     server.register()
-    reply = await asked
-    # The next read of the registrations tells; the answer would have taken 3 s.
+    reply = await request_task
+    # The next read of the registrations reveals it; the answer would have taken 3 s.
     assert asyncio.get_running_loop().time() - started_s < 2.5
     assert reply.status == 502
     assert "Retry-After" not in reply.headers
-    assert runs(dated, "r-1") == 1
+    assert runs(deployment_with_start_times, "r-1") == 1
 
 
-async def test_a_successors_pace_isnt_that_of_the_one_before(dated: Deployment) -> None:
-    engine = dated.engines[0]
-    entry = entry_of(dated, engine)
+async def test_the_slowness_of_a_new_incarnation_is_not_recorded_for_the_old_one(
+    deployment_with_start_times: Deployment,
+) -> None:
+    engine = deployment_with_start_times.engines[0]
+    entry = entry_of(deployment_with_start_times, engine)
     engine.born, engine.pace = SECOND_START, 8.0
-    await dated.entry._prober.calls.ask_slowness(entry)
+    await deployment_with_start_times.entry._prober.calls.ask_slowness(entry)
     assert entry.slowness == 1.0
 
 
-async def test_an_order_for_the_one_before_isnt_given_to_its_successor(
-    dated: Deployment,
+async def test_an_order_for_an_old_incarnation_is_not_sent_to_the_new_one(
+    deployment_with_start_times: Deployment,
 ) -> None:
-    engine = dated.engines[0]
-    entry = entry_of(dated, engine)
+    engine = deployment_with_start_times.engines[0]
+    entry = entry_of(deployment_with_start_times, engine)
     engine.born = SECOND_START
     order = LoadOrder("inspect", "", LayerRange(0, 3), fencing=1)
-    outcome = await dated.entry._placement._orders._send(entry, order)
+    outcome = await deployment_with_start_times.entry._placement._orders._send(
+        entry, order
+    )
     assert outcome == OrderOutcomeUnknown("the engine has started again")
     assert not engine.given
 
 
-async def test_one_that_left_the_list_and_started_again_doesnt_serve_on(
-    dated: Deployment,
+async def test_a_restarted_engine_without_registration_no_longer_serves_its_streams(
+    deployment_with_start_times: Deployment,
 ) -> None:
-    engine = dated.engines[0]
-    stage = entry_of(dated, engine).stage(LayerRange(0, 3))
+    engine = deployment_with_start_times.engines[0]
+    stage = entry_of(deployment_with_start_times, engine).stage(LayerRange(0, 3))
     engine.deregister()
-    directory = dated.entry.router.directory
+    directory = deployment_with_start_times.entry.router.directory
     await until(lambda: directory.get_by_registered_id(engine.server_id) is None)
-    prober = dated.entry._prober
+    prober = deployment_with_start_times.entry._prober
     assert await prober.calls.serves_on(stage, 0.5)
     engine.born = SECOND_START
     assert not await prober.calls.serves_on(stage, 0.5)
--- a/tests/forwarding/test_slow_store_link.py
+++ b/tests/forwarding/test_slow_store_link.py
@@ -1,4 +1,9 @@
-"""An entry on a slow link comes back to the newest configuration after an outage."""
+"""An entry behind a slow link reads the newest configuration after an outage.
+
+These tests guard against an entry that stays on an old configuration because reading
+all the versions it missed, or reading one configuration twice, exceeds the capacity of
+its link to the store. Until then it must not deny requests by the old one.
+"""
 
 from __future__ import annotations
 
@@ -24,13 +29,13 @@
 LINK_BPS = 8e6
 ADDED_KEY = "key-added-while-the-entry-was-away"
 
-# An operator gives a change so long to be in force everywhere.
+# Operators expect a change to be in force everywhere within this time.
 IN_FORCE_S = 3.0
 
 
 @pytest.fixture
 async def behind_slow_link() -> AsyncIterator[tuple[Deployment, Link]]:
-    """One entry whose link to the store carries 8 Mbit/s."""
+    """One entry whose link to the store has a capacity of 8 Mbit/s."""
     deployment = Deployment(lease_s=5.0)
     deployment.prepare()
     link = Link(deployment.store_address.port, Pipe(1, [LINK_BPS]))
@@ -44,7 +49,7 @@
 
 
 def large_configuration(version: int, size_bytes: int) -> dict[str, Any]:
-    """A configuration with many keys, one of them new."""
+    """Return a configuration of this size with many keys, one of them new."""
     count = size_bytes // 33
     keys = [KEY, ADDED_KEY, *(f"key-{n:026d}" for n in range(count))]
     tenant = {"name": "quality", "api_keys": keys, "priority": 1}
@@ -52,13 +57,13 @@
 
 
 async def lose_store(deployment: Deployment, link: Link) -> None:
-    """Let every connection to the store fail until its mode is "ok" again."""
+    """Make all connections to the store fail until the link's mode is "ok" again."""
     link.mode = "refuse"
     link.reset()
     await until(lambda: not deployment.entry._configuration.reading)
 
 
-async def test_versions_that_were_missed_do_not_keep_an_entry_from_the_newest(
+async def test_missed_versions_do_not_delay_the_newest_configuration(
     behind_slow_link: tuple[Deployment, Link],
 ) -> None:
     deployment, link = behind_slow_link
@@ -70,7 +75,7 @@
     await until(lambda: router.table and router.table.version == 101, IN_FORCE_S)
 
 
-async def test_no_read_to_prove_the_configuration_shares_the_link_with_its_follower(
+async def test_proof_reads_do_not_compete_with_the_follower_for_the_link(
     behind_slow_link: tuple[Deployment, Link],
 ) -> None:
     deployment, link = behind_slow_link
@@ -84,7 +89,7 @@
     assert entry.metrics.counters["proofs.read"] == reads
 
 
-async def test_one_configuration_that_takes_seconds_to_transfer_is_read(
+async def test_a_configuration_that_takes_seconds_to_transfer_is_read(
     behind_slow_link: tuple[Deployment, Link],
 ) -> None:
     deployment, link = behind_slow_link
@@ -95,10 +100,10 @@
     await until(lambda: router.table and router.table.version == 2, 5.0)
 
 
-async def test_an_entry_does_not_deny_by_a_configuration_that_it_cannot_prove(
+async def test_an_entry_does_not_deny_requests_by_an_unproven_configuration(
     two_entries: Deployment,
 ) -> None:
-    """A credential or route may have been added since: 401 and 404 would be wrong."""
+    """A credential or route may have been added: 401 and 404 would be wrong."""
     entry = two_entries.entry
     two_entries.store.mode = "out"
     loop = asyncio.get_running_loop()
@@ -111,29 +116,31 @@
     assert all("Retry-After" in reply.headers for reply in replies)
 
 
-async def test_an_entry_does_not_deny_what_a_newer_configuration_elsewhere_may_hold(
+async def test_an_entry_does_not_deny_what_a_newer_configuration_may_allow(
     two_entries: Deployment,
 ) -> None:
-    """Another entry has read it; here reads fail, and the last proof still holds."""
-    behind, other = two_entries.entries
+    """Another entry has read it; this one's reads fail, but its last proof is valid."""
+    entry_behind, other_entry = two_entries.entries
 
     async def read(stream: str, offset: int, wait_s: float) -> LogPage:
         raise LogUnavailableError("turned away")
 
-    behind._proofs._log.read = read  # type: ignore[method-assign]
-    behind._configuration._log.read = read  # type: ignore[method-assign]
-    behind._configuration.give_up_waiting()
+    entry_behind._proofs._log.read = read  # type: ignore[method-assign]
+    entry_behind._configuration._log.read = read  # type: ignore[method-assign]
+    entry_behind._configuration.give_up_waiting()
     two_entries.store.put("keyed.op", "config", large_configuration(2, 1000))
-    await until(lambda: other.router.table and other.router.table.version == 2)
-    await until(lambda: behind._configuration_feed.peer_has_newer)
-    assert behind.router.lease.valid(asyncio.get_running_loop().time())
+    await until(
+        lambda: other_entry.router.table and other_entry.router.table.version == 2
+    )
+    await until(lambda: entry_behind._configuration_feed.peer_has_newer)
+    assert entry_behind.router.lease.valid(asyncio.get_running_loop().time())
     reply = await two_entries.ask("/tray/1", "r-key", key=ADDED_KEY)
     assert reply.status == 503
-    await until(lambda: behind.metrics.gauges["configuration.behind_s"] > 1.0)
-    await until(lambda: _says_behind(two_entries))
+    await until(lambda: entry_behind.metrics.gauges["configuration.behind_s"] > 1.0)
+    await until(lambda: _logs_configuration_behind(two_entries))
 
 
-def _says_behind(deployment: Deployment) -> bool:
+def _logs_configuration_behind(deployment: Deployment) -> bool:
     return any(
         line["type"] == "configuration_behind" for line in deployment.log_lines()
     )
--- a/tests/forwarding/test_store_goes_back.py
+++ b/tests/forwarding/test_store_goes_back.py
@@ -1,8 +1,9 @@
-"""The store comes back from a copy that is some seconds old.
+"""The store goes back: it is restored from a copy that is some seconds old.
 
-What it had acknowledged since is gone, and its offsets are given out again. What the
-operator and the servers wrote is written again within about two seconds; what entries
-wrote is theirs to write again.
+Records that it acknowledged after the copy are lost, and their offsets are assigned
+again. The operator and the servers write their records again within about two seconds;
+entries must write their own again. These tests guard against entries that miss records
+at reassigned offsets, or act on the lost or outdated state.
 """
 
 from __future__ import annotations
@@ -20,8 +21,8 @@
 from standins.metadata_store import PARTITIONS, StoreCopy
 from tests.lib.forwarding import KEY, Deployment, configuration, running, until
 
-QUARANTINE = "keyed.railfold-quarantine"
-ENTRIES = "keyed.railfold-entries"
+QUARANTINE_STREAM = "keyed.railfold-quarantine"
+ENTRIES_STREAM = "keyed.railfold-entries"
 
 
 @pytest.fixture
@@ -37,14 +38,14 @@
 
 
 async def lose_store(deployment: Deployment) -> None:
-    """Let the store be away, so that all reads that wait have ended."""
+    """Stop the store, and wait until every entry has noticed."""
     deployment.store.mode = "out"
     for entry in deployment.entries:
         await until(lambda e=entry: not e._store_reachable.is_set())  # type: ignore[misc]
 
 
-async def come_back(deployment: Deployment, copy: StoreCopy) -> None:
-    """Let it come back from a copy; return when all entries have read it."""
+async def restore_store(deployment: Deployment, copy: StoreCopy) -> None:
+    """Restore the store from a copy; return when all entries have read it."""
     deployment.store.go_back(copy)
     deployment.store.mode = "ok"
     for entry in deployment.entries:
@@ -52,10 +53,10 @@
     await asyncio.sleep(0.4)
 
 
-async def test_what_stands_at_offsets_given_out_again_is_read(
+async def test_records_at_reassigned_offsets_are_read(
     deployment: Deployment,
 ) -> None:
-    """The stream has grown beyond where the reader was when it is asked again."""
+    """The restored stream is longer than the reader's offset when it is read again."""
     store = deployment.store
     router = deployment.entry.router
     copy = store.copy()
@@ -72,32 +73,34 @@
     await until(lambda: router.table is not None and router.table.version == 3)
 
 
-async def test_a_configuration_doesnt_go_back(deployment: Deployment) -> None:
+async def test_an_older_configuration_does_not_replace_a_newer_one(
+    deployment: Deployment,
+) -> None:
     copy = deployment.store.copy()
     deployment.store.put("keyed.op", "config", configuration(2, tenants=[]))
     router = deployment.entry.router
     await until(lambda: router.table is not None and router.table.version == 2)
     await lose_store(deployment)
-    await come_back(deployment, copy)
+    await restore_store(deployment, copy)
     await asyncio.sleep(0.5)
     assert router.table is not None
     assert router.table.version == 2
     assert (await deployment.ask("/tray/1", "r-old-key")).status == 401
 
 
-async def test_what_it_may_have_lost_of_credentials_isnt_taken_for_proved(
+async def test_a_restored_store_proves_no_credential_until_lost_records_may_be_back(
     short_lease: Deployment,
 ) -> None:
-    """The removal of a credential was acknowledged, read by nobody, and lost."""
+    """The removal of a credential was acknowledged and then lost; no entry read it."""
     deployment = short_lease
     copy = deployment.store.copy()
     await lose_store(deployment)
     lease = deployment.entry.router.lease
     loop = asyncio.get_running_loop()
     await until(lambda: not lease.valid(loop.time()))
-    back_s = loop.time()
-    await come_back(deployment, copy)
-    while loop.time() < back_s + RETURN_S - 0.2:
+    restored_s = loop.time()
+    await restore_store(deployment, copy)
+    while loop.time() < restored_s + RETURN_S - 0.2:
         assert (await deployment.ask("/tray/1", "r-early")).status == 503
         await asyncio.sleep(0.1)
     tenants = [{"name": "quality", "api_keys": ["another"], "priority": 1}]
@@ -107,7 +110,7 @@
     assert not [s for s in deployment.plain if s.runs["r-early"] or s.runs["r-late"]]
 
 
-async def test_an_older_copy_proves_nothing_until_the_newer_one_is_back(
+async def test_an_older_configuration_proves_nothing_until_the_newer_one_is_back(
     short_lease: Deployment,
 ) -> None:
     deployment = short_lease
@@ -116,7 +119,7 @@
     deployment.store.put("keyed.op", "config", configuration(2))
     await until(lambda: router.table is not None and router.table.version == 2)
     await lose_store(deployment)
-    await come_back(deployment, copy)
+    await restore_store(deployment, copy)
     await asyncio.sleep(RETURN_S + 1.2)
     loop = asyncio.get_running_loop()
     assert not router.lease.valid(loop.time())
@@ -124,7 +127,9 @@
     await until(lambda: router.lease.valid(loop.time()))
 
 
-async def test_servers_that_the_copy_lacks_stay_in_use(long_lease: Deployment) -> None:
+async def test_servers_missing_from_the_copy_stay_in_use(
+    long_lease: Deployment,
+) -> None:
     deployment = long_lease
     store = deployment.store
     for server in (*deployment.engines, *deployment.plain):
@@ -134,17 +139,17 @@
         server.register()
     await until(deployment.all_known)
     await lose_store(deployment)
-    await come_back(deployment, copy)
+    await restore_store(deployment, copy)
     for number in range(5):
         reply = await deployment.ask("/draft/1", f"r-{number}", events=2)
         assert reply.status == 200
         await asyncio.sleep(0.1)
 
 
-async def test_a_server_that_left_since_the_copy_gets_nothing(
+async def test_a_server_that_left_after_the_copy_gets_no_requests(
     long_lease: Deployment,
 ) -> None:
-    """Its registration is there again until it lapses."""
+    """The restored store contains its registration until the registration lapses."""
     deployment = long_lease
     copy = deployment.store.copy()
     leaving = deployment.plain[0]
@@ -152,7 +157,7 @@
     directory = deployment.entry.router.directory
     await until(lambda: directory.get_by_registered_id(leaving.server_id) is None)
     await lose_store(deployment)
-    await come_back(deployment, copy)
+    await restore_store(deployment, copy)
     await until(deployment.entry._store_reachable.is_set)
     for number in range(12):
         assert (await deployment.ask("/tray/1", f"late-{number}")).status == 200
@@ -160,7 +165,9 @@
     assert not [run for run in leaving.runs if run.startswith("late")]
 
 
-async def test_a_server_that_said_it_leaves_stays_so(long_lease: Deployment) -> None:
+async def test_a_server_that_registered_as_draining_gets_no_requests(
+    long_lease: Deployment,
+) -> None:
     deployment = long_lease
     copy = deployment.store.copy()
     leaving = deployment.plain[0]
@@ -168,42 +175,42 @@
     leaving.register()
     await until(deployment.all_known)
     await lose_store(deployment)
-    await come_back(deployment, copy)
+    await restore_store(deployment, copy)
     for number in range(12):
         assert (await deployment.ask("/tray/1", f"late-{number}")).status == 200
         await asyncio.sleep(0.1)
     assert not [run for run in leaving.runs if run.startswith("late")]
 
 
-async def test_what_entries_wrote_is_written_again(two_entries: Deployment) -> None:
-    """The common key, what is held back, and who takes messages where."""
+async def test_entries_write_their_lost_records_again(two_entries: Deployment) -> None:
+    """These are the shared key, contents that are held back, and entries' addresses."""
     deployment = two_entries
     store = deployment.store
     await until(lambda: all(entry.recognizes_requests for entry in deployment.entries))
-    await until(lambda: len(store.topic(ENTRIES).newest) == 2)
-    old_key = store.topic(QUARANTINE).newest[PEER_KEY_RECORD][1]
+    await until(lambda: len(store.topic(ENTRIES_STREAM).newest) == 2)
+    old_key = store.topic(QUARANTINE_STREAM).newest[PEER_KEY_RECORD][1]
     quarantine = deployment.entry._peering.quarantine._quarantine
-    content, crashes = held_content(asyncio.get_running_loop().time())
+    content, crashes = content_with_crashes(asyncio.get_running_loop().time())
     quarantine.restore_hold(content, crashes, crashes[-1].ended_s, 1)
     await lose_store(deployment)
     copy = store.copy()
-    copy.topics[QUARANTINE].newest.clear()
-    copy.topics[ENTRIES].newest.clear()
-    await come_back(deployment, copy)
-    await until(lambda: len(store.topic(ENTRIES).newest) == 2)
-    await until(lambda: PEER_KEY_RECORD in store.topic(QUARANTINE).newest)
-    await until(lambda: content.digest in store.topic(QUARANTINE).newest)
-    assert store.topic(QUARANTINE).newest[PEER_KEY_RECORD][1] == old_key
+    copy.topics[QUARANTINE_STREAM].newest.clear()
+    copy.topics[ENTRIES_STREAM].newest.clear()
+    await restore_store(deployment, copy)
+    await until(lambda: len(store.topic(ENTRIES_STREAM).newest) == 2)
+    await until(lambda: PEER_KEY_RECORD in store.topic(QUARANTINE_STREAM).newest)
+    await until(lambda: content.digest in store.topic(QUARANTINE_STREAM).newest)
+    assert store.topic(QUARANTINE_STREAM).newest[PEER_KEY_RECORD][1] == old_key
     assert all(len(e._peering._channel._view) == 1 for e in deployment.entries)  # type: ignore[union-attr]
 
 
-def held_content(now_s: float) -> tuple[RequestContent, list[Crash]]:
+def content_with_crashes(now_s: float) -> tuple[RequestContent, list[Crash]]:
     crashes = [Crash(f"i-{n}", now_s - 3 + n, now_s - 2.9 + n, "v1") for n in range(3)]
     return RequestContent("f" * 32, "line-records", "tray", "quality"), crashes
 
 
-async def test_a_fencing_token_only_rises(deployment: Deployment) -> None:
-    """The group's generation falls with the store, and is given out again."""
+async def test_a_fencing_token_never_decreases(deployment: Deployment) -> None:
+    """The group's generation decreases when the store goes back, and is used again."""
     port = deployment._adapter._store.port
     lease = GroupLease(Address("127.0.0.1", port), "test", PARTITIONS)
     other = GroupLease(Address("127.0.0.1", port), "test", PARTITIONS)
@@ -216,17 +223,17 @@
     assert before.holding
     deployment.store.go_back(copy)
     first = await lease.renew("a", 1.0)
-    # It may have been granted to another one meanwhile.
+    # The lease may have been granted to another process meanwhile.
     assert not first.holding
     after = await lease.renew("a", 1.0)
     assert after.holding
     assert after.fencing > before.fencing
 
 
-async def test_an_entry_that_starts_on_an_older_copy_doesnt_serve_on_it(
+async def test_an_entry_that_starts_with_an_older_configuration_does_not_rely_on_it(
     long_lease: Deployment,
 ) -> None:
-    """Another entry knows the newer one, and tells it."""
+    """Another entry knows the newer configuration and reports its version."""
     deployment = long_lease
     copy = deployment.store.copy()
     tenants = [{"name": "quality", "api_keys": ["another"], "priority": 1}]
@@ -235,7 +242,7 @@
     await until(lambda: router.table is not None and router.table.version == 2)
     await until(lambda: deployment.entry.recognizes_requests)
     await lose_store(deployment)
-    await come_back(deployment, copy)
+    await restore_store(deployment, copy)
     deployment._settings.append(deployment._entry_settings(1))
     deployment.entry_count = 2
     deployment.run_entry(number=1)
--- a/tests/unit/test_registration_feed.py
+++ b/tests/unit/test_registration_feed.py
@@ -1,8 +1,8 @@
-"""Registrations in a whole copy and behind it: the same records, the same knowledge.
+"""Entries that read the same registrations at different times know the same servers.
 
-A record that couldn't be read removed its backend server if it was met in a whole copy,
-and left the earlier registration in force if it was met behind one: entries that read
-it at different times differed for good.
+These tests guard against a permanent difference between entries: a record that couldn't
+be decoded removed its backend server if it was part of a snapshot, but left the earlier
+registration in force if it followed the snapshot.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 Write = tuple[str, bytes]
 
 
-def written(port: int, **changes: Any) -> bytes:
+def registration_value(port: int, **changes: Any) -> bytes:
     entry = {
         "service": "llm",
         "address": f"10.0.0.1:{port}",
@@ -44,8 +44,8 @@
     return json.dumps(entry).encode()
 
 
-class Reader:
-    """An entry's feed and what it knows."""
+class EntryReader:
+    """The registration feed and the directory of an entry."""
 
     def __init__(self) -> None:
         platform = UsersPlatform(Address("127.0.0.1", 1), 1)
@@ -65,22 +65,22 @@
             self.router, platform.decode_registration, lambda: None
         )
 
-    def take(self, writes: Iterable[Write], offset: int = 0) -> int:
-        """Read records from an offset on; return the offset behind them."""
+    def read(self, writes: Iterable[Write], offset: int = 0) -> int:
+        """Read records that begin at ``offset``; return the offset after the last."""
         for key, value in writes:
             self.feed.record(LogRecord(offset, 0.0, KeyedValue(key, value)))
             offset += 1
         self.feed.caught_up(offset, 0.0)
         return offset
 
-    def known(self) -> dict[str, tuple[str, int | None]]:
-        """Return address and start by registered id."""
+    def known_servers(self) -> dict[str, tuple[str, int | None]]:
+        """Return the address and start time of each server by registered id."""
         registrations = [entry.registration for entry in self.router.directory]
         return {r.registered_id: (r.address, r.started_at_ms) for r in registrations}
 
 
-def newest(writes: Iterable[Write]) -> list[Write]:
-    """Return the newest record of each key, in the order of their writing."""
+def newest_of_each_key(writes: Iterable[Write]) -> list[Write]:
+    """Return the newest record of each key, in the order in which they were written."""
     kept: dict[str, bytes] = {}
     for key, value in writes:
         kept.pop(key, None)
@@ -90,22 +90,26 @@
 
 
 @pytest.mark.asyncio
-@pytest.mark.parametrize("odd", [b"{}", b"\xff", written(1, slots=0)])
-async def test_an_odd_record_ends_the_registration_before_it(odd: bytes) -> None:
-    reader = Reader()
-    offset = reader.take([("i-1", written(1)), ("i-2", written(2))])
-    reader.take([("i-1", odd)], offset)
-    assert sorted(reader.known()) == ["i-2"]
-    reader.take([("i-1", written(1))], offset + 1)
-    assert sorted(reader.known()) == ["i-1", "i-2"]
+@pytest.mark.parametrize("unusable", [b"{}", b"\xff", registration_value(1, slots=0)])
+async def test_an_unusable_record_ends_the_earlier_registration(
+    unusable: bytes,
+) -> None:
+    reader = EntryReader()
+    offset = reader.read(
+        [("i-1", registration_value(1)), ("i-2", registration_value(2))]
+    )
+    reader.read([("i-1", unusable)], offset)
+    assert sorted(reader.known_servers()) == ["i-2"]
+    reader.read([("i-1", registration_value(1))], offset + 1)
+    assert sorted(reader.known_servers()) == ["i-1", "i-2"]
 
 
 @pytest.mark.asyncio
-async def test_a_flood_of_odd_records_is_logged_once_a_change() -> None:
-    reader = Reader()
-    offset = reader.take([("i-1", written(1))])
+async def test_many_unusable_records_are_logged_once_per_change() -> None:
+    reader = EntryReader()
+    offset = reader.read([("i-1", registration_value(1))])
     for _ in range(50):
-        offset = reader.take([("i-1", b"{}")], offset)
+        offset = reader.read([("i-1", b"{}")], offset)
     assert reader.router.metrics.counters["registrations.refused"] == 50
     reader.router.log.flush()
     assert len(reader.feed._refused_ids) == 1
@@ -117,8 +121,8 @@
         st.one_of(
             st.just(b""),
             st.just(b"{}"),
-            st.builds(written, st.just(1), born=st.integers(1, 3)),
-            st.builds(written, st.just(2), slots=st.sampled_from([0, 96])),
+            st.builds(registration_value, st.just(1), born=st.integers(1, 3)),
+            st.builds(registration_value, st.just(2), slots=st.sampled_from([0, 96])),
         ),
     ),
     max_size=12,
@@ -126,7 +130,7 @@
 
 
 def distinct_addresses(writes: list[Write]) -> list[Write]:
-    """Give each id an address of its own: two at one address are another matter."""
+    """Give each id its own address; shared addresses aren't tested here."""
     return [
         (key, value.replace(b"10.0.0.1", f"10.0.0.{key[-1]}".encode()))
         for key, value in writes
@@ -135,24 +139,28 @@
 
 @given(WRITES, st.integers(0, 12))
 @pytest.mark.asyncio
-async def test_whoever_reads_a_copy_knows_what_whoever_read_all_knows(
-    writes: list[Write], copied: int
+async def test_reading_a_snapshot_gives_the_same_servers_as_reading_all_records(
+    writes: list[Write], snapshot_end: int
 ) -> None:
     in_order = []
     last_start: dict[str, int] = {}
     for key, value in distinct_addresses(writes):
-        # The store's order is that of the writes: an incarnation never precedes its
-        # predecessor there.
+        # The store keeps the order of the writes, so that the record of an incarnation
+        # never precedes the one of its predecessor.
         started = json.loads(value).get("born", 0) if value else 0
         if started and started < last_start.get(key, 0):
             continue
         last_start[key] = max(started, last_start.get(key, 0))
         in_order.append((key, value))
-    reads_all, reads_a_copy = Reader(), Reader()
-    reads_all.take([])
-    reads_all.take(in_order)
-    behind = len(newest(in_order[:copied]))
-    reads_a_copy.take(newest(in_order[:copied]))
-    reads_a_copy.take(in_order[copied:], behind)
-    only_known = {key: known[0] for key, known in reads_all.known().items()}
-    assert {k: known[0] for k, known in reads_a_copy.known().items()} == only_known
+    full_reader, snapshot_reader = EntryReader(), EntryReader()
+    full_reader.read([])
+    full_reader.read(in_order)
+    snapshot_length = len(newest_of_each_key(in_order[:snapshot_end]))
+    snapshot_reader.read(newest_of_each_key(in_order[:snapshot_end]))
+    snapshot_reader.read(in_order[snapshot_end:], snapshot_length)
+    expected_addresses = {
+        key: server[0] for key, server in full_reader.known_servers().items()
+    }
+    assert {
+        key: server[0] for key, server in snapshot_reader.known_servers().items()
+    } == expected_addresses
