--- a/src/railfold/_internal/agent/orders.py
+++ b/src/railfold/_internal/agent/orders.py
@@ -10,8 +10,8 @@
 from railfold._internal.agent.engine_backend import EngineBackend
 from railfold._internal.configuration.replica import ConfigurationReplica
 from railfold._internal.decisions.orders import (
+    DesiredStateReached,
     GiveOrder,
-    LevelReached,
     LoadOrder,
     OrderDecision,
     Reconciler,
@@ -68,7 +68,7 @@
     def _decide(self) -> OrderDecision:
         status = self._backend.status
         if status is None:
-            return LevelReached()  # Nothing can be compared with.
+            return DesiredStateReached()  # Nothing can be compared with.
         loaded = None
         if status.layers is not None:
             loaded = (status.model, status.version, status.layers)
@@ -77,7 +77,7 @@
             loaded=loaded,
             engine_fencing=status.fencing,
             open_sequences=self._backend.report().running,
-            heard_s=self._heard_s(),
+            last_contact_s=self._heard_s(),
             now_s=asyncio.get_running_loop().time(),
         )
 
@@ -90,7 +90,7 @@
 
     async def _give(self, order: LoadOrder) -> None:
         # Nothing is awaited between the look at the lease and the order.
-        self._reconciler.ordered(asyncio.get_running_loop().time())
+        self._reconciler.record_order(asyncio.get_running_loop().time())
         self._metrics.count("orders.given")
         logging.info("order: load %s", order)
         try:
--- a/src/railfold/_internal/decisions/calls.py
+++ b/src/railfold/_internal/decisions/calls.py
@@ -30,7 +30,7 @@
 __all__ = [
     "CallAction",
     "CallAnswered",
-    "CallCallerGone",
+    "CallCallerDisconnected",
     "CallDeadlinePassed",
     "CallEvent",
     "CallHostChosen",
@@ -38,8 +38,8 @@
     "CallHostRefused",
     "CallLifecycle",
     "CallLimits",
+    "CallNotSent",
     "CallRegister",
-    "CallUnsent",
     "ChooseHost",
     "FinishCall",
     "NoHost",
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallUnsent:
+class CallNotSent:
     """Nothing was sent, since the host takes no calls any more; others may."""
 
     host: str
@@ -103,7 +103,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallCallerGone:
+class CallCallerDisconnected:
     """The caller closed its connection."""
 
 
@@ -112,10 +112,10 @@
     | NoHost
     | CallAnswered
     | CallHostRefused
-    | CallUnsent
+    | CallNotSent
     | CallHostLost
     | CallDeadlinePassed
-    | CallCallerGone
+    | CallCallerDisconnected
 )
 
 
@@ -150,12 +150,12 @@
 class CallLimits:
     """Bounds of one call.
 
-    :param max_tries: how often it is sent; refused tries cost little.
-    :param max_runs: how many hosts may run it.
+    :param max_sends: how often it is sent; refused tries cost little.
+    :param max_lost_hosts: how many hosts may run it.
     """
 
-    max_tries: int = 4
-    max_runs: int = 4
+    max_sends: int = 4
+    max_lost_hosts: int = 4
 
 
 class _Phase(Enum):
@@ -202,7 +202,7 @@
 
     def _spent(self, runs: int) -> bool:
         limits = self._limits
-        return self._tries >= limits.max_tries or runs >= limits.max_runs
+        return self._tries >= limits.max_sends or runs >= limits.max_lost_hosts
 
     def start(self) -> list[CallAction]:
         """Begin: ask for a host."""
@@ -222,7 +222,7 @@
             case CallHostRefused(host=host, started=started, reason=reason):
                 error = NoCapacityError(f"host {host} gave no answer", why=reason)
                 return self._retry(host, error, may_have_run=started)
-            case CallUnsent(host=host, reason=reason):
+            case CallNotSent(host=host, reason=reason):
                 error = NoCapacityError(f"host {host} takes no call", why=reason)
                 return self._choose_another(host, error)
             case CallHostLost(host=host):
@@ -236,7 +236,7 @@
                     "the call's deadline passed before its answer came"
                 )
                 return self._abandon(error)
-            case CallCallerGone():
+            case CallCallerDisconnected():
                 return self._abandon(EngineError("the caller closed its connection"))
 
     def _send(self, host: str) -> list[CallAction]:
--- a/src/railfold/_internal/decisions/engine_directory.py
+++ b/src/railfold/_internal/decisions/engine_directory.py
@@ -16,7 +16,7 @@
 
 from railfold._internal.core import LayerRange, Stage
 from railfold._internal.decisions.fleet_load import ServerLoad
-from railfold._internal.decisions.log_epoch import RETURN_S
+from railfold._internal.decisions.log_epoch import LOG_RECOVERY_S
 from railfold._internal.decisions.planner import Replica
 from railfold._internal.decisions.routing_table import EngineModel
 
@@ -274,7 +274,7 @@
             return
         due_s = now_s
         if self._returned_s is not None:
-            due_s = max(now_s, self._returned_s + RETURN_S)
+            due_s = max(now_s, self._returned_s + LOG_RECOVERY_S)
         if due_s <= now_s:
             self._depart(entry)
         elif entry.removal_due_s is None:
--- a/src/railfold/_internal/decisions/leadership.py
+++ b/src/railfold/_internal/decisions/leadership.py
@@ -17,16 +17,16 @@
 class LeaseGrant:
     """The granter's answer to one renewal.
 
-    :param holding: whether the lease is the caller's.
-    :param fencing: rises with every change of holder.
-    :param deal: what tells how many processes ask for the lease, if it is known.
+    :param is_holder: whether the lease is the caller's.
+    :param fencing_token: rises with every change of holder.
+    :param assignment: what tells how many processes ask for the lease, if it is known.
     :param epoch: of the granter's log, which rises when that goes back.
     :param is_candidate: whether the caller is one of the few that stand by for duties.
     """
 
-    holding: bool
-    fencing: int
-    deal: Deal | None = None
+    is_holder: bool
+    fencing_token: int
+    assignment: Deal | None = None
     epoch: int = 0
     is_candidate: bool = False
 
@@ -48,13 +48,13 @@
     _named_s: float = float("-inf")
     _renewed_s: float = float("-inf")
 
-    def renewed(self, grant: LeaseGrant, sent_s: float) -> None:
+    def record_renewal(self, grant: LeaseGrant, sent_s: float) -> None:
         """Take an answer to a renewal among all processes."""
         self._renewed_s = sent_s
         if grant.is_candidate:
             self._named_s = sent_s
 
-    def asks(self, now_s: float) -> bool:
+    def requests_lease(self, now_s: float) -> bool:
         """Return whether to ask for the lease; its holder goes on anyway."""
         is_member = now_s - self._renewed_s < self.member_s
         return is_member and now_s - self._named_s < _STAY_S
@@ -74,32 +74,36 @@
     _renewed_s: float = 0.0
     _fenced_at: int = -1
 
-    def renewed(self, grant: LeaseGrant, sent_s: float) -> bool:
+    def record_renewal(self, grant: LeaseGrant, sent_s: float) -> bool:
         """Take an answer to a renewal; return whether the role changed."""
         before = self._grant
         self._grant = grant
         self._renewed_s = sent_s
-        return before is None or before.holding != grant.holding
+        return before is None or before.is_holder != grant.is_holder
 
     def revoke(self) -> None:
         """The granter forgot what it granted, and may grant the lease to another."""
         if self._grant is not None:
-            self._grant = replace(self._grant, holding=False)
+            self._grant = replace(self._grant, is_holder=False)
 
-    def fenced(self, fencing: int) -> None:
+    def record_refused_token(self, fencing: int) -> None:
         """An order with this token was refused: another has a higher one."""
         self._fenced_at = max(self._fenced_at, fencing)
 
-    def fencing(self, now_s: float) -> int | None:
+    def current_token(self, now_s: float) -> int | None:
         """Return the token to give orders with, if the lease holds now."""
         grant = self._grant
-        if grant is None or not grant.holding or grant.fencing <= self._fenced_at:
+        if (
+            grant is None
+            or not grant.is_holder
+            or grant.fencing_token <= self._fenced_at
+        ):
             return None
         if now_s - self._renewed_s >= self.duration_s * (1.0 - _MARGIN_SHARE):
             return None
-        return grant.fencing
+        return grant.fencing_token
 
     @property
-    def newest_fencing(self) -> int:
+    def newest_token(self) -> int:
         """The newest token that was heard of."""
-        return self._grant.fencing if self._grant else 0
+        return self._grant.fencing_token if self._grant else 0
--- a/src/railfold/_internal/decisions/lifecycle.py
+++ b/src/railfold/_internal/decisions/lifecycle.py
@@ -26,7 +26,7 @@
     Unknown,
 )
 from railfold._internal.decisions.lifecycle_events import (
-    CallerGone,
+    CallerDisconnected,
     CancelAttempt,
     ChainPlanned,
     DeadlinePassed,
@@ -147,7 +147,7 @@
                     hint="allow a longer deadline, or ask for fewer tokens",
                 )
                 return self._abort(error)
-            case CallerGone():
+            case CallerDisconnected():
                 return self._abort(EngineError("the caller closed its connection"))
 
     def _open(self, chain: Chain) -> list[LifecycleAction]:
--- a/src/railfold/_internal/decisions/lifecycle_events.py
+++ b/src/railfold/_internal/decisions/lifecycle_events.py
@@ -8,7 +8,7 @@
 from railfold._internal.errors import RailfoldError
 
 __all__ = [
-    "CallerGone",
+    "CallerDisconnected",
     "CancelAttempt",
     "ChainPlanned",
     "DeadlinePassed",
@@ -98,7 +98,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallerGone:
+class CallerDisconnected:
     """The caller closed its connection."""
 
 
@@ -112,7 +112,7 @@
     | TombstoneReplied
     | TokenOverdue
     | DeadlinePassed
-    | CallerGone
+    | CallerDisconnected
 )
 
 
--- a/src/railfold/_internal/decisions/log_epoch.py
+++ b/src/railfold/_internal/decisions/log_epoch.py
@@ -10,12 +10,12 @@
 
 from dataclasses import dataclass
 
-__all__ = ["RETURN_S", "LogEpoch", "fencing_token"]
+__all__ = ["LOG_RECOVERY_S", "LogEpoch", "fencing_token"]
 
 # What others wrote and the log lost is written again within about two seconds (the
 # platform's word); the rest is for reading it. Until then a copy may lack a
 # configuration that was in force, and servers that live.
-RETURN_S = 2.3
+LOG_RECOVERY_S = 2.3
 
 # A group's generation takes the lower bits of a token, so that the token rises though
 # generations fall when the log goes back and are given out again. Both together stay
--- a/src/railfold/_internal/decisions/membership.py
+++ b/src/railfold/_internal/decisions/membership.py
@@ -18,7 +18,7 @@
 
 __all__ = [
     "AgentReport",
-    "HostListed",
+    "HostListReceived",
     "LinkDown",
     "LinkUp",
     "ListedHost",
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostListed:
+class HostListReceived:
     """A new copy of the platform's list."""
 
     hosts: tuple[ListedHost, ...]
@@ -91,20 +91,20 @@
     incarnation: int
 
 
-MembershipEvent = HostListed | LinkUp | LinkDown | AgentReport | ProbeUnanswered
+MembershipEvent = HostListReceived | LinkUp | LinkDown | AgentReport | ProbeUnanswered
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
     """What an event changed.
 
-    :param dial: hosts to open a link to.
-    :param hang_up: hosts whose link is no longer wanted.
+    :param connect: hosts to open a link to.
+    :param disconnect: hosts whose link is no longer wanted.
     :param lost: hosts whose work in flight is lost.
     """
 
-    dial: tuple[ListedHost, ...] = ()
-    hang_up: tuple[str, ...] = ()
+    connect: tuple[ListedHost, ...] = ()
+    disconnect: tuple[str, ...] = ()
     lost: frozenset[str] = frozenset()
 
 
@@ -112,8 +112,8 @@
 class Member:
     """What an entry knows of one linked agent.
 
-    :param own: this entry's own sequences there now, which it knows exactly.
-    :param others: sequences of other entries there, by the last report.
+    :param own_sequences: this entry's own sequences there now, which it knows exactly.
+    :param other_sequences: sequences of other entries there, by the last report.
     """
 
     host: str
@@ -124,8 +124,8 @@
     state: str = "unknown"
     suspect: bool = False
     leaving: bool = False
-    own: int = 0
-    others: int = 0
+    own_sequences: int = 0
+    other_sequences: int = 0
     max_sequences: int = 0
     step_ms: float = 1.0
     loaded: tuple[Loaded, ...] = ()
@@ -137,7 +137,7 @@
         return self.state == "serving" and not self.suspect and not self.leaving
 
     @property
-    def standing(self) -> str:
+    def displayed_state(self) -> str:
         """What operators see: the agent's own state, or why it gets no work."""
         if self.suspect:
             return "suspect"
@@ -148,7 +148,7 @@
     @property
     def load(self) -> int:
         """Sequences there, as well as it is known."""
-        return self.own + self.others
+        return self.own_sequences + self.other_sequences
 
 
 class MembershipView:
@@ -168,7 +168,7 @@
     def apply(self, event: MembershipEvent) -> MembershipChange:
         """Take one event; return what changed."""
         match event:
-            case HostListed(hosts=hosts):
+            case HostListReceived(hosts=hosts):
                 return self._list(hosts)
             case LinkUp():
                 return self._link_up(event)
@@ -186,7 +186,7 @@
         self._listed = listed
         for member in self._members.values():
             member.leaving = self._is_leaving(member.host)
-        dial = tuple(
+        connect = tuple(
             h
             for name, h in listed.items()
             if name not in known or known[name].address != h.address
@@ -196,7 +196,7 @@
         gone = tuple(
             name for name in known if name not in listed and name not in self._members
         )
-        return MembershipChange(dial=dial, hang_up=gone)
+        return MembershipChange(connect=connect, disconnect=gone)
 
     def _link_up(self, event: LinkUp) -> MembershipChange:
         known = self._members.get(event.host)
@@ -219,8 +219,8 @@
         if known is None or known.incarnation != incarnation:
             return MembershipChange()
         del self._members[host]
-        hang_up = () if host in self._listed else (host,)
-        return MembershipChange(hang_up=hang_up, lost=frozenset({host}))
+        disconnect = () if host in self._listed else (host,)
+        return MembershipChange(disconnect=disconnect, lost=frozenset({host}))
 
     def _is_leaving(self, host: str) -> bool:
         listed = self._listed.get(host)
@@ -232,7 +232,7 @@
             return
         member.state = event.state
         member.suspect = False
-        member.others = max(0, event.sequences - event.owned)
+        member.other_sequences = max(0, event.sequences - event.owned)
         member.max_sequences = event.max_sequences
         member.step_ms = max(0.01, event.step_ms)
         member.loaded = event.loaded
@@ -275,7 +275,7 @@
         for stage in stages:
             member = self._members.get(stage.host)
             if member is not None and member.incarnation == stage.incarnation:
-                member.own = max(0, member.own + change)
+                member.own_sequences = max(0, member.own_sequences + change)
 
 
 def _replica(member: Member, layers: LayerRange) -> Replica:
--- a/src/railfold/_internal/decisions/orders.py
+++ b/src/railfold/_internal/decisions/orders.py
@@ -16,16 +16,16 @@
 from railfold._internal.core import LayerRange
 
 __all__ = [
+    "DesiredStateReached",
     "GiveOrder",
-    "LevelReached",
     "LoadOrder",
+    "NewerTokenSeen",
     "OrderDecision",
     "OrderLimits",
     "Reconciler",
     "WaitForLease",
     "WaitForSequences",
     "WaitForSlot",
-    "WaitForSuccessor",
 ]
 
 
@@ -33,17 +33,17 @@
 class LoadOrder:
     """Load these layers of this model version.
 
-    :param fencing: version of the pipeline in the log's order.
+    :param fencing_token: version of the pipeline in the log's order.
     """
 
     model: str
     version: str
     layers: LayerRange
-    fencing: int
+    fencing_token: int
 
 
 @dataclass(frozen=True, slots=True)
-class LevelReached:
+class DesiredStateReached:
     """The engine holds what is wanted, or nothing is wanted of it."""
 
 
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class WaitForSuccessor:
+class NewerTokenSeen:
     """The engine has seen a newer fencing number than ours."""
 
 
@@ -77,10 +77,10 @@
 
 
 OrderDecision = (
-    LevelReached
+    DesiredStateReached
     | GiveOrder
     | WaitForLease
-    | WaitForSuccessor
+    | NewerTokenSeen
     | WaitForSequences
     | WaitForSlot
 )
@@ -116,36 +116,36 @@
         loaded: tuple[str, str, LayerRange] | None,
         engine_fencing: int,
         open_sequences: int,
-        heard_s: float,
+        last_contact_s: float,
         now_s: float,
     ) -> OrderDecision:
         """Return what to do now.
 
         :param loaded: model, version and layers as read back.
         :param engine_fencing: the highest number that the engine has seen.
-        :param heard_s: when an entry was heard last, on the monotonic clock.
+        :param last_contact_s: when an entry was heard last, on the monotonic clock.
         :param now_s: the monotonic clock right now.
         """
         if wanted is None:
-            return LevelReached()
+            return DesiredStateReached()
         order, slot = wanted
         if order != self._wanted:
             self._wanted, self._wanted_since_s = order, now_s
             self._ordered_s = None
         if loaded == (order.model, order.version, order.layers):
-            return LevelReached()
-        if engine_fencing > order.fencing:
-            return WaitForSuccessor()
+            return DesiredStateReached()
+        if engine_fencing > order.fencing_token:
+            return NewerTokenSeen()
         if open_sequences:
             return WaitForSequences()
         turn_s = self._turn_s(slot)
         if now_s < turn_s:
             return WaitForSlot(turn_s)
-        if now_s - heard_s > self._limits.lease_s:
+        if now_s - last_contact_s > self._limits.lease_s:
             return WaitForLease()
         return GiveOrder(order)
 
-    def ordered(self, now_s: float, retry_s: float | None = None) -> None:
+    def record_order(self, now_s: float, retry_s: float | None = None) -> None:
         """An order was given.
 
         :param retry_s: after which time it may be given again, if that isn't the
--- a/src/railfold/_internal/decisions/wanted_loads.py
+++ b/src/railfold/_internal/decisions/wanted_loads.py
@@ -23,7 +23,7 @@
     for name, pipeline in configuration.pipelines.items():
         layers = pipeline.placements.get(host)
         fencing = configuration.objects[ObjectId("pipeline", name)].version
-        if layers is None or (found is not None and found[0].fencing > fencing):
+        if layers is None or (found is not None and found[0].fencing_token > fencing):
             continue
         order = LoadOrder(pipeline.model, pipeline.version, layers, fencing)
         shuffled = sorted(pipeline.placements, key=lambda h: _rank(h, fencing))
--- a/src/railfold/_internal/engines/http_engine.py
+++ b/src/railfold/_internal/engines/http_engine.py
@@ -115,7 +115,7 @@
             "version": order.version,
             "first_layer": order.layers.first,
             "last_layer": order.layers.last,
-            "fencing": order.fencing,
+            "fencing": order.fencing_token,
         }
         try:
             await self.step_http.fetch(
--- a/src/railfold/_internal/entry/agents.py
+++ b/src/railfold/_internal/entry/agents.py
@@ -14,7 +14,7 @@
 from railfold._internal.decisions.heartbeats import HeartbeatPace
 from railfold._internal.decisions.membership import (
     AgentReport,
-    HostListed,
+    HostListReceived,
     LinkDown,
     LinkUp,
     ListedHost,
@@ -138,7 +138,7 @@
 
     def hosts_listed(self, hosts: tuple[ListedHost, ...]) -> None:
         """Take a new copy of the platform's list."""
-        self._apply_change(self.view.apply(HostListed(hosts)))
+        self._apply_change(self.view.apply(HostListReceived(hosts)))
 
     def _dial(self, host: ListedHost) -> None:
         self._hang_up(host.host)
@@ -166,9 +166,9 @@
         task.add_done_callback(self._tasks.discard)
 
     def _apply_change(self, change: MembershipChange) -> None:
-        for host in change.dial:
+        for host in change.connect:
             self._dial(host)
-        for name in change.hang_up:
+        for name in change.disconnect:
             self._hang_up(name)
         if change.lost:
             self._lose(change.lost)
--- a/src/railfold/_internal/entry/explain.py
+++ b/src/railfold/_internal/entry/explain.py
@@ -85,7 +85,7 @@
     if member is None:
         return "not linked"
     if not member.routable:
-        return f"gets no new work: {member.standing}"
+        return f"gets no new work: {member.displayed_state}"
     if Loaded(pipeline.model, pipeline.version, layers) not in member.loaded:
         return "hasn't loaded these layers of this version"
     load = f"load {member.load}/{member.max_sequences}, step {member.step_ms:.2f} ms"
--- a/src/railfold/_internal/entry/generate.py
+++ b/src/railfold/_internal/entry/generate.py
@@ -15,7 +15,7 @@
     RequestLifecycle,
 )
 from railfold._internal.decisions.lifecycle_events import (
-    CallerGone,
+    CallerDisconnected,
     CancelAttempt,
     ChainPlanned,
     DeadlinePassed,
@@ -129,7 +129,7 @@
 
     def caller_gone(self) -> None:
         """The caller closed its connection."""
-        self._feed(CallerGone())
+        self._feed(CallerDisconnected())
 
     def hosts_lost(self, hosts: frozenset[str]) -> None:
         """These hosts' work in flight is lost."""
--- a/src/railfold/_internal/entry/process.py
+++ b/src/railfold/_internal/entry/process.py
@@ -257,7 +257,7 @@
                 {
                     "host": member.host,
                     "configuration_version": versions.get(member.host, 0),
-                    "state": member.standing,
+                    "state": member.displayed_state,
                     "failure_domain": member.failure_domain,
                     "load": member.load,
                     "capacity": member.max_sequences,
--- a/src/railfold/_internal/forwarding/peers/arrival_exchange.py
+++ b/src/railfold/_internal/forwarding/peers/arrival_exchange.py
@@ -64,7 +64,7 @@
 
     def _tell(self) -> None:
         now_s = self._loop.time()
-        if self._leadership.fencing(now_s) is not None:
+        if self._leadership.current_token(now_s) is not None:
             if now_s - self._told_s >= _LED_S:
                 self._told_s = now_s
                 self._channel.tell(PlacementLed(self._name))
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -13,7 +13,7 @@
 from railfold._internal.decisions.freshness import FreshnessLease
 from railfold._internal.decisions.held_memory import HeldMemory
 from railfold._internal.decisions.leadership import Candidacy, Leadership, LeaseGrant
-from railfold._internal.decisions.log_epoch import RETURN_S, LogEpoch
+from railfold._internal.decisions.log_epoch import LOG_RECOVERY_S, LogEpoch
 from railfold._internal.decisions.retry_budget import (
     RetryBudgets,
     RetryLimits,
@@ -386,9 +386,9 @@
         self.log.write(DependencyRegained("store"))
 
     def _on_member_renewed(self, grant: LeaseGrant, sent_s: float) -> None:
-        self._candidacy.renewed(grant, sent_s)
-        if grant.deal is not None:
-            self._fleet_limits.dealt(grant.deal, sent_s)
+        self._candidacy.record_renewal(grant, sent_s)
+        if grant.assignment is not None:
+            self._fleet_limits.dealt(grant.assignment, sent_s)
 
     def _on_leadership_stopped(self, member: str) -> None:
         self._peering.tell_leadership_stopped(member)
@@ -407,7 +407,7 @@
         now_s = self._loop.time()
         self.metrics.count("store.went_back")
         self.log.write(StoreWentBack(epoch))
-        self.router.lease.hold_off(now_s + RETURN_S)
+        self.router.lease.hold_off(now_s + LOG_RECOVERY_S)
         self.router.directory.store_returned(now_s)
         self._leadership.revoke()
         self._registration_feed.log_went_back()
@@ -495,7 +495,7 @@
         self.metrics.count("process.resumed")
         self.router.pool.prune(now_s)
         self._fleet_limits.divide()
-        leading = self._leadership.fencing(now_s) is not None
+        leading = self._leadership.current_token(now_s) is not None
         in_flight = len(self.router.active)
         event = ProcessResumed(round(suspended_s * 1000, 1), in_flight, leading)
         self.log.write(event)
@@ -530,7 +530,7 @@
             self.metrics.gauge("configuration.age_s", self.router.lease.age_s(now_s))
 
     def _registration_pace(self, now_s: float) -> FollowerPace:
-        leads = self._leadership.fencing(now_s) is not None
+        leads = self._leadership.current_token(now_s) is not None
         if leads:
             return leading_pace()
         starting = now_s - self._started_s < _FIRST_START_S
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -9,7 +9,7 @@
 from railfold._internal.decisions.calls import (
     CallAction,
     CallAnswered,
-    CallCallerGone,
+    CallCallerDisconnected,
     CallDeadlinePassed,
     CallEvent,
     CallHostChosen,
@@ -17,7 +17,7 @@
     CallHostRefused,
     CallLifecycle,
     CallLimits,
-    CallUnsent,
+    CallNotSent,
     ChooseHost,
     FinishCall,
     NoHost,
@@ -148,7 +148,7 @@
     def client_gone(self) -> None:
         """The client closed its connection."""
         self._cause = "the client went away"
-        self._feed(CallCallerGone())
+        self._feed(CallCallerDisconnected())
 
     def servers_lost(self, server_ids: frozenset[str]) -> None:
         """These backend servers don't answer."""
@@ -317,7 +317,7 @@
         if error is None:
             self._prober.unreachable(server_id)
         elif isinstance(error, ServerNotEligibleError):
-            self._feed(CallUnsent(server_id, reason))
+            self._feed(CallNotSent(server_id, reason))
             return
         else:
             # Refused for a reason that holds at every backend server.
@@ -508,7 +508,7 @@
         self._cause = reason
         if self._answer.begun and not self._streaming:
             # Part of a large plain answer is out: nothing can continue it.
-            self._feed(CallCallerGone())
+            self._feed(CallCallerDisconnected())
             return
         self._feed(CallHostLost(server_id))
 
--- a/src/railfold/_internal/forwarding/servers/layer_orders.py
+++ b/src/railfold/_internal/forwarding/servers/layer_orders.py
@@ -105,7 +105,7 @@
                     self._carrying_s.pop(entry.server_id, None)
                     await self._wait_loaded(entry, order.layers, load_s)
                 case OrderFenced():
-                    self._leadership.fenced(order.fencing)
+                    self._leadership.record_refused_token(order.fencing_token)
                 case OrderRefused() | OrderUnsettled():
                     pass  # The level is looked at again when the order is due.
         finally:
@@ -119,7 +119,7 @@
             entry.server_id,
             str(order.layers),
             str(held) if held else "none",
-            order.fencing,
+            order.fencing_token,
             _outcome_text(outcome),
         )
         self._router.metrics.count("orders.given")
@@ -138,7 +138,9 @@
                 # Another order would begin its work anew.
                 self._note_carrying(entry.server_id)
                 return OrderRefused("it still carries an order out")
-            call = dialect.place_call(order.layers, order.fencing, report.order_count)
+            call = dialect.place_call(
+                order.layers, order.fencing_token, report.order_count
+            )
             response = await self._calls.call(
                 entry, call, _ORDER_TIMEOUT_S, lambda: self._require_lease(order)
             )
@@ -162,7 +164,7 @@
         Reading the report and opening a connection take time, and the host may have
         been suspended meanwhile: another may place layers by now.
         """
-        if self._leadership.fencing(self._loop.time()) != order.fencing:
+        if self._leadership.current_token(self._loop.time()) != order.fencing_token:
             raise LeaseLostError("the lease was lost before the order was sent")
 
     async def _wait_loaded(
--- a/src/railfold/_internal/forwarding/servers/placement.py
+++ b/src/railfold/_internal/forwarding/servers/placement.py
@@ -17,15 +17,15 @@
 from railfold._internal.decisions.engine_directory import DirectoryEntry
 from railfold._internal.decisions.leadership import Leadership
 from railfold._internal.decisions.orders import (
+    DesiredStateReached,
     GiveOrder,
-    LevelReached,
     LoadOrder,
+    NewerTokenSeen,
     OrderLimits,
     Reconciler,
     WaitForLease,
     WaitForSequences,
     WaitForSlot,
-    WaitForSuccessor,
 )
 from railfold._internal.decisions.placement import (
     EngineRoom,
@@ -152,7 +152,7 @@
         now_s = self._loop.time()
         table = self._router.table
         self._note_appearances(now_s)
-        if table is None or self._leadership.fencing(now_s) is None:
+        if table is None or self._leadership.current_token(now_s) is None:
             self._targets.clear()  # Another may plan meanwhile.
             self._left_as_is.clear()
             self._supplies.clear()
@@ -349,7 +349,7 @@
         model: EngineModel,
         now_s: float,
     ) -> None:
-        fencing = self._leadership.fencing(now_s)
+        fencing = self._leadership.current_token(now_s)
         if fencing is None:
             return
         held = entry.registration.layers
@@ -361,19 +361,19 @@
             loaded=loaded,
             engine_fencing=0,
             open_sequences=0,
-            heard_s=now_s,
+            last_contact_s=now_s,
             now_s=now_s,
         )
         match decision:
             case GiveOrder(order=order):
-                reconciler.ordered(now_s, load_s + _READ_BACK_S)
+                reconciler.record_order(now_s, load_s + _READ_BACK_S)
                 self._orders.give(entry, order, load_s)
             case (
-                LevelReached()
+                DesiredStateReached()
                 | WaitForLease()
                 | WaitForSequences()
                 | WaitForSlot()
-                | WaitForSuccessor()
+                | NewerTokenSeen()
             ):
                 pass
 
--- a/src/railfold/_internal/forwarding/store/leadership.py
+++ b/src/railfold/_internal/forwarding/store/leadership.py
@@ -106,8 +106,8 @@
             return _MEMBER_RETRY_S
         self._on_epoch(grant.epoch)
         self._on_renewed(grant, sent_s)
-        is_new = grant.fencing != self._newest_fencing
-        self._newest_fencing = grant.fencing
+        is_new = grant.fencing_token != self._newest_fencing
+        self._newest_fencing = grant.fencing_token
         # A partition passes on once its former holder has named the new deal.
         return _CONFIRM_S if is_new else _MEMBER_RENEW_S
 
@@ -177,8 +177,8 @@
 
     async def _step(self) -> float:
         now_s = asyncio.get_running_loop().time()
-        leads = self._leadership.fencing(now_s) is not None
-        asks = self._candidacy is None or self._candidacy.asks(now_s)
+        leads = self._leadership.current_token(now_s) is not None
+        asks = self._candidacy is None or self._candidacy.requests_lease(now_s)
         if leads or asks:
             await self._end_stopped()
             return await self._renew()
@@ -204,27 +204,29 @@
         self._failures = 0
         self._renewed_s = sent_s
         self._on_epoch(grant.epoch)
-        is_new = grant.fencing != self._leadership.newest_fencing
-        if self._leadership.renewed(grant, sent_s):
+        is_new = grant.fencing_token != self._leadership.newest_token
+        if self._leadership.record_renewal(grant, sent_s):
             self._log.write(
-                LeadershipChanged(grant.holding, grant.fencing, "the store's answer")
+                LeadershipChanged(
+                    grant.is_holder, grant.fencing_token, "the store's answer"
+                )
             )
         # A former holder gives the lease up by naming the new term: until all
         # have, nobody holds it.
         if is_new:
             return _CONFIRM_S
-        return _RENEW_S if grant.holding else _STANDBY_RENEW_S
+        return _RENEW_S if grant.is_holder else _STANDBY_RENEW_S
 
     def _stop_if_lapsing(self, cause: str) -> None:
         now_s = asyncio.get_running_loop().time()
-        fencing = self._leadership.fencing(now_s)
+        fencing = self._leadership.current_token(now_s)
         if fencing is None:
             return
         age_s = now_s - self._renewed_s
         is_old = age_s >= _STOP_SHARE * self._leadership.duration_s
         if self._failures < _MOST_FAILURES and not is_old:
             return
-        self._leadership.fenced(fencing)
+        self._leadership.record_refused_token(fencing)
         self._leadership.revoke()
         self._metrics.count("lease.stopped")
         why = f"not renewed for {age_s:.2f} s: {cause}"
@@ -265,8 +267,10 @@
         """Stop to ask; another candidate took this one's place."""
         self._joined = False
         left, self._member = self._member, self._next_member()
-        newest = self._leadership.newest_fencing
-        self._leadership.renewed(LeaseGrant(holding=False, fencing=newest), 0.0)
+        newest = self._leadership.newest_token
+        self._leadership.record_renewal(
+            LeaseGrant(is_holder=False, fencing_token=newest), 0.0
+        )
         await self._end(left)
 
     async def release(self) -> None:
--- a/tests/forwarding/test_incarnations.py
+++ b/tests/forwarding/test_incarnations.py
@@ -118,7 +118,7 @@
     engine = dated.engines[0]
     entry = entry_of(dated, engine)
     engine.born = SECOND_START
-    order = LoadOrder("inspect", "", LayerRange(0, 3), fencing=1)
+    order = LoadOrder("inspect", "", LayerRange(0, 3), fencing_token=1)
     outcome = await dated.entry._placement._orders._send(entry, order)
     assert outcome == OrderUnsettled("the engine has started again")
     assert not engine.given
--- a/tests/forwarding/test_store_goes_back.py
+++ b/tests/forwarding/test_store_goes_back.py
@@ -13,7 +13,7 @@
 import pytest
 
 from railfold._internal.core import Address
-from railfold._internal.decisions.log_epoch import RETURN_S
+from railfold._internal.decisions.log_epoch import LOG_RECOVERY_S
 from railfold._internal.decisions.quarantine import Content, Crash
 from railfold._internal.forwarding.store.shared_records import KEY_NAME
 from railfold._internal.platform.store import GroupLease
@@ -97,7 +97,7 @@
     await until(lambda: not lease.valid(loop.time()))
     back_s = loop.time()
     await come_back(deployment, copy)
-    while loop.time() < back_s + RETURN_S - 0.2:
+    while loop.time() < back_s + LOG_RECOVERY_S - 0.2:
         assert (await deployment.ask("/tray/1", "r-early")).status == 503
         await asyncio.sleep(0.1)
     tenants = [{"name": "quality", "api_keys": ["another"], "priority": 1}]
@@ -117,7 +117,7 @@
     await until(lambda: router.table is not None and router.table.version == 2)
     await lose_store(deployment)
     await come_back(deployment, copy)
-    await asyncio.sleep(RETURN_S + 1.2)
+    await asyncio.sleep(LOG_RECOVERY_S + 1.2)
     loop = asyncio.get_running_loop()
     assert not router.lease.valid(loop.time())
     deployment.store.put("keyed.op", "config", configuration(2))
--- a/tests/lib/traces.py
+++ b/tests/lib/traces.py
@@ -32,7 +32,7 @@
 TRACES = Path(__file__).parent.parent / "traces"
 
 
-def plain(value: Any) -> Any:
+def to_plain(value: Any) -> Any:
     """Return a value as plain data that reads well in a golden file."""
     match value:
         case RailfoldError():
@@ -45,16 +45,17 @@
             return [f"{s.host}[{s.layers}]" for s in value.stages]
         case _ if dataclasses.is_dataclass(value) and not isinstance(value, type):
             fields = {
-                f.name: plain(getattr(value, f.name)) for f in dataclasses.fields(value)
+                f.name: to_plain(getattr(value, f.name))
+                for f in dataclasses.fields(value)
             }
             return {type(value).__name__: fields}
         case msgspec.Struct():
             values = msgspec.structs.asdict(value)
-            return {type(value).__name__: {k: plain(v) for k, v in values.items()}}
+            return {type(value).__name__: {k: to_plain(v) for k, v in values.items()}}
         case frozenset():
-            return sorted(plain(item) for item in value)
+            return sorted(to_plain(item) for item in value)
         case list() | tuple():
-            return [plain(item) for item in value]
+            return [to_plain(item) for item in value]
         case _:
             return value
 
@@ -80,7 +81,7 @@
 
     steps: list[str]
     outcome: Any
-    stated: Any
+    expected: Any
 
 
 def replay(path: Path) -> Replay:
@@ -91,7 +92,7 @@
     steps = []
     for line in events:
         actions = machine.feed(line["at_s"], line["event"], line.get("fields", {}))
-        done = [json.dumps(plain(action)) for action in actions]
+        done = [json.dumps(to_plain(action)) for action in actions]
         steps.append(f"{line['at_s']} {line['event']} -> {' '.join(done) or 'nothing'}")
     return Replay(steps, machine.outcome(), last["outcome"])
 
@@ -117,7 +118,7 @@
 
     def outcome(self) -> Any:
         tokens = [token.token_id for token in self.machine.emitted]
-        return {"final": plain(self.finish), "tokens": tokens}
+        return {"final": to_plain(self.finish), "tokens": tokens}
 
 
 class _Call:
@@ -141,7 +142,7 @@
         return actions
 
     def outcome(self) -> Any:
-        return plain(self.finish)
+        return to_plain(self.finish)
 
 
 class _Sequences:
--- a/tests/lib/virtual_time.py
+++ b/tests/lib/virtual_time.py
@@ -33,7 +33,7 @@
         return self._jumping.now_s
 
 
-def play(main: Coroutine[Any, Any, T]) -> T:
+def run_in_virtual_time(main: Coroutine[Any, Any, T]) -> T:
     """Run a coroutine on a loop of its own."""
     with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
         return runner.run(main)
--- a/tests/unit/test_generate_driver.py
+++ b/tests/unit/test_generate_driver.py
@@ -23,7 +23,7 @@
 )
 from railfold._internal.decisions.membership import (
     AgentReport,
-    HostListed,
+    HostListReceived,
     LinkUp,
     ListedHost,
     MembershipView,
@@ -51,7 +51,9 @@
         self.probed_at_s: list[float] = []
         self.silent: frozenset[str] = frozenset()
         self.driver: GenerateDriver | None = None
-        self.view.apply(HostListed(tuple(ListedHost(h, "10.0.0.1:1") for h in LAYERS)))
+        self.view.apply(
+            HostListReceived(tuple(ListedHost(h, "10.0.0.1:1") for h in LAYERS))
+        )
         for host, layers in LAYERS.items():
             self.view.apply(LinkUp(host, "10.0.0.1:1", 1, "hall-a", "west"))
             loaded = (Loaded("inspect-llm", "1", layers),)
--- a/tests/unit/test_layer_orders.py
+++ b/tests/unit/test_layer_orders.py
@@ -55,7 +55,9 @@
         metrics=SimpleNamespace(count=lambda name: None),
         log=SimpleNamespace(write=lambda event: None),
     )
-    leadership = SimpleNamespace(fencing=lambda now_s: 1, fenced=lambda number: None)
+    leadership = SimpleNamespace(
+        current_token=lambda now_s: 1, record_refused_token=lambda number: None
+    )
     return LayerOrders(
         cast("Any", router), cast("Any", leadership), cast("Any", engine)
     )
--- a/tests/unit/test_leadership_handover.py
+++ b/tests/unit/test_leadership_handover.py
@@ -20,7 +20,7 @@
 from railfold._internal.observability.decision_log import DecisionLog
 from railfold._internal.observability.metrics import Metrics
 from tests.lib.properties import examples
-from tests.lib.virtual_time import play
+from tests.lib.virtual_time import run_in_virtual_time
 
 # What callers lose while layers are missing and nobody orders others.
 HANDOVER_S = 1.5
@@ -118,7 +118,7 @@
         """The token that it gives orders with."""
         if self.state in ("frozen", "killed"):
             return None
-        return self.leadership.fencing(asyncio.get_running_loop().time())
+        return self.leadership.current_token(asyncio.get_running_loop().time())
 
     def _on_epoch(self, epoch: int) -> None:
         if epoch > self.epoch:
@@ -205,7 +205,7 @@
                 await asyncio.sleep(_TICK_S)
             return loop.time() - lost_s
 
-    assert play(lose_leader()) < HANDOVER_S
+    assert run_in_virtual_time(lose_leader()) < HANDOVER_S
 
 
 def test_a_leader_that_the_store_refuses_hands_over_before_its_lease_ends() -> None:
@@ -219,7 +219,7 @@
                 await asyncio.sleep(_TICK_S)
             return loop.time() - lost_s
 
-    assert play(refuse_leader()) < 0.6
+    assert run_in_virtual_time(refuse_leader()) < 0.6
 
 
 @pytest.mark.parametrize("phase_s", [n * 0.03 for n in range(9)])
@@ -240,7 +240,7 @@
                 await asyncio.sleep(_TICK_S)
             return most
 
-    assert play(leave_late()) == 1
+    assert run_in_virtual_time(leave_late()) == 1
 
 
 def test_a_member_id_that_was_given_up_is_not_used_again() -> None:
@@ -256,7 +256,7 @@
             await asyncio.sleep(3.0)
             return given_up, set(group.named)
 
-    given_up, used = play(refuse_leader())
+    given_up, used = run_in_virtual_time(refuse_leader())
     assert used
     assert given_up not in used
 
@@ -304,23 +304,23 @@
                             assert process.name == newest_leader
                     await asyncio.sleep(_TICK_S)
 
-    play(run())
+    run_in_virtual_time(run())
 
 
 def test_a_former_candidate_stays_for_some_time_and_then_goes() -> None:
     candidacy = Candidacy(MEMBER_S)
-    assert not candidacy.asks(0.0)
-    candidacy.renewed(LeaseGrant(False, 1, is_candidate=True), 10.0)
-    assert candidacy.asks(10.1)
+    assert not candidacy.requests_lease(0.0)
+    candidacy.record_renewal(LeaseGrant(False, 1, is_candidate=True), 10.0)
+    assert candidacy.requests_lease(10.1)
     for second in range(11, 15):
-        candidacy.renewed(LeaseGrant(False, 2), float(second))
-        assert candidacy.asks(second + 0.5)
-    candidacy.renewed(LeaseGrant(False, 2), 15.0)
-    assert not candidacy.asks(15.5)
+        candidacy.record_renewal(LeaseGrant(False, 2), float(second))
+        assert candidacy.requests_lease(second + 0.5)
+    candidacy.record_renewal(LeaseGrant(False, 2), 15.0)
+    assert not candidacy.requests_lease(15.5)
 
 
 def test_a_candidate_that_the_store_does_not_hear_asks_no_more() -> None:
     """It isn't a member by now, and others have been named."""
     candidacy = Candidacy(MEMBER_S)
-    candidacy.renewed(LeaseGrant(False, 1, is_candidate=True), 10.0)
-    assert not candidacy.asks(10.0 + MEMBER_S)
+    candidacy.record_renewal(LeaseGrant(False, 1, is_candidate=True), 10.0)
+    assert not candidacy.requests_lease(10.0 + MEMBER_S)
--- a/tests/unit/test_leases.py
+++ b/tests/unit/test_leases.py
@@ -23,29 +23,31 @@
 
 def test_a_holder_stops_before_its_lease_ends() -> None:
     leadership = Leadership(duration_s=2.0)
-    leadership.renewed(LeaseGrant(holding=True, fencing=7), sent_s=100.0)
-    assert leadership.fencing(101.5) == 7
-    assert leadership.fencing(101.7) is None
+    leadership.record_renewal(LeaseGrant(is_holder=True, fencing_token=7), sent_s=100.0)
+    assert leadership.current_token(101.5) == 7
+    assert leadership.current_token(101.7) is None
 
 
 def test_a_holder_that_slept_gives_no_order() -> None:
     leadership = Leadership(duration_s=2.0)
-    leadership.renewed(LeaseGrant(holding=True, fencing=7), sent_s=100.0)
-    assert leadership.fencing(130.0) is None
+    leadership.record_renewal(LeaseGrant(is_holder=True, fencing_token=7), sent_s=100.0)
+    assert leadership.current_token(130.0) is None
 
 
 def test_a_fenced_holder_waits_for_a_higher_token() -> None:
     leadership = Leadership(duration_s=2.0)
-    leadership.renewed(LeaseGrant(holding=True, fencing=7), sent_s=100.0)
-    leadership.fenced(7)
-    leadership.renewed(LeaseGrant(holding=True, fencing=7), sent_s=100.5)
-    assert leadership.fencing(100.6) is None
-    leadership.renewed(LeaseGrant(holding=True, fencing=8), sent_s=101.0)
-    assert leadership.fencing(101.1) == 8
+    leadership.record_renewal(LeaseGrant(is_holder=True, fencing_token=7), sent_s=100.0)
+    leadership.record_refused_token(7)
+    leadership.record_renewal(LeaseGrant(is_holder=True, fencing_token=7), sent_s=100.5)
+    assert leadership.current_token(100.6) is None
+    leadership.record_renewal(LeaseGrant(is_holder=True, fencing_token=8), sent_s=101.0)
+    assert leadership.current_token(101.1) == 8
 
 
 def test_only_a_change_of_the_role_is_told() -> None:
     leadership = Leadership(duration_s=2.0)
-    assert leadership.renewed(LeaseGrant(holding=False, fencing=1), 0.0)
-    assert not leadership.renewed(LeaseGrant(holding=False, fencing=2), 1.0)
-    assert leadership.renewed(LeaseGrant(holding=True, fencing=3), 2.0)
+    assert leadership.record_renewal(LeaseGrant(is_holder=False, fencing_token=1), 0.0)
+    assert not leadership.record_renewal(
+        LeaseGrant(is_holder=False, fencing_token=2), 1.0
+    )
+    assert leadership.record_renewal(LeaseGrant(is_holder=True, fencing_token=3), 2.0)
--- a/tests/unit/test_lifecycle_properties.py
+++ b/tests/unit/test_lifecycle_properties.py
@@ -19,7 +19,7 @@
     RequestLifecycle,
 )
 from railfold._internal.decisions.lifecycle_events import (
-    CallerGone,
+    CallerDisconnected,
     CancelAttempt,
     ChainPlanned,
     DeadlinePassed,
@@ -112,7 +112,7 @@
             case 8 if shift:
                 self.feed(DeadlinePassed())
             case 9 if shift:
-                self.feed(CallerGone())
+                self.feed(CallerDisconnected())
             case _:
                 self.feed(PlanRefused(NoCapacityError("none"), 1.0))
 
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -8,7 +8,7 @@
 from railfold._internal.decisions.heartbeats import HeartbeatPace
 from railfold._internal.decisions.membership import (
     AgentReport,
-    HostListed,
+    HostListReceived,
     LinkDown,
     LinkUp,
     ListedHost,
@@ -38,7 +38,7 @@
 def view() -> MembershipView:
     """A view of one serving agent."""
     view = MembershipView()
-    view.apply(HostListed((ListedHost("a1", "10.0.0.1:1"),)))
+    view.apply(HostListReceived((ListedHost("a1", "10.0.0.1:1"),)))
     view.apply(link_up())
     view.apply(report())
     return view
@@ -51,10 +51,10 @@
 def test_listed_host_is_dialled_once() -> None:
     view = MembershipView()
     host = ListedHost("a1", "10.0.0.1:1")
-    assert view.apply(HostListed((host,))).dial == (host,)
-    assert view.apply(HostListed((host,))).dial == ()
+    assert view.apply(HostListReceived((host,))).connect == (host,)
+    assert view.apply(HostListReceived((host,))).connect == ()
     moved = ListedHost("a1", "10.0.0.2:1")
-    assert view.apply(HostListed((moved,))).dial == (moved,)
+    assert view.apply(HostListReceived((moved,))).connect == (moved,)
 
 
 def test_agent_is_routed_to_after_its_own_word(view: MembershipView) -> None:
@@ -67,21 +67,21 @@
 @pytest.mark.parametrize("state", ["draining", "unavailable"])
 def test_agents_own_word_goes_before_the_list(view: MembershipView, state: str) -> None:
     view.apply(report(state))
-    view.apply(HostListed((ListedHost("a1", "10.0.0.1:1"),)))
+    view.apply(HostListReceived((ListedHost("a1", "10.0.0.1:1"),)))
     assert not routed(view)
 
 
 def test_list_may_take_away_but_not_give(view: MembershipView) -> None:
-    view.apply(HostListed((ListedHost("a1", "10.0.0.1:1", leaving=True),)))
+    view.apply(HostListReceived((ListedHost("a1", "10.0.0.1:1", leaving=True),)))
     assert not routed(view)
-    view.apply(HostListed((ListedHost("a1", "10.0.0.1:1"),)))
+    view.apply(HostListReceived((ListedHost("a1", "10.0.0.1:1"),)))
     assert routed(view)
 
 
 def test_empty_list_does_not_stop_a_linked_agent(view: MembershipView) -> None:
-    assert view.apply(HostListed(())).hang_up == ()
+    assert view.apply(HostListReceived(())).disconnect == ()
     assert routed(view)
-    assert view.apply(LinkDown("a1", 1)).hang_up == ("a1",)
+    assert view.apply(LinkDown("a1", 1)).disconnect == ("a1",)
 
 
 def test_broken_link_loses_the_hosts_work(view: MembershipView) -> None:
--- a/tests/unit/test_orders.py
+++ b/tests/unit/test_orders.py
@@ -7,16 +7,16 @@
 from railfold._internal.core import LayerRange
 from railfold._internal.decisions.configuration import ChangeRecord, Configuration
 from railfold._internal.decisions.orders import (
+    DesiredStateReached,
     GiveOrder,
-    LevelReached,
     LoadOrder,
+    NewerTokenSeen,
     OrderDecision,
     OrderLimits,
     Reconciler,
     WaitForLease,
     WaitForSequences,
     WaitForSlot,
-    WaitForSuccessor,
 )
 from railfold._internal.decisions.wanted_loads import wanted_load
 
@@ -32,7 +32,7 @@
         "loaded": OLD,
         "engine_fencing": 3,
         "open_sequences": 0,
-        "heard_s": now_s,
+        "last_contact_s": now_s,
         **changes,
     }
     slot = arguments.pop("slot", 0)
@@ -47,25 +47,25 @@
 
 def test_order_is_given_until_it_is_read_back(reconciler: Reconciler) -> None:
     assert decide(reconciler) == GiveOrder(ORDER)
-    reconciler.ordered(10.0)
+    reconciler.record_order(10.0)
     assert decide(reconciler, 11.0) == WaitForSlot(13.0)
     assert decide(reconciler, 13.0) == GiveOrder(ORDER)
     wanted = ("m", "2", LayerRange(0, 3))
-    assert decide(reconciler, 14.0, loaded=wanted) == LevelReached()
+    assert decide(reconciler, 14.0, loaded=wanted) == DesiredStateReached()
     assert decide(reconciler, 20.0) == GiveOrder(ORDER)
 
 
 def test_woken_agent_finds_its_lease_lapsed(reconciler: Reconciler) -> None:
-    assert decide(reconciler, 100.0, heard_s=94.0) == WaitForLease()
-    assert decide(reconciler, 100.0, heard_s=96.0) == GiveOrder(ORDER)
+    assert decide(reconciler, 100.0, last_contact_s=94.0) == WaitForLease()
+    assert decide(reconciler, 100.0, last_contact_s=96.0) == GiveOrder(ORDER)
 
 
 def test_agent_that_never_heard_an_entry_gives_no_order(reconciler: Reconciler) -> None:
-    assert decide(reconciler, heard_s=float("-inf")) == WaitForLease()
+    assert decide(reconciler, last_contact_s=float("-inf")) == WaitForLease()
 
 
 def test_newer_number_at_the_engine_stops_us(reconciler: Reconciler) -> None:
-    assert decide(reconciler, engine_fencing=8) == WaitForSuccessor()
+    assert decide(reconciler, engine_fencing=8) == NewerTokenSeen()
 
 
 def test_open_sequences_end_first(reconciler: Reconciler) -> None:
@@ -105,5 +105,5 @@
 def test_pipeline_that_changed_last_counts() -> None:
     wanted = wanted_load(configuration(), "h0")
     assert wanted is not None
-    assert (wanted[0].model, wanted[0].fencing) == ("second", 2)
+    assert (wanted[0].model, wanted[0].fencing_token) == ("second", 2)
     assert wanted_load(configuration(), "elsewhere") is None
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -128,7 +128,7 @@
 
     async def renew(self, holder: str, duration_s: float) -> LeaseGrant:
         self._host.suspend(self._for_s)
-        return LeaseGrant(holding=True, fencing=1)
+        return LeaseGrant(is_holder=True, fencing_token=1)
 
     async def release(self, holder: str) -> None:
         pass
@@ -152,6 +152,6 @@
             lambda epoch: None,
         )
         await keeper._renew()
-        return leadership.fencing(asyncio.get_running_loop().time())
+        return leadership.current_token(asyncio.get_running_loop().time())
 
     assert (clock.run(renew()) is not None) is holds
--- a/tests/unit/test_traces.py
+++ b/tests/unit/test_traces.py
@@ -13,5 +13,5 @@
 @pytest.mark.parametrize("name", NAMES)
 def test_trace(name: str, snapshot: SnapshotAssertion) -> None:
     result = replay(TRACES / f"{name}.jsonl")
-    assert result.outcome == result.stated
+    assert result.outcome == result.expected
     assert result.steps == snapshot
