--- a/src/railfold/_internal/agent/orders.py
+++ b/src/railfold/_internal/agent/orders.py
@@ -75,7 +75,7 @@
         return self._reconciler.decide(
             self._wanted_now(),
             loaded=loaded,
-            engine_fencing=status.fencing,
+            engine_fencing_token=status.fencing,
             open_sequences=self._backend.report().running,
             last_contact_s=self._heard_s(),
             now_s=asyncio.get_running_loop().time(),
--- a/src/railfold/_internal/decisions/batching.py
+++ b/src/railfold/_internal/decisions/batching.py
@@ -23,8 +23,8 @@
 
     def __init__(self, max_batch: int) -> None:
         self._max_batch = max_batch
-        self._ran: set[Hashable] = set()
-        self._steps = 0
+        self._ran_this_round: set[Hashable] = set()
+        self._steps_this_round = 0
 
     def take(self, ready: Sequence[Hashable], open_sequences: int, stages: int) -> int:
         """Return how many of ``ready``, from its front, the next step takes.
@@ -32,13 +32,13 @@
         :param open_sequences: sequences open at this stage, ready or not.
         :param stages: stages of the longest open chain.
         """
-        if self._steps >= stages or ready[0] in self._ran:
-            self._ran.clear()
-            self._steps = 0
-        steps_left = max(1, stages - self._steps)
-        expected = max(len(ready), open_sequences - len(self._ran))
-        share = -(-expected // steps_left)
-        count = max(1, min(share, len(ready), self._max_batch))
-        self._ran.update(ready[:count])
-        self._steps += 1
+        if self._steps_this_round >= stages or ready[0] in self._ran_this_round:
+            self._ran_this_round.clear()
+            self._steps_this_round = 0
+        steps_left = max(1, stages - self._steps_this_round)
+        remaining = max(len(ready), open_sequences - len(self._ran_this_round))
+        even_share = -(-remaining // steps_left)
+        count = max(1, min(even_share, len(ready), self._max_batch))
+        self._ran_this_round.update(ready[:count])
+        self._steps_this_round += 1
         return count
--- a/src/railfold/_internal/decisions/calls.py
+++ b/src/railfold/_internal/decisions/calls.py
@@ -173,10 +173,10 @@
     def __init__(self, *, repeatable: bool, limits: CallLimits) -> None:
         self._repeatable = repeatable
         self._limits = limits
-        self._runs = 0
+        self._lost_hosts = 0
         self._phase = _Phase.CHOOSING
         self._host = ""
-        self._tries = 0
+        self._sends = 0
         self._excluded: set[str] = set()
         self._may_have_run = False
 
@@ -195,14 +195,14 @@
 
         Nothing if the call would be given up.
         """
-        blocked = self._phase is not _Phase.SENT or not self._repeatable
-        if blocked or self._spent(self._runs + 1):
+        cannot_retry = self._phase is not _Phase.SENT or not self._repeatable
+        if cannot_retry or self._limits_reached(self._lost_hosts + 1):
             return None
         return frozenset({*self._excluded, self._host})
 
-    def _spent(self, runs: int) -> bool:
+    def _limits_reached(self, lost_hosts: int) -> bool:
         limits = self._limits
-        return self._tries >= limits.max_sends or runs >= limits.max_lost_hosts
+        return self._sends >= limits.max_sends or lost_hosts >= limits.max_lost_hosts
 
     def start(self) -> list[CallAction]:
         """Begin: ask for a host."""
@@ -216,7 +216,7 @@
             case CallHostChosen(host=host):
                 return self._send(host)
             case NoHost(error=error, retry_after_s=retry_after_s):
-                return self._give_up(error, retry_after_s)
+                return self._finish_without_answer(error, retry_after_s)
             case CallAnswered(host=host):
                 return self._finish(Answered()) if host == self._host else []
             case CallHostRefused(host=host, started=started, reason=reason):
@@ -226,25 +226,25 @@
                 error = NoCapacityError(f"host {host} takes no call", why=reason)
                 return self._choose_another(host, error)
             case CallHostLost(host=host):
-                lost = EngineUnavailableError(
+                lost_error = EngineUnavailableError(
                     f"host {host} was lost while it had the call"
                 )
-                self._runs += 1
-                return self._retry(host, lost, may_have_run=True)
+                self._lost_hosts += 1
+                return self._retry(host, lost_error, may_have_run=True)
             case CallDeadlinePassed():
                 error = DeadlineExpiredError(
                     "the call's deadline passed before its answer came"
                 )
-                return self._abandon(error)
+                return self._abort(error)
             case CallCallerDisconnected():
-                return self._abandon(EngineError("the caller closed its connection"))
+                return self._abort(EngineError("the caller closed its connection"))
 
     def _send(self, host: str) -> list[CallAction]:
         if self._phase is not _Phase.CHOOSING:
             return []
         self._phase = _Phase.SENT
         self._host = host
-        self._tries += 1
+        self._sends += 1
         return [SendCall(host)]
 
     def _retry(
@@ -254,9 +254,9 @@
             return []
         self._may_have_run = self._may_have_run or may_have_run
         self._excluded.add(host)
-        blocked = self._may_have_run and not self._repeatable
-        if blocked or self._spent(self._runs):
-            return self._give_up(error, _RETRY_AFTER_S)
+        cannot_retry = self._may_have_run and not self._repeatable
+        if cannot_retry or self._limits_reached(self._lost_hosts):
+            return self._finish_without_answer(error, _RETRY_AFTER_S)
         self._phase = _Phase.CHOOSING
         return [ChooseHost(frozenset(self._excluded), is_retry=True)]
 
@@ -264,17 +264,19 @@
         """Choose again; a retry is only what follows a call that was sent."""
         if self._phase is not _Phase.SENT or host != self._host:
             return []
-        if self._spent(self._runs):
-            return self._give_up(error, _RETRY_AFTER_S)
+        if self._limits_reached(self._lost_hosts):
+            return self._finish_without_answer(error, _RETRY_AFTER_S)
         self._phase = _Phase.CHOOSING
         excluded = frozenset(self._excluded)
         return [ChooseHost(excluded, is_retry=bool(excluded))]
 
-    def _abandon(self, error: RailfoldError) -> list[CallAction]:
+    def _abort(self, error: RailfoldError) -> list[CallAction]:
         self._may_have_run = self._may_have_run or self._phase is _Phase.SENT
-        return self._give_up(error, _RETRY_AFTER_S)
+        return self._finish_without_answer(error, _RETRY_AFTER_S)
 
-    def _give_up(self, error: RailfoldError, retry_after_s: float) -> list[CallAction]:
+    def _finish_without_answer(
+        self, error: RailfoldError, retry_after_s: float
+    ) -> list[CallAction]:
         if not self._may_have_run and not self._excluded:
             return self._finish(NotRun(NeverSent(), error, retry_after_s))
         if not self._may_have_run:
--- a/src/railfold/_internal/decisions/heartbeats.py
+++ b/src/railfold/_internal/decisions/heartbeats.py
@@ -28,8 +28,8 @@
 
     def interval_s(self, agents: int) -> float:
         """Return the interval for each of ``agents``, in seconds."""
-        fair_s = agents * self.heartbeat_bytes / self.budget_bytes_per_s
-        return min(self.max_interval_s, max(self.min_interval_s, fair_s))
+        budget_interval_s = agents * self.heartbeat_bytes / self.budget_bytes_per_s
+        return min(self.max_interval_s, max(self.min_interval_s, budget_interval_s))
 
 
 @dataclass(slots=True)
@@ -47,13 +47,13 @@
     floor_s: float = 0.25
     first_token_s: float = 2.0
     _mean_gap_s: float | None = None
-    _last_s: float | None = None
-    _patience: float = 1.0
+    _last_token_s: float | None = None
+    _probe_backoff: float = 1.0
     _opened_s: float = 0.0
 
     def opened(self, now_s: float) -> None:
         """An attempt was opened."""
-        self._last_s = None
+        self._last_token_s = None
         self._opened_s = now_s
 
     def token(self, now_s: float) -> bool:
@@ -62,24 +62,27 @@
         That is so at an attempt's first token: until then the limit is the one
         for first tokens.
         """
-        is_first = self._last_s is None
-        if self._last_s is not None:
-            gap_s = now_s - self._last_s
+        is_first = self._last_token_s is None
+        if self._last_token_s is not None:
+            gap_s = now_s - self._last_token_s
             mean_s = self._mean_gap_s
             self._mean_gap_s = gap_s if mean_s is None else 0.8 * mean_s + 0.2 * gap_s
-        self._last_s = now_s
-        self._patience = 1.0
+        self._last_token_s = now_s
+        self._probe_backoff = 1.0
         return is_first
 
     def probed(self, now_s: float) -> None:
         """All stages answered a probe: wait twice as long for the next."""
-        self._patience *= 2.0
-        if self._last_s is None:
+        self._probe_backoff *= 2.0
+        if self._last_token_s is None:
             self._opened_s = now_s
 
     def due_s(self) -> float:
         """Return the loop time at which the next token is overdue."""
-        if self._last_s is None:
-            return self._opened_s + self.first_token_s * self._patience
+        if self._last_token_s is None:
+            return self._opened_s + self.first_token_s * self._probe_backoff
         gap_s = self._mean_gap_s or 0.0
-        return self._last_s + max(self.floor_s, gap_s * self.factor) * self._patience
+        return (
+            self._last_token_s
+            + max(self.floor_s, gap_s * self.factor) * self._probe_backoff
+        )
--- a/src/railfold/_internal/decisions/leadership.py
+++ b/src/railfold/_internal/decisions/leadership.py
@@ -33,31 +33,31 @@
 
 # A new deal among all processes names other candidates. Former ones stay for this time,
 # so that the lease isn't dealt anew by each change.
-_STAY_S = 5.0
+_FORMER_CANDIDATE_S = 5.0
 
 
 @dataclass(slots=True)
 class Candidacy:
     """Whether one process asks for the lease; times are on the monotonic clock.
 
-    :param member_s: how long the process counts as a member after its last renewal
+    :param membership_s: how long the process counts as a member after its last renewal
         among all processes.
     """
 
-    member_s: float
-    _named_s: float = float("-inf")
+    membership_s: float
+    _last_candidate_s: float = float("-inf")
     _renewed_s: float = float("-inf")
 
     def record_renewal(self, grant: LeaseGrant, sent_s: float) -> None:
         """Take an answer to a renewal among all processes."""
         self._renewed_s = sent_s
         if grant.is_candidate:
-            self._named_s = sent_s
+            self._last_candidate_s = sent_s
 
     def requests_lease(self, now_s: float) -> bool:
         """Return whether to ask for the lease; its holder goes on anyway."""
-        is_member = now_s - self._renewed_s < self.member_s
-        return is_member and now_s - self._named_s < _STAY_S
+        is_member = now_s - self._renewed_s < self.membership_s
+        return is_member and now_s - self._last_candidate_s < _FORMER_CANDIDATE_S
 
 
 @dataclass(slots=True)
@@ -72,14 +72,14 @@
     duration_s: float
     _grant: LeaseGrant | None = None
     _renewed_s: float = 0.0
-    _fenced_at: int = -1
+    _refused_token: int = -1
 
     def record_renewal(self, grant: LeaseGrant, sent_s: float) -> bool:
         """Take an answer to a renewal; return whether the role changed."""
-        before = self._grant
+        previous = self._grant
         self._grant = grant
         self._renewed_s = sent_s
-        return before is None or before.is_holder != grant.is_holder
+        return previous is None or previous.is_holder != grant.is_holder
 
     def revoke(self) -> None:
         """The granter forgot what it granted, and may grant the lease to another."""
@@ -88,7 +88,7 @@
 
     def record_refused_token(self, fencing: int) -> None:
         """An order with this token was refused: another has a higher one."""
-        self._fenced_at = max(self._fenced_at, fencing)
+        self._refused_token = max(self._refused_token, fencing)
 
     def current_token(self, now_s: float) -> int | None:
         """Return the token to give orders with, if the lease holds now."""
@@ -96,7 +96,7 @@
         if (
             grant is None
             or not grant.is_holder
-            or grant.fencing_token <= self._fenced_at
+            or grant.fencing_token <= self._refused_token
         ):
             return None
         if now_s - self._renewed_s >= self.duration_s * (1.0 - _MARGIN_SHARE):
--- a/src/railfold/_internal/decisions/lifecycle.py
+++ b/src/railfold/_internal/decisions/lifecycle.py
@@ -124,23 +124,23 @@
             return []
         match event:
             case ChainPlanned(chain=chain):
-                return self._open(chain)
+                return self._open_attempt(chain)
             case PlanRefused(error=error, retry_after_s=retry_after_s):
                 if self._phase is not _Phase.PLANNING:
                     return []
-                return self._give_up(error, retry_after_s)
+                return self._finish_without_answer(error, retry_after_s)
             case TokenArrived():
-                return self._token(event)
+                return self._on_token(event)
             case StageRefused(attempt=attempt, host=host, reason=reason):
-                return self._refused(attempt, host, reason)
+                return self._on_stage_refused(attempt, host, reason)
             case StageFailed(attempt=attempt, host=host, reason=reason):
-                return self._failed(attempt, host, reason)
+                return self._on_stage_failed(attempt, host, reason)
             case HostsLost(hosts=hosts):
-                return self._lost(hosts)
+                return self._on_hosts_lost(hosts)
             case TombstoneReplied():
-                return self._tombstone(event)
+                return self._on_tombstone(event)
             case TokenOverdue():
-                return self._overdue()
+                return self._on_token_overdue()
             case DeadlinePassed():
                 error = DeadlineExpiredError(
                     "the request's deadline passed before its answer was whole",
@@ -150,7 +150,7 @@
             case CallerDisconnected():
                 return self._abort(EngineError("the caller closed its connection"))
 
-    def _open(self, chain: Chain) -> list[LifecycleAction]:
+    def _open_attempt(self, chain: Chain) -> list[LifecycleAction]:
         if self._phase is not _Phase.PLANNING:
             return []
         self._phase = _Phase.RUNNING
@@ -162,7 +162,7 @@
         emitted = tuple(token.token_id for token in self._emitted)
         return [OpenAttempt(self._attempt, chain, emitted)]
 
-    def _token(self, event: TokenArrived) -> list[LifecycleAction]:
+    def _on_token(self, event: TokenArrived) -> list[LifecycleAction]:
         # Even a token that can't be used is a sign that an attempt ran.
         self._may_have_run = True
         if self._phase is not _Phase.RUNNING or event.attempt != self._attempt:
@@ -180,7 +180,9 @@
             actions += self._finish(Answered())
         return actions
 
-    def _refused(self, attempt: int, host: str, reason: str) -> list[LifecycleAction]:
+    def _on_stage_refused(
+        self, attempt: int, host: str, reason: str
+    ) -> list[LifecycleAction]:
         if self._phase is not _Phase.RUNNING or attempt != self._attempt:
             return []
         error = NoCapacityError(f"host {host} refused the request", why=reason)
@@ -189,15 +191,17 @@
             # Only the first stage starts an attempt: unstarted there, it
             # didn't run anywhere.
             return self._retry(error, (host,))
-        return self._settle_then_retry(error, (host,))
+        return self._retry_when_safe(error, (host,))
 
-    def _failed(self, attempt: int, host: str, reason: str) -> list[LifecycleAction]:
+    def _on_stage_failed(
+        self, attempt: int, host: str, reason: str
+    ) -> list[LifecycleAction]:
         if self._phase is not _Phase.RUNNING or attempt != self._attempt:
             return []
         error = EngineUnavailableError(f"stage at host {host} failed", why=reason)
-        return self._settle_then_retry(error, (host,))
+        return self._retry_when_safe(error, (host,))
 
-    def _lost(self, hosts: frozenset[str]) -> list[LifecycleAction]:
+    def _on_hosts_lost(self, hosts: frozenset[str]) -> list[LifecycleAction]:
         affected = hosts.intersection(self._chain.hosts)
         if not affected or self._phase not in (_Phase.RUNNING, _Phase.SETTLING):
             return []
@@ -212,9 +216,9 @@
         if self._phase is _Phase.SETTLING:
             self._excluded.update(affected)
             return []
-        return self._settle_then_retry(error, tuple(sorted(affected)))
+        return self._retry_when_safe(error, tuple(sorted(affected)))
 
-    def _settle_then_retry(
+    def _retry_when_safe(
         self, error: RailfoldError, exclude: tuple[str, ...]
     ) -> list[LifecycleAction]:
         if self._request.repeatable or self._may_have_run:
@@ -226,7 +230,7 @@
         self._excluded.update(exclude)
         return [CancelAttempt(self._attempt, self._chain)]
 
-    def _tombstone(self, event: TombstoneReplied) -> list[LifecycleAction]:
+    def _on_tombstone(self, event: TombstoneReplied) -> list[LifecycleAction]:
         if self._phase is not _Phase.SETTLING or event.attempt != self._attempt:
             return []
         if event.host != self._chain.stages[0].host:
@@ -246,14 +250,14 @@
         self._excluded.update(exclude)
         cancel = CancelAttempt(self._attempt, self._chain)
         if self._may_have_run and not self._request.repeatable:
-            return [cancel, *self._finish(self._ended_early(error))]
+            return [cancel, *self._finish(self._incomplete_outcome(error))]
         if self._attempt >= self._limits.max_attempts:
-            return [cancel, *self._give_up(error, 1.0)]
+            return [cancel, *self._finish_without_answer(error, 1.0)]
         self._phase = _Phase.PLANNING
         prefer = tuple(h for h in self._chain.hosts if h not in self._excluded)
         return [cancel, PlanChain(frozenset(self._excluded), prefer, is_retry=True)]
 
-    def _overdue(self) -> list[LifecycleAction]:
+    def _on_token_overdue(self) -> list[LifecycleAction]:
         if self._phase is not _Phase.RUNNING:
             return []
         return [ProbeStages(self._chain)]
@@ -263,20 +267,20 @@
         if self._phase in (_Phase.RUNNING, _Phase.SETTLING):
             self._may_have_run = True  # Nothing proves otherwise at this point.
             cancel = [CancelAttempt(self._attempt, self._chain)]
-        return [*cancel, *self._give_up(error, 1.0)]
+        return [*cancel, *self._finish_without_answer(error, 1.0)]
 
-    def _give_up(
+    def _finish_without_answer(
         self, error: RailfoldError, retry_after_s: float
     ) -> list[LifecycleAction]:
         if self._may_have_run:
-            return self._finish(self._ended_early(error, retry_after_s))
+            return self._finish(self._incomplete_outcome(error, retry_after_s))
         if self._refusing_hosts:
             hosts = tuple(dict.fromkeys(self._refusing_hosts))
             proof = RefusedBeforeStart(hosts)
             return self._finish(NotRun(proof, error, retry_after_s))
         return self._finish(NotRun(NeverSent(), error, retry_after_s))
 
-    def _ended_early(
+    def _incomplete_outcome(
         self, error: RailfoldError, retry_after_s: float | None = None
     ) -> Outcome:
         # With a token in hand the request surely ran and surely isn't whole.
--- a/src/railfold/_internal/decisions/log_epoch.py
+++ b/src/railfold/_internal/decisions/log_epoch.py
@@ -31,10 +31,10 @@
 
     def observe(self, epoch: int) -> bool:
         """Take the epoch of an answer; return whether the log went back since."""
-        went_back = self.newest is not None and epoch > self.newest
-        if self.newest is None or went_back:
+        rolled_back = self.newest is not None and epoch > self.newest
+        if self.newest is None or rolled_back:
             self.newest = epoch
-        return went_back
+        return rolled_back
 
 
 def fencing_token(epoch: int, generation: int) -> int:
--- a/src/railfold/_internal/decisions/membership.py
+++ b/src/railfold/_internal/decisions/membership.py
@@ -169,18 +169,18 @@
         """Take one event; return what changed."""
         match event:
             case HostListReceived(hosts=hosts):
-                return self._list(hosts)
+                return self._on_host_list(hosts)
             case LinkUp():
-                return self._link_up(event)
+                return self._on_link_up(event)
             case LinkDown(host=host, incarnation=incarnation):
-                return self._link_down(host, incarnation)
+                return self._on_link_down(host, incarnation)
             case AgentReport():
-                self._report(event)
+                self._on_report(event)
                 return MembershipChange()
             case ProbeUnanswered(host=host, incarnation=incarnation):
-                return self._suspect(host, incarnation)
+                return self._on_probe_unanswered(host, incarnation)
 
-    def _list(self, hosts: tuple[ListedHost, ...]) -> MembershipChange:
+    def _on_host_list(self, hosts: tuple[ListedHost, ...]) -> MembershipChange:
         listed = {h.host: h for h in hosts}
         known = self._listed
         self._listed = listed
@@ -193,12 +193,12 @@
         )
         # A host that is off the list may still finish what it has: only hang
         # up once its own word or its link has ended that.
-        gone = tuple(
+        unlisted = tuple(
             name for name in known if name not in listed and name not in self._members
         )
-        return MembershipChange(connect=connect, disconnect=gone)
+        return MembershipChange(connect=connect, disconnect=unlisted)
 
-    def _link_up(self, event: LinkUp) -> MembershipChange:
+    def _on_link_up(self, event: LinkUp) -> MembershipChange:
         known = self._members.get(event.host)
         if known is not None and known.incarnation > event.incarnation:
             return MembershipChange()
@@ -214,7 +214,7 @@
             return MembershipChange()
         return MembershipChange(lost=frozenset({event.host}))
 
-    def _link_down(self, host: str, incarnation: int) -> MembershipChange:
+    def _on_link_down(self, host: str, incarnation: int) -> MembershipChange:
         known = self._members.get(host)
         if known is None or known.incarnation != incarnation:
             return MembershipChange()
@@ -226,7 +226,7 @@
         listed = self._listed.get(host)
         return listed is not None and listed.leaving
 
-    def _report(self, event: AgentReport) -> None:
+    def _on_report(self, event: AgentReport) -> None:
         member = self._members.get(event.host)
         if member is None or member.incarnation != event.incarnation:
             return
@@ -238,7 +238,7 @@
         member.loaded = event.loaded
         member.services = frozenset(event.services)
 
-    def _suspect(self, host: str, incarnation: int) -> MembershipChange:
+    def _on_probe_unanswered(self, host: str, incarnation: int) -> MembershipChange:
         member = self._members.get(host)
         if member is None or member.incarnation != incarnation:
             return MembershipChange()
--- a/src/railfold/_internal/decisions/orders.py
+++ b/src/railfold/_internal/decisions/orders.py
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DesiredStateReached:
-    """The engine holds what is wanted, or nothing is wanted of it."""
+    """The engine holds what is desired, or nothing is desired of it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,17 +104,17 @@
 
     def __init__(self, limits: OrderLimits) -> None:
         self._limits = limits
-        self._wanted: LoadOrder | None = None
-        self._wanted_since_s = 0.0
-        self._ordered_s: float | None = None
+        self._desired: LoadOrder | None = None
+        self._desired_since_s = 0.0
+        self._last_order_s: float | None = None
         self._retry_s = limits.retry_s
 
     def decide(
         self,
-        wanted: tuple[LoadOrder, int] | None,
+        desired: tuple[LoadOrder, int] | None,
         *,
         loaded: tuple[str, str, LayerRange] | None,
-        engine_fencing: int,
+        engine_fencing_token: int,
         open_sequences: int,
         last_contact_s: float,
         now_s: float,
@@ -122,25 +122,25 @@
         """Return what to do now.
 
         :param loaded: model, version and layers as read back.
-        :param engine_fencing: the highest number that the engine has seen.
+        :param engine_fencing_token: the highest number that the engine has seen.
         :param last_contact_s: when an entry was heard last, on the monotonic clock.
         :param now_s: the monotonic clock right now.
         """
-        if wanted is None:
+        if desired is None:
             return DesiredStateReached()
-        order, slot = wanted
-        if order != self._wanted:
-            self._wanted, self._wanted_since_s = order, now_s
-            self._ordered_s = None
+        order, slot = desired
+        if order != self._desired:
+            self._desired, self._desired_since_s = order, now_s
+            self._last_order_s = None
         if loaded == (order.model, order.version, order.layers):
             return DesiredStateReached()
-        if engine_fencing > order.fencing_token:
+        if engine_fencing_token > order.fencing_token:
             return NewerTokenSeen()
         if open_sequences:
             return WaitForSequences()
-        turn_s = self._turn_s(slot)
-        if now_s < turn_s:
-            return WaitForSlot(turn_s)
+        next_order_s = self._next_order_s(slot)
+        if now_s < next_order_s:
+            return WaitForSlot(next_order_s)
         if now_s - last_contact_s > self._limits.lease_s:
             return WaitForLease()
         return GiveOrder(order)
@@ -151,10 +151,10 @@
         :param retry_s: after which time it may be given again, if that isn't the
             usual one.
         """
-        self._ordered_s = now_s
+        self._last_order_s = now_s
         self._retry_s = self._limits.retry_s if retry_s is None else retry_s
 
-    def _turn_s(self, slot: int) -> float:
-        if self._ordered_s is not None:
-            return self._ordered_s + self._retry_s
-        return self._wanted_since_s + slot / self._limits.loads_per_s
+    def _next_order_s(self, slot: int) -> float:
+        if self._last_order_s is not None:
+            return self._last_order_s + self._retry_s
+        return self._desired_since_s + slot / self._limits.loads_per_s
--- a/src/railfold/_internal/decisions/policy.py
+++ b/src/railfold/_internal/decisions/policy.py
@@ -22,7 +22,7 @@
 _MAX_COMPREHENSIONS = 2
 _COMPREHENSIONS = (".map(", ".filter(", ".all(", ".exists(", ".exists_one(")
 
-_KEYS = {"admit": bool, "priority": int, "max_tokens": int}
+_RESULT_TYPES = {"admit": bool, "priority": int, "max_tokens": int}
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,14 +52,14 @@
         :raises ConfigurationRefusedError: it is too large, may cost too much,
             or isn't a valid expression.
         """
-        faults = []
+        problems = []
         if len(text.encode()) > MAX_POLICY_BYTES:
-            faults.append(f"policy is over {MAX_POLICY_BYTES} bytes")
-        loops = sum(text.count(name) for name in _COMPREHENSIONS)
-        if loops > _MAX_COMPREHENSIONS:
-            faults.append(f"policy has over {_MAX_COMPREHENSIONS} comprehensions")
-        if faults:
-            raise ConfigurationRefusedError("policy", faults)
+            problems.append(f"policy is over {MAX_POLICY_BYTES} bytes")
+        comprehensions = sum(text.count(name) for name in _COMPREHENSIONS)
+        if comprehensions > _MAX_COMPREHENSIONS:
+            problems.append(f"policy has over {_MAX_COMPREHENSIONS} comprehensions")
+        if problems:
+            raise ConfigurationRefusedError("policy", problems)
         # Imported where it is needed: the library brings a terminal toolkit
         # with it, which costs a third of a second at every start.
         import cel
@@ -67,8 +67,8 @@
         try:
             return cls(cel.compile(text))
         except ValueError as error:
-            fault = f"policy doesn't compile: {error}"
-            raise ConfigurationRefusedError("policy", [fault]) from error
+            problem = f"policy doesn't compile: {error}"
+            raise ConfigurationRefusedError("policy", [problem]) from error
 
     def evaluate(self, workspace: str, request: dict[str, Any]) -> PolicyDecision:
         """Return the decision; the safe default if the program fails."""
@@ -76,8 +76,8 @@
             result = self._program.execute({"workspace": workspace, "request": request})
         except (ValueError, TypeError, RuntimeError, KeyError):
             return _FAILED_DECISION
-        if not isinstance(result, dict) or not result.keys() <= _KEYS.keys():
+        if not isinstance(result, dict) or not result.keys() <= _RESULT_TYPES.keys():
             return _FAILED_DECISION
-        if any(type(value) is not _KEYS[key] for key, value in result.items()):
+        if any(type(value) is not _RESULT_TYPES[key] for key, value in result.items()):
             return _FAILED_DECISION
         return PolicyDecision(**result)
--- a/src/railfold/_internal/decisions/sequences.py
+++ b/src/railfold/_internal/decisions/sequences.py
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True)
-class _Orphan:
+class _OrphanFrame:
     expires_s: float
     frame: FrameReceived
 
@@ -96,8 +96,8 @@
         self._sequences: dict[AttemptId, _Sequence] = {}
         self._newest: dict[str, int] = {}
         self._tombstones: OrderedDict[AttemptId, bool] = OrderedDict()
-        self._orphans: list[_Orphan] = []
-        self._closing = 0
+        self._orphan_frames: list[_OrphanFrame] = []
+        self._closing_count = 0
         self.draining = False
         self.available = True
 
@@ -105,10 +105,10 @@
         return len(self._sequences)
 
     @property
-    def _live(self) -> int:
+    def _active_count(self) -> int:
         # A cancelled sequence whose last step still runs takes no place: its
         # entry has given the place to another request already.
-        return len(self._sequences) - self._closing
+        return len(self._sequences) - self._closing_count
 
     def owned_by(self, owner: str) -> int:
         """Return how many sequences an entry owns."""
@@ -140,31 +140,31 @@
             case OpenReceived():
                 return self._open(event)
             case FrameReceived():
-                return self._frame(event, now_s)
+                return self._on_frame(event, now_s)
             case RunCompleted():
-                return self._completed(event)
+                return self._on_run_completed(event)
             case RunFailed(attempt_id=attempt_id, reason=reason):
                 return self._fail(attempt_id, self._host, reason)
             case CancelReceived(attempt_id=attempt_id):
                 return self._cancel(attempt_id)
             case OwnerLost(owner=owner):
-                return self._drop_owner(owner)
+                return self._close_owned_by(owner)
             case PeerLost(host=host):
-                return self._drop_peer(host)
+                return self._fail_sequences_through(host)
             case Tick():
-                self._expire_orphans(now_s)
+                self._expire_orphan_frames(now_s)
                 return []
 
     def _open(self, event: OpenReceived) -> list[SequenceAction]:
         attempt_id = event.attempt_id
         if attempt_id in self._sequences:
             return []  # A duplicated open: the first one stands.
-        reason = self._refusal(event)
+        reason = self._refusal_reason(event)
         if reason is not None:
             # What was refused must stay refused if the open comes again.
-            self._bury(attempt_id, started=False)
+            self._add_tombstone(attempt_id, started=False)
             return [RefuseOpen(attempt_id, event.owner, reason)]
-        actions = self._supersede(attempt_id)
+        actions = self._close_older_attempt(attempt_id)
         self._newest[attempt_id.request_id] = attempt_id.attempt
         sequence = _Sequence(
             event.owner,
@@ -176,11 +176,11 @@
         self._sequences[attempt_id] = sequence
         if event.first_input is not None:
             sequence.held[event.base_step] = event.first_input
-        self._adopt_orphans(attempt_id, sequence)
+        self._take_orphan_frames(attempt_id, sequence)
         actions += self._run_next(attempt_id, sequence)
         return actions
 
-    def _refusal(self, event: OpenReceived) -> RefusalReason | None:
+    def _refusal_reason(self, event: OpenReceived) -> RefusalReason | None:
         attempt_id = event.attempt_id
         stage = event.chain.stages[event.index]
         if attempt_id in self._tombstones:
@@ -193,32 +193,32 @@
             return RefusalReason.DRAINING
         if not self.available:
             return RefusalReason.UNAVAILABLE
-        if self._live >= self._limits.max_sequences:
+        if self._active_count >= self._limits.max_sequences:
             return RefusalReason.FULL
         return None
 
-    def _supersede(self, attempt_id: AttemptId) -> list[SequenceAction]:
+    def _close_older_attempt(self, attempt_id: AttemptId) -> list[SequenceAction]:
         older = self._newest.get(attempt_id.request_id)
         if older is None or older == attempt_id.attempt:
             return []
         return self._close(AttemptId(attempt_id.request_id, older))
 
-    def _frame(self, event: FrameReceived, now_s: float) -> list[SequenceAction]:
+    def _on_frame(self, event: FrameReceived, now_s: float) -> list[SequenceAction]:
         sequence = self._sequences.get(event.attempt_id)
         if sequence is None:
-            self._hold_orphan(event, now_s)
+            self._hold_orphan_frame(event, now_s)
             return []
         if not _from_upstream(sequence, event):
             return []
         if sequence.closing:
             return []
         if event.step < sequence.next_step:
-            return self._repeat(event.attempt_id, sequence, event.step)
+            return self._resend_output(event.attempt_id, sequence, event.step)
         if len(sequence.held) < self._limits.max_held_frames:
             sequence.held.setdefault(event.step, event.input)
         return self._run_next(event.attempt_id, sequence)
 
-    def _repeat(
+    def _resend_output(
         self, attempt_id: AttemptId, sequence: _Sequence, step: int
     ) -> list[SequenceAction]:
         output = sequence.outputs.get(step)
@@ -242,7 +242,7 @@
         sequence.lineage = step_input.lineage
         return [StartRun(attempt_id, step, begins, step_input)]
 
-    def _completed(self, event: RunCompleted) -> list[SequenceAction]:
+    def _on_run_completed(self, event: RunCompleted) -> list[SequenceAction]:
         sequence = self._sequences.get(event.attempt_id)
         if sequence is None or sequence.running != event.step:
             return []
@@ -274,22 +274,22 @@
 
     def _cancel(self, attempt_id: AttemptId) -> list[SequenceAction]:
         actions = self._close(attempt_id)
-        started = self._bury(attempt_id, started=False)
+        started = self._add_tombstone(attempt_id, started=False)
         return [*actions, ConfirmTombstone(attempt_id, started)]
 
     def _close(self, attempt_id: AttemptId) -> list[SequenceAction]:
         sequence = self._sequences.get(attempt_id)
         if sequence is None:
             return []
-        self._bury(attempt_id, started=sequence.started)
+        self._add_tombstone(attempt_id, started=sequence.started)
         if sequence.running is not None:
             # The engine is at it: its KV cache goes when the step has ended.
             if not sequence.closing:
-                self._closing += 1
+                self._closing_count += 1
             sequence.closing = True
             return []
         if sequence.closing:
-            self._closing -= 1
+            self._closing_count -= 1
         del self._sequences[attempt_id]
         if self._newest.get(attempt_id.request_id) == attempt_id.attempt:
             del self._newest[attempt_id.request_id]
@@ -297,17 +297,17 @@
             return []
         return [CloseEngineSequence(attempt_id)]
 
-    def _bury(self, attempt_id: AttemptId, *, started: bool) -> bool:
+    def _add_tombstone(self, attempt_id: AttemptId, *, started: bool) -> bool:
         started = self._tombstones.setdefault(attempt_id, started)
         while len(self._tombstones) > self._limits.max_tombstones:
             self._tombstones.popitem(last=False)
         return started
 
-    def _drop_owner(self, owner: str) -> list[SequenceAction]:
-        orphaned = [i for i, s in self._sequences.items() if s.owner == owner]
-        return [action for i in orphaned for action in self._close(i)]
+    def _close_owned_by(self, owner: str) -> list[SequenceAction]:
+        attempt_ids = [i for i, s in self._sequences.items() if s.owner == owner]
+        return [action for i in attempt_ids for action in self._close(i)]
 
-    def _drop_peer(self, host: str) -> list[SequenceAction]:
+    def _fail_sequences_through(self, host: str) -> list[SequenceAction]:
         affected = [
             attempt_id
             for attempt_id, sequence in self._sequences.items()
@@ -319,23 +319,27 @@
             for action in self._fail(attempt_id, host, "peer_unreachable")
         ]
 
-    def _hold_orphan(self, event: FrameReceived, now_s: float) -> None:
+    def _hold_orphan_frame(self, event: FrameReceived, now_s: float) -> None:
         if event.attempt_id in self._tombstones:
             return
-        self._expire_orphans(now_s)
-        if len(self._orphans) < self._limits.max_orphan_frames:
+        self._expire_orphan_frames(now_s)
+        if len(self._orphan_frames) < self._limits.max_orphan_frames:
             expires_s = now_s + self._limits.orphan_timeout_s
-            self._orphans.append(_Orphan(expires_s, event))
+            self._orphan_frames.append(_OrphanFrame(expires_s, event))
 
-    def _expire_orphans(self, now_s: float) -> None:
-        self._orphans = [o for o in self._orphans if o.expires_s > now_s]
+    def _expire_orphan_frames(self, now_s: float) -> None:
+        self._orphan_frames = [o for o in self._orphan_frames if o.expires_s > now_s]
 
-    def _adopt_orphans(self, attempt_id: AttemptId, sequence: _Sequence) -> None:
-        if not self._orphans:
+    def _take_orphan_frames(self, attempt_id: AttemptId, sequence: _Sequence) -> None:
+        if not self._orphan_frames:
             return
-        mine = [o.frame for o in self._orphans if o.frame.attempt_id == attempt_id]
-        self._orphans = [o for o in self._orphans if o.frame.attempt_id != attempt_id]
-        for frame in mine:
+        matching = [
+            o.frame for o in self._orphan_frames if o.frame.attempt_id == attempt_id
+        ]
+        self._orphan_frames = [
+            o for o in self._orphan_frames if o.frame.attempt_id != attempt_id
+        ]
+        for frame in matching:
             if _from_upstream(sequence, frame) and frame.step >= sequence.next_step:
                 sequence.held.setdefault(frame.step, frame.input)
 
--- a/src/railfold/_internal/forwarding/servers/placement.py
+++ b/src/railfold/_internal/forwarding/servers/placement.py
@@ -359,7 +359,7 @@
         decision = reconciler.decide(
             (LoadOrder(model.name, "", layers, fencing), 0),
             loaded=loaded,
-            engine_fencing=0,
+            engine_fencing_token=0,
             open_sequences=0,
             last_contact_s=now_s,
             now_s=now_s,
--- a/tests/lib/traces.py
+++ b/tests/lib/traces.py
@@ -69,9 +69,9 @@
     if kind is object:
         return value
     if issubclass(kind, RailfoldError):
-        found = getattr(errors, value)
-        assert issubclass(found, RailfoldError)
-        return found(value)
+        error_type = getattr(errors, value)
+        assert issubclass(error_type, RailfoldError)
+        return error_type(value)
     raise NotImplementedError(kind)
 
 
@@ -92,8 +92,10 @@
     steps = []
     for line in events:
         actions = machine.feed(line["at_s"], line["event"], line.get("fields", {}))
-        done = [json.dumps(to_plain(action)) for action in actions]
-        steps.append(f"{line['at_s']} {line['event']} -> {' '.join(done) or 'nothing'}")
+        performed = [json.dumps(to_plain(action)) for action in actions]
+        steps.append(
+            f"{line['at_s']} {line['event']} -> {' '.join(performed) or 'nothing'}"
+        )
     return Replay(steps, machine.outcome(), last["outcome"])
 
 
--- a/tests/lib/virtual_time.py
+++ b/tests/lib/virtual_time.py
@@ -10,7 +10,7 @@
 T = TypeVar("T")
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     """Moves the time on where another one would wait."""
 
     now_s = 0.0
@@ -25,12 +25,12 @@
     """Plays hours in milliseconds."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the time that was played."""
-        return self._jumping.now_s
+        return self._virtual_selector.now_s
 
 
 def run_in_virtual_time(main: Coroutine[Any, Any, T]) -> T:
--- a/tests/unit/test_leadership_handover.py
+++ b/tests/unit/test_leadership_handover.py
@@ -27,7 +27,7 @@
 
 _TICK_S = 0.01
 _TRANSIT_S = 0.004
-_LATE_S = 0.7
+_LATE_LEAVE_S = 0.7
 
 
 @dataclass
@@ -36,49 +36,52 @@
 
     generation: int = 0
     holder: str = ""
-    heard_s: dict[str, float] = field(default_factory=dict)
-    named: dict[str, int] = field(default_factory=dict)
+    last_join_s: dict[str, float] = field(default_factory=dict)
+    confirmed_generations: dict[str, int] = field(default_factory=dict)
     epoch: int = 0
 
     def join(self, member: str, generation: int) -> tuple[int, bool]:
         now_s = asyncio.get_running_loop().time()
-        is_new = member not in self.heard_s
-        self.heard_s[member] = now_s
-        self.named[member] = generation
-        silent = [m for m, at_s in self.heard_s.items() if now_s - at_s >= LEASE_S]
-        for one in silent:
-            self._remove(one)
+        is_new = member not in self.last_join_s
+        self.last_join_s[member] = now_s
+        self.confirmed_generations[member] = generation
+        silent = [m for m, at_s in self.last_join_s.items() if now_s - at_s >= LEASE_S]
+        for silent_member in silent:
+            self._remove(silent_member)
         if is_new or silent:
             self.generation += 1
-        self._deal()
+        self._assign()
         is_holder = self.holder == member
-        return self.generation, is_holder and self._wanted() == member
+        return self.generation, is_holder and self._target_holder() == member
 
     def leave(self, member: str) -> None:
-        if member in self.heard_s:
+        if member in self.last_join_s:
             self._remove(member)
             self.generation += 1
-            self._deal()
+            self._assign()
 
-    def go_back(self) -> None:
+    def restore_older_copy(self) -> None:
         self.generation = max(0, self.generation - 3)
         self.holder = ""
-        self.heard_s.clear()
+        self.last_join_s.clear()
         self.epoch += 1
 
     def _remove(self, member: str) -> None:
-        del self.heard_s[member]
+        del self.last_join_s[member]
         if self.holder == member:
             self.holder = ""
 
-    def _wanted(self) -> str:
-        return min(self.heard_s, default="")
+    def _target_holder(self) -> str:
+        return min(self.last_join_s, default="")
 
-    def _deal(self) -> None:
-        """Pass the partition on once its holder has named this deal."""
-        if self.holder and self.named.get(self.holder, 0) < self.generation:
+    def _assign(self) -> None:
+        """Pass the partition on once its holder has confirmed_generations this deal."""
+        if (
+            self.holder
+            and self.confirmed_generations.get(self.holder, 0) < self.generation
+        ):
             return
-        self.holder = self._wanted()
+        self.holder = self._target_holder()
 
 
 @dataclass
@@ -89,7 +92,7 @@
     group: Group
     others: list[Process]
     fault: str = ""
-    until_s: float = 0.0
+    fault_end_s: float = 0.0
     generation: int = 0
     epoch: int = 0
 
@@ -102,21 +105,23 @@
             DecisionLog(self.name),
             Metrics(),
             self._on_epoch,
-            on_stopped=self._tell,
+            on_stopped=self._notify_others,
         )
 
-    def strike(self, fault: str, for_s: float) -> None:
+    def inject_fault(self, fault: str, duration_s: float) -> None:
         self.fault = fault
-        self.until_s = asyncio.get_running_loop().time() + for_s
+        self.fault_end_s = asyncio.get_running_loop().time() + duration_s
 
     @property
-    def state(self) -> str:
-        return self.fault if asyncio.get_running_loop().time() < self.until_s else ""
+    def active_fault(self) -> str:
+        return (
+            self.fault if asyncio.get_running_loop().time() < self.fault_end_s else ""
+        )
 
     @property
     def fencing(self) -> int | None:
         """The token that it gives orders with."""
-        if self.state in ("frozen", "killed"):
+        if self.active_fault in ("frozen", "killed"):
             return None
         return self.leadership.current_token(asyncio.get_running_loop().time())
 
@@ -125,17 +130,21 @@
             self.epoch = epoch
             self.leadership.revoke()
 
-    def _tell(self, member: str) -> None:
-        if self.state in ("frozen", "killed", "alone"):
+    def _notify_others(self, member: str) -> None:
+        if self.active_fault in ("frozen", "killed", "alone"):
             return
         loop = asyncio.get_running_loop()
         for other in self.others:
-            if other is not self and other.state not in ("frozen", "killed", "alone"):
+            if other is not self and other.active_fault not in (
+                "frozen",
+                "killed",
+                "alone",
+            ):
                 loop.call_later(0.001, other.keeper.holder_stopped, member)
 
     async def _reach_store(self) -> None:
         await asyncio.sleep(_TRANSIT_S / 2)
-        match self.state:
+        match self.active_fault:
             case "refused":
                 raise LogUnavailableError("the store answered 429")
             case "" | "late":
@@ -145,23 +154,23 @@
 
     async def renew(self, holder: str, duration_s: float) -> LeaseGrant:
         await self._reach_store()
-        asked_epoch = self.epoch
+        epoch_when_sent = self.epoch
         generation, holding = self.group.join(holder, self.generation)
         epoch = self.group.epoch
-        self.generation = generation if epoch == asked_epoch else 0
+        self.generation = generation if epoch == epoch_when_sent else 0
         # An answer that is lost has been carried out.
         await asyncio.sleep(_TRANSIT_S / 2)
-        if self.state not in ("", "late"):
+        if self.active_fault not in ("", "late"):
             await asyncio.Event().wait()
         token = (epoch << 36) + generation
-        same_history = epoch == asked_epoch
+        same_history = epoch == epoch_when_sent
         return LeaseGrant(holding and same_history, token, epoch=epoch)
 
     async def release(self, holder: str) -> None:
-        if self.state == "late":
+        if self.active_fault == "late":
             # The answer is lost, and the call carried out afterwards.
             loop = asyncio.get_running_loop()
-            loop.call_later(_LATE_S, self.group.leave, holder)
+            loop.call_later(_LATE_LEAVE_S, self.group.leave, holder)
             await asyncio.Event().wait()
         await self._reach_store()
         self.group.leave(holder)
@@ -193,14 +202,14 @@
 
 @pytest.mark.parametrize("phase_s", [n * 0.03 for n in range(9)])
 @pytest.mark.parametrize("fault", ["refused", "silent", "alone", "frozen", "killed"])
-def test_a_leader_that_is_lost_has_a_successor_soon(fault: str, phase_s: float) -> None:
+def test_lost_leader_is_replaced_in_time(fault: str, phase_s: float) -> None:
     async def lose_leader() -> float:
         async with candidates(4) as (_, processes):
             await asyncio.sleep(phase_s)
             (leader,) = leaders(processes)
             loop = asyncio.get_running_loop()
             lost_s = loop.time()
-            leader.strike(fault, 60.0)
+            leader.inject_fault(fault, 60.0)
             while not [p for p in leaders(processes) if p is not leader]:  # noqa: ASYNC110
                 await asyncio.sleep(_TICK_S)
             return loop.time() - lost_s
@@ -208,13 +217,13 @@
     assert run_in_virtual_time(lose_leader()) < HANDOVER_S
 
 
-def test_a_leader_that_the_store_refuses_hands_over_before_its_lease_ends() -> None:
+def test_leader_refused_by_the_store_hands_over_before_its_lease_ends() -> None:
     async def refuse_leader() -> float:
         async with candidates(4) as (_, processes):
             (leader,) = leaders(processes)
             loop = asyncio.get_running_loop()
             lost_s = loop.time()
-            leader.strike("refused", 60.0)
+            leader.inject_fault("refused", 60.0)
             while not [p for p in leaders(processes) if p is not leader]:  # noqa: ASYNC110
                 await asyncio.sleep(_TICK_S)
             return loop.time() - lost_s
@@ -223,7 +232,7 @@
 
 
 @pytest.mark.parametrize("phase_s", [n * 0.03 for n in range(9)])
-def test_a_leave_that_is_carried_out_late_ends_no_later_lease(phase_s: float) -> None:
+def test_delayed_leave_does_not_end_a_newer_lease(phase_s: float) -> None:
     """The leader leads again meanwhile, and a successor must not lead beside it."""
 
     async def leave_late() -> int:
@@ -231,30 +240,30 @@
             await asyncio.sleep(phase_s)
             (leader,) = leaders(processes)
             (other,) = [p for p in processes if p is not leader]
-            other.strike("late", 2.0)
-            leader.strike("refused", 0.7)
+            other.inject_fault("late", 2.0)
+            leader.inject_fault("refused", 0.7)
             end_s = asyncio.get_running_loop().time() + 3.0
-            most = 0
+            most_leaders = 0
             while asyncio.get_running_loop().time() < end_s:
-                most = max(most, len(leaders(processes)))
+                most_leaders = max(most_leaders, len(leaders(processes)))
                 await asyncio.sleep(_TICK_S)
-            return most
+            return most_leaders
 
     assert run_in_virtual_time(leave_late()) == 1
 
 
-def test_a_member_id_that_was_given_up_is_not_used_again() -> None:
+def test_abandoned_member_id_is_not_reused() -> None:
     """A leave for it may be carried out at any later time."""
 
     async def refuse_leader() -> tuple[str, set[str]]:
         async with candidates(2) as (group, processes):
             (leader,) = leaders(processes)
             given_up = leader.keeper._member
-            leader.strike("refused", 0.6)
+            leader.inject_fault("refused", 0.6)
             await asyncio.sleep(0.6)
-            group.named.clear()
+            group.confirmed_generations.clear()
             await asyncio.sleep(3.0)
-            return given_up, set(group.named)
+            return given_up, set(group.confirmed_generations)
 
     given_up, used = run_in_virtual_time(refuse_leader())
     assert used
@@ -274,7 +283,7 @@
 
 @examples(150)
 @given(FAULTS)
-def test_two_never_lead_at_a_time_and_tokens_rise(
+def test_faults_never_cause_two_leaders_or_falling_tokens(
     faults: list[tuple[str, int, float, float]],
 ) -> None:
     """Over cuts, suspensions and a store that goes back, in any order."""
@@ -283,11 +292,11 @@
         async with candidates(4) as (group, processes):
             newest = 0
             newest_leader = ""
-            for fault, number, for_s, wait_s in faults:
+            for fault, number, duration_s, wait_s in faults:
                 if fault == "back":
-                    group.go_back()
+                    group.restore_older_copy()
                 else:
-                    processes[number].strike(fault, for_s)
+                    processes[number].inject_fault(fault, duration_s)
                 end_s = asyncio.get_running_loop().time() + wait_s
                 while asyncio.get_running_loop().time() < end_s:
                     leading = leaders(processes)
@@ -307,7 +316,7 @@
     run_in_virtual_time(run())
 
 
-def test_a_former_candidate_stays_for_some_time_and_then_goes() -> None:
+def test_former_candidate_requests_the_lease_for_a_limited_time() -> None:
     candidacy = Candidacy(MEMBER_S)
     assert not candidacy.requests_lease(0.0)
     candidacy.record_renewal(LeaseGrant(False, 1, is_candidate=True), 10.0)
@@ -319,8 +328,8 @@
     assert not candidacy.requests_lease(15.5)
 
 
-def test_a_candidate_that_the_store_does_not_hear_asks_no_more() -> None:
-    """It isn't a member by now, and others have been named."""
+def test_candidate_without_renewals_stops_requesting_the_lease() -> None:
+    """It isn't a member by now, and others have been confirmed_generations."""
     candidacy = Candidacy(MEMBER_S)
     candidacy.record_renewal(LeaseGrant(False, 1, is_candidate=True), 10.0)
     assert not candidacy.requests_lease(10.0 + MEMBER_S)
--- a/tests/unit/test_leases.py
+++ b/tests/unit/test_leases.py
@@ -6,7 +6,7 @@
 from railfold._internal.decisions.leadership import Leadership, LeaseGrant
 
 
-def test_freshness_counts_from_the_call_not_its_answer() -> None:
+def test_freshness_counts_from_when_the_call_was_sent() -> None:
     lease = FreshnessLease(5.0)
     assert not lease.valid(0.0)
     lease.renew(sent_s=10.0)  # Its answer may have come at 14.
@@ -14,27 +14,27 @@
     assert not lease.valid(15.0)
 
 
-def test_a_late_answer_to_an_older_call_takes_nothing_back() -> None:
+def test_late_answer_to_an_older_call_does_not_shorten_the_lease() -> None:
     lease = FreshnessLease(5.0)
     lease.renew(sent_s=10.0)
     lease.renew(sent_s=4.0)
     assert lease.age_s(12.0) == 2.0
 
 
-def test_a_holder_stops_before_its_lease_ends() -> None:
+def test_holder_stops_before_its_lease_ends() -> None:
     leadership = Leadership(duration_s=2.0)
     leadership.record_renewal(LeaseGrant(is_holder=True, fencing_token=7), sent_s=100.0)
     assert leadership.current_token(101.5) == 7
     assert leadership.current_token(101.7) is None
 
 
-def test_a_holder_that_slept_gives_no_order() -> None:
+def test_holder_has_no_token_after_a_long_suspension() -> None:
     leadership = Leadership(duration_s=2.0)
     leadership.record_renewal(LeaseGrant(is_holder=True, fencing_token=7), sent_s=100.0)
     assert leadership.current_token(130.0) is None
 
 
-def test_a_fenced_holder_waits_for_a_higher_token() -> None:
+def test_holder_with_a_refused_token_waits_for_a_higher_one() -> None:
     leadership = Leadership(duration_s=2.0)
     leadership.record_renewal(LeaseGrant(is_holder=True, fencing_token=7), sent_s=100.0)
     leadership.record_refused_token(7)
@@ -44,7 +44,7 @@
     assert leadership.current_token(101.1) == 8
 
 
-def test_only_a_change_of_the_role_is_told() -> None:
+def test_only_role_changes_are_reported() -> None:
     leadership = Leadership(duration_s=2.0)
     assert leadership.record_renewal(LeaseGrant(is_holder=False, fencing_token=1), 0.0)
     assert not leadership.record_renewal(
--- a/tests/unit/test_lifecycle_properties.py
+++ b/tests/unit/test_lifecycle_properties.py
@@ -53,7 +53,7 @@
     )
 
 
-class World:
+class AgentSimulation:
     """Plays the agents' part, with an oracle of what was started."""
 
     def __init__(self, *, repeatable: bool) -> None:
@@ -65,7 +65,7 @@
         self.outcomes: list[object] = []
         self.opened: dict[int, Chain] = {}
         self.started: set[int] = set()
-        self.unstartable: set[int] = set()
+        self.never_starts: set[int] = set()
         self.cancelled: set[int] = set()
         self.perform(self.machine.start())
 
@@ -90,24 +90,24 @@
     def feed(self, event: LifecycleEvent) -> None:
         self.perform(self.machine.apply(event))
 
-    def play(self, kind: int, which: int, shift: int) -> None:
+    def feed_drawn_event(self, kind: int, which: int, shift: int) -> None:
         attempt = max(1, max(self.opened, default=1) + min(0, shift))
         chain = self.opened.get(attempt, make_chain(0))
         host = chain.stages[which].host
         match kind:
-            case 0 | 1 | 2 | 3 if attempt not in self.unstartable:
+            case 0 | 1 | 2 | 3 if attempt not in self.never_starts:
                 self.started.add(attempt)
                 self.feed(self.token(attempt, chain, len(self.emitted) + shift))
             case 4:
                 self.feed(HostsLost(frozenset({host})))
             case 5 if which or attempt not in self.started:
-                self.unstartable |= set() if which else {attempt}
+                self.never_starts |= set() if which else {attempt}
                 self.feed(StageRefused(attempt, host, "draining"))
             case 6:
                 self.feed(StageFailed(attempt, host, "engine"))
             case 7:
                 started = attempt in self.started and which == 0
-                self.unstartable |= set() if which or started else {attempt}
+                self.never_starts |= set() if which or started else {attempt}
                 self.feed(TombstoneReplied(attempt, host, started))
             case 8 if shift:
                 self.feed(DeadlinePassed())
@@ -126,31 +126,31 @@
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(EVENTS, st.booleans())
-def test_one_outcome_and_tokens_in_order(
+def test_each_request_has_at_most_one_outcome_and_ordered_tokens(
     events: list[tuple[int, int, int]], repeatable: bool
 ) -> None:
-    world = World(repeatable=repeatable)
+    simulation = AgentSimulation(repeatable=repeatable)
     for event in events:
-        world.play(*event)
-    assert [t.step for t in world.emitted] == list(range(len(world.emitted)))
-    assert len(world.emitted) <= MAX_TOKENS
-    assert len(world.outcomes) <= 1
-    assert world.machine.done == bool(world.outcomes)
+        simulation.feed_drawn_event(*event)
+    assert [t.step for t in simulation.emitted] == list(range(len(simulation.emitted)))
+    assert len(simulation.emitted) <= MAX_TOKENS
+    assert len(simulation.outcomes) <= 1
+    assert simulation.machine.done == bool(simulation.outcomes)
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
 @given(EVENTS, st.booleans())
-def test_not_run_is_only_said_of_what_did_not_start(
+def test_not_run_outcome_means_nothing_started(
     events: list[tuple[int, int, int]], repeatable: bool
 ) -> None:
-    world = World(repeatable=repeatable)
+    simulation = AgentSimulation(repeatable=repeatable)
     for event in events:
-        world.play(*event)
-        if world.machine.done:
+        simulation.feed_drawn_event(*event)
+        if simulation.machine.done:
             break
-    if world.outcomes and isinstance(world.outcomes[0], NotRun):
-        assert not world.started
-        assert not world.emitted
+    if simulation.outcomes and isinstance(simulation.outcomes[0], NotRun):
+        assert not simulation.started
+        assert not simulation.emitted
 
 
 @settings(max_examples=400, deadline=None, derandomize=True)
@@ -158,9 +158,11 @@
 def test_not_repeatable_request_starts_at_most_once(
     events: list[tuple[int, int, int]],
 ) -> None:
-    world = World(repeatable=False)
+    simulation = AgentSimulation(repeatable=False)
     for event in events:
-        world.play(*event)
-        newest = max(world.opened, default=0)
+        simulation.feed_drawn_event(*event)
+        newest = max(simulation.opened, default=0)
         # An attempt that has started is never followed by another one.
-        assert all(attempt == newest for attempt in world.started & set(world.opened))
+        assert all(
+            attempt == newest for attempt in simulation.started & set(simulation.opened)
+        )
--- a/tests/unit/test_log_epoch.py
+++ b/tests/unit/test_log_epoch.py
@@ -27,7 +27,7 @@
     records: list[tuple[str, int]] = field(default_factory=list)
     epoch: int = 0
 
-    def newest(self) -> dict[str, int]:
+    def newest_values(self) -> dict[str, int]:
         return dict(self.records)
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
@@ -45,26 +45,26 @@
 class Reader:
     """Holds the newest value of each key; a whole copy replaces all."""
 
-    held: dict[str, int] = field(default_factory=dict)
-    next: int = -1
-    copy: dict[str, int] | None = field(default_factory=dict)
+    values: dict[str, int] = field(default_factory=dict)
+    read_offset: int = -1
+    snapshot: dict[str, int] | None = field(default_factory=dict)
 
     def next_offset(self) -> int:
-        return self.next
+        return self.read_offset
 
     def record(self, record: LogRecord) -> None:
-        self.next = record.offset + 1
-        target = self.held if self.copy is None else self.copy
+        self.read_offset = record.offset + 1
+        target = self.values if self.snapshot is None else self.snapshot
         target[record.body.key] = record.body.value[0]
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
-        self.next = next_offset
-        if self.copy is not None:
-            self.held, self.copy = self.copy, None
+        self.read_offset = next_offset
+        if self.snapshot is not None:
+            self.values, self.snapshot = self.snapshot, None
 
     def expired(self, first_offset: int) -> int:
-        self.next = -1
-        self.copy = {}
+        self.read_offset = -1
+        self.snapshot = {}
         return -1
 
 
@@ -80,7 +80,7 @@
 
 @examples(300)
 @given(STEPS)
-async def test_what_is_held_is_what_the_log_holds(steps: list[tuple]) -> None:  # type: ignore[type-arg]
+async def test_reader_state_matches_the_log_after_rollbacks(steps: list[tuple]) -> None:  # type: ignore[type-arg]
     log, reader = Log(), Reader()
     pace = FollowerPace(wait_s=0.0)
     follower = StreamFollower(log, "stream", reader, Metrics(), pace)
@@ -102,10 +102,10 @@
                 await read()
     for _ in range(3):
         await read()
-    assert reader.held == log.newest()
+    assert reader.values == log.newest_values()
 
 
-async def test_an_answer_of_an_older_epoch_is_passed_over() -> None:
+async def test_read_with_an_older_epoch_is_rejected() -> None:
     log, reader = Log([("a", 1)], epoch=3), Reader()
     follower = StreamFollower(
         log, "stream", reader, Metrics(), FollowerPace(wait_s=0.0)
@@ -114,10 +114,10 @@
     log.records, log.epoch = [("a", 2)], 2
     with pytest.raises(LogUnavailableError):
         await follower._read_once(wait=False)
-    assert reader.held == {"a": 1}
+    assert reader.values == {"a": 1}
 
 
-def test_the_first_epoch_is_no_return() -> None:
+def test_first_observed_epoch_is_not_a_rollback() -> None:
     epoch = LogEpoch()
     assert [epoch.observe(n) for n in (4, 4, 5, 4, 5, 7)] == [
         False,
@@ -129,7 +129,7 @@
     ]
 
 
-def test_a_token_rises_though_generations_fall() -> None:
+def test_fencing_token_increases_when_generations_restart() -> None:
     tokens = [
         fencing_token(0, 3),
         fencing_token(0, 9),
@@ -141,7 +141,7 @@
     assert fencing_token(2**16, 2**36 - 1) < 2**53
 
 
-def test_what_was_proved_before_holds_for_the_rest_of_its_time() -> None:
+def test_hold_off_ignores_renewals_and_keeps_the_earlier_proof() -> None:
     lease = FreshnessLease(5.0)
     lease.renew(10.0)
     lease.hold_off(14.0)
@@ -153,7 +153,7 @@
     assert lease.age_s(14.1) == 0.0
 
 
-class SilentLog(Log):
+class UnresponsiveLog(Log):
     """A log that answers no read that waits."""
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
@@ -162,9 +162,9 @@
         return await super().read(stream, offset, wait_s)
 
 
-async def test_a_read_that_waits_on_a_silent_log_can_be_given_up() -> None:
+async def test_waiting_read_of_an_unresponsive_log_can_be_abandoned() -> None:
     """Another read has found that the log doesn't answer."""
-    log, reader = SilentLog([("a", 1)]), Reader()
+    log, reader = UnresponsiveLog([("a", 1)]), Reader()
     lost: list[LogUnavailableError] = []
     follower = StreamFollower(
         log, "stream", reader, Metrics(), FollowerPace(wait_s=9.0), on_lost=lost.append
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -17,13 +17,13 @@
 )
 
 PLACED = {"a1": LayerRange(0, 3)}
-HELD = Loaded("m", "1", LayerRange(0, 3))
+LOADED = Loaded("m", "1", LayerRange(0, 3))
 
 
 def report(
     state: str = "serving",
     incarnation: int = 1,
-    loaded: tuple[Loaded, ...] = (HELD,),
+    loaded: tuple[Loaded, ...] = (LOADED,),
     sequences: int = 0,
     owned: int = 0,
 ) -> AgentReport:
@@ -44,11 +44,11 @@
     return view
 
 
-def routed(view: MembershipView) -> bool:
+def is_routable(view: MembershipView) -> bool:
     return bool(view.stages("m", "1", PLACED))
 
 
-def test_listed_host_is_dialled_once() -> None:
+def test_listed_host_is_connected_once() -> None:
     view = MembershipView()
     host = ListedHost("a1", "10.0.0.1:1")
     assert view.apply(HostListReceived((host,))).connect == (host,)
@@ -57,49 +57,49 @@
     assert view.apply(HostListReceived((moved,))).connect == (moved,)
 
 
-def test_agent_is_routed_to_after_its_own_word(view: MembershipView) -> None:
-    assert routed(view)
+def test_agent_gets_work_only_after_its_first_report(view: MembershipView) -> None:
+    assert is_routable(view)
     fresh = MembershipView()
     fresh.apply(link_up())
-    assert not routed(fresh)
+    assert not is_routable(fresh)
 
 
 @pytest.mark.parametrize("state", ["draining", "unavailable"])
-def test_agents_own_word_goes_before_the_list(view: MembershipView, state: str) -> None:
+def test_agent_report_overrides_the_host_list(view: MembershipView, state: str) -> None:
     view.apply(report(state))
     view.apply(HostListReceived((ListedHost("a1", "10.0.0.1:1"),)))
-    assert not routed(view)
+    assert not is_routable(view)
 
 
-def test_list_may_take_away_but_not_give(view: MembershipView) -> None:
+def test_leaving_mark_in_the_host_list_stops_new_work(view: MembershipView) -> None:
     view.apply(HostListReceived((ListedHost("a1", "10.0.0.1:1", leaving=True),)))
-    assert not routed(view)
+    assert not is_routable(view)
     view.apply(HostListReceived((ListedHost("a1", "10.0.0.1:1"),)))
-    assert routed(view)
+    assert is_routable(view)
 
 
-def test_empty_list_does_not_stop_a_linked_agent(view: MembershipView) -> None:
+def test_empty_host_list_does_not_stop_a_linked_agent(view: MembershipView) -> None:
     assert view.apply(HostListReceived(())).disconnect == ()
-    assert routed(view)
+    assert is_routable(view)
     assert view.apply(LinkDown("a1", 1)).disconnect == ("a1",)
 
 
-def test_broken_link_loses_the_hosts_work(view: MembershipView) -> None:
+def test_broken_link_reports_the_host_as_lost(view: MembershipView) -> None:
     assert view.apply(LinkDown("a1", 1)).lost == {"a1"}
-    assert not routed(view)
+    assert not is_routable(view)
 
 
-def test_new_incarnation_loses_the_old_ones_work(view: MembershipView) -> None:
+def test_new_incarnation_reports_the_old_one_as_lost(view: MembershipView) -> None:
     assert view.apply(link_up(2)).lost == {"a1"}
-    assert not routed(view)
+    assert not is_routable(view)
     view.apply(report(incarnation=1))
-    assert not routed(view)
+    assert not is_routable(view)
     assert view.apply(LinkDown("a1", 1)).lost == frozenset()
     view.apply(report(incarnation=2))
-    assert routed(view)
+    assert is_routable(view)
 
 
-def test_older_incarnation_does_not_come_back(view: MembershipView) -> None:
+def test_older_incarnation_does_not_replace_a_newer_one(view: MembershipView) -> None:
     view.apply(link_up(5))
     view.apply(link_up(1))
     member = view.get("a1")
@@ -107,11 +107,13 @@
     assert member.incarnation == 5
 
 
-def test_silent_host_is_lost_until_it_reports_again(view: MembershipView) -> None:
+def test_agent_that_misses_a_probe_gets_no_work_until_it_reports(
+    view: MembershipView,
+) -> None:
     assert view.apply(ProbeUnanswered("a1", 1)).lost == {"a1"}
-    assert not routed(view)
+    assert not is_routable(view)
     view.apply(report())
-    assert routed(view)
+    assert is_routable(view)
 
 
 @pytest.mark.parametrize(
@@ -123,14 +125,14 @@
         (Loaded("m", "1", LayerRange(0, 2)),),
     ],
 )
-def test_only_what_was_read_back_is_routed_to(
+def test_agent_with_other_layers_loaded_gets_no_work(
     view: MembershipView, loaded: tuple[Loaded, ...]
 ) -> None:
     view.apply(report(loaded=loaded))
-    assert not routed(view)
+    assert not is_routable(view)
 
 
-def test_own_load_is_exact_and_others_load_is_reported(view: MembershipView) -> None:
+def test_load_adds_own_count_to_reported_load_of_others(view: MembershipView) -> None:
     stage = Stage("a1", "10.0.0.1:1", 1, LayerRange(0, 3))
     view.apply(report(sequences=5, owned=2))
     for _ in range(4):
@@ -142,7 +144,7 @@
 
 
 @pytest.mark.parametrize("agents", [43, 380])
-def test_heartbeats_keep_to_their_budget(agents: int) -> None:
+def test_heartbeats_stay_within_their_budget(agents: int) -> None:
     pace = HeartbeatPace()
-    spent = agents * pace.heartbeat_bytes / pace.interval_s(agents)
-    assert spent <= pace.budget_bytes_per_s * 1.001
+    used_bytes_per_s = agents * pace.heartbeat_bytes / pace.interval_s(agents)
+    assert used_bytes_per_s <= pace.budget_bytes_per_s * 1.001
--- a/tests/unit/test_orders.py
+++ b/tests/unit/test_orders.py
@@ -22,15 +22,15 @@
 
 LIMITS = OrderLimits(lease_s=5.0, loads_per_s=2.0, retry_s=3.0)
 ORDER = LoadOrder("m", "2", LayerRange(0, 3), 7)
-OLD = ("m", "1", LayerRange(0, 3))
+PREVIOUS_LOAD = ("m", "1", LayerRange(0, 3))
 
 
 def decide(
     reconciler: Reconciler, now_s: float = 10.0, **changes: object
 ) -> OrderDecision:
     arguments = {
-        "loaded": OLD,
-        "engine_fencing": 3,
+        "loaded": PREVIOUS_LOAD,
+        "engine_fencing_token": 3,
         "open_sequences": 0,
         "last_contact_s": now_s,
         **changes,
@@ -45,7 +45,7 @@
     return Reconciler(LIMITS)
 
 
-def test_order_is_given_until_it_is_read_back(reconciler: Reconciler) -> None:
+def test_order_is_repeated_until_the_engine_reports_it(reconciler: Reconciler) -> None:
     assert decide(reconciler) == GiveOrder(ORDER)
     reconciler.record_order(10.0)
     assert decide(reconciler, 11.0) == WaitForSlot(13.0)
@@ -55,24 +55,28 @@
     assert decide(reconciler, 20.0) == GiveOrder(ORDER)
 
 
-def test_woken_agent_finds_its_lease_lapsed(reconciler: Reconciler) -> None:
+def test_resumed_agent_gives_no_order_on_an_expired_lease(
+    reconciler: Reconciler,
+) -> None:
     assert decide(reconciler, 100.0, last_contact_s=94.0) == WaitForLease()
     assert decide(reconciler, 100.0, last_contact_s=96.0) == GiveOrder(ORDER)
 
 
-def test_agent_that_never_heard_an_entry_gives_no_order(reconciler: Reconciler) -> None:
+def test_agent_without_contact_to_an_entry_gives_no_order(
+    reconciler: Reconciler,
+) -> None:
     assert decide(reconciler, last_contact_s=float("-inf")) == WaitForLease()
 
 
-def test_newer_number_at_the_engine_stops_us(reconciler: Reconciler) -> None:
-    assert decide(reconciler, engine_fencing=8) == NewerTokenSeen()
+def test_newer_token_at_the_engine_stops_orders(reconciler: Reconciler) -> None:
+    assert decide(reconciler, engine_fencing_token=8) == NewerTokenSeen()
 
 
-def test_open_sequences_end_first(reconciler: Reconciler) -> None:
+def test_order_waits_for_open_sequences(reconciler: Reconciler) -> None:
     assert decide(reconciler, open_sequences=1) == WaitForSequences()
 
 
-def test_slots_share_the_weight_stores_rate(reconciler: Reconciler) -> None:
+def test_slots_limit_the_load_rate_at_the_weight_store(reconciler: Reconciler) -> None:
     assert decide(reconciler, 10.0, slot=4) == WaitForSlot(12.0)
     assert decide(reconciler, 12.0, slot=4) == GiveOrder(ORDER)
 
@@ -95,14 +99,14 @@
     return found
 
 
-def test_each_host_has_a_slot_of_its_own() -> None:
+def test_each_host_has_its_own_slot() -> None:
     found = [wanted_load(configuration(), f"h{n}") for n in range(6)]
     slots = [wanted[1] for wanted in found[1:] if wanted]
     assert len(set(slots)) == 5
     assert max(slots) < 6
 
 
-def test_pipeline_that_changed_last_counts() -> None:
+def test_last_changed_pipeline_determines_the_load() -> None:
     wanted = wanted_load(configuration(), "h0")
     assert wanted is not None
     assert (wanted[0].model, wanted[0].fencing_token) == ("second", 2)
--- a/tests/unit/test_sequence_properties.py
+++ b/tests/unit/test_sequence_properties.py
@@ -49,14 +49,14 @@
 
 @dataclass
 class Network:
-    """The tables, what travels between them, and what they ran."""
+    """The tables, what travels between them, and what they started_steps."""
 
     tables: list[SequenceTable] = field(
         default_factory=lambda: [SequenceTable(h, 1, SequenceLimits()) for h in HOSTS]
     )
-    travelling: list[tuple[int, SequenceEvent]] = field(default_factory=list)
-    running: list[tuple[int, StartRun]] = field(default_factory=list)
-    ran: dict[tuple[int, AttemptId], list[int]] = field(
+    in_transit: list[tuple[int, SequenceEvent]] = field(default_factory=list)
+    running_steps: list[tuple[int, StartRun]] = field(default_factory=list)
+    started_steps: dict[tuple[int, AttemptId], list[int]] = field(
         default_factory=lambda: defaultdict(list)
     )
     tokens: list[tuple[AttemptId, int, str, tuple[StageRun, ...]]] = field(
@@ -67,15 +67,15 @@
         for index in range(len(HOSTS)):
             first = StepInput(f"{attempt_id}:0") if index == 0 else None
             event = OpenReceived(attempt_id, "entry#1", CHAIN, index, 0, STEPS, first)
-            self.travelling.append((index, event))
+            self.in_transit.append((index, event))
 
     def deliver(self, position: int, *, keep: bool) -> None:
-        if not self.travelling:
+        if not self.in_transit:
             return
-        position %= len(self.travelling)
-        index, event = self.travelling[position]
+        position %= len(self.in_transit)
+        index, event = self.in_transit[position]
         if not keep:
-            del self.travelling[position]
+            del self.in_transit[position]
         self.apply(index, event)
 
     def apply(self, index: int, event: SequenceEvent) -> None:
@@ -85,8 +85,8 @@
     def perform(self, index: int, action: SequenceAction) -> None:
         match action:
             case StartRun(attempt_id=attempt_id, step=step):
-                self.ran[index, attempt_id].append(step)
-                self.running.append((index, action))
+                self.started_steps[index, attempt_id].append(step)
+                self.running_steps.append((index, action))
             case ForwardOutput():
                 self.forward(index, action)
             case _:
@@ -98,17 +98,17 @@
         if index < len(HOSTS) - 1:
             step_input = StepInput(output.data, output.lineage)
             event = FrameReceived(attempt_id, action.step, sender, 1, step_input)
-            self.travelling.append((index + 1, event))
+            self.in_transit.append((index + 1, event))
             return
         self.tokens.append((attempt_id, action.step, str(output.data), output.lineage))
         following = StepInput(f"{attempt_id}:{action.step + 1}")
         event = FrameReceived(attempt_id, action.step + 1, sender, 1, following)
-        self.travelling.append((0, event))
+        self.in_transit.append((0, event))
 
     def end_run(self, position: int, *, fails: bool) -> None:
-        if not self.running:
+        if not self.running_steps:
             return
-        index, run = self.running.pop(position % len(self.running))
+        index, run = self.running_steps.pop(position % len(self.running_steps))
         if fails:
             self.apply(index, RunFailed(run.attempt_id, run.step, "engine"))
         else:
@@ -116,7 +116,7 @@
             self.apply(index, event)
 
 
-def play(choices: list[tuple[int, int]]) -> Network:
+def simulate(choices: list[tuple[int, int]]) -> Network:
     network = Network()
     attempts = {"r1": 1, "r2": 1}
     for request_id in attempts:
@@ -132,8 +132,8 @@
             case 4 | 5 | 6:
                 network.end_run(position, fails=False)
             case 7:
-                if network.travelling:
-                    del network.travelling[position % len(network.travelling)]
+                if network.in_transit:
+                    del network.in_transit[position % len(network.in_transit)]
             case 8 if position % 5 == 0:
                 network.end_run(position, fails=True)
             case 9 if position % 7 == 0:
@@ -153,17 +153,17 @@
 def test_each_stage_runs_each_step_once_and_in_order(
     choices: list[tuple[int, int]],
 ) -> None:
-    network = play(choices)
-    for steps in network.ran.values():
+    network = simulate(choices)
+    for steps in network.started_steps.values():
         assert steps == list(range(len(steps)))
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
 @given(CHOICES)
-def test_each_token_has_its_own_request_and_a_whole_lineage(
+def test_each_token_belongs_to_its_request_and_has_a_complete_lineage(
     choices: list[tuple[int, int]],
 ) -> None:
-    network = play(choices)
+    network = simulate(choices)
     for attempt_id, step, data, lineage in network.tokens:
         assert data == f"{attempt_id}:{step}"
         check_lineage(lineage, expected_lineage(CHAIN, attempt_id.attempt, 12))
@@ -171,7 +171,7 @@
 
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(CHOICES)
-def test_a_fault_free_network_gives_every_token(
+def test_fault_free_network_delivers_every_token(
     choices: list[tuple[int, int]],
 ) -> None:
     network = Network()
@@ -191,12 +191,12 @@
 
 @settings(max_examples=200, deadline=None, derandomize=True)
 @given(CHOICES)
-def test_tombstone_that_says_unstarted_is_never_followed_by_a_run(
+def test_tombstone_reports_whether_the_attempt_started(
     choices: list[tuple[int, int]],
 ) -> None:
-    network = play(choices)
+    network = simulate(choices)
     for index, table in enumerate(network.tables):
         for attempt in range(1, 4):
             attempt_id = AttemptId("r1", attempt)
             [*_, reply] = table.apply(CancelReceived(attempt_id), 0.0)
-            assert reply.started == bool(network.ran[index, attempt_id])
+            assert reply.started == bool(network.started_steps[index, attempt_id])
--- a/tests/unit/test_stalls.py
+++ b/tests/unit/test_stalls.py
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize(("step_s", "limit_s"), [(0.01, FLOOR_S), (0.2, 2.0)])
-def test_limit_follows_recent_steps(step_s: float, limit_s: float) -> None:
+def test_stall_limit_follows_recent_step_times(step_s: float, limit_s: float) -> None:
     times = after_steps(step_s)
     assert not times.stalled(100.0 + 0.9 * limit_s)
     assert times.stalled(100.0 + 1.1 * limit_s)
