--- a/src/railfold/_internal/decisions/leadership.py
+++ b/src/railfold/_internal/decisions/leadership.py
@@ -86,9 +86,9 @@
         if self._grant is not None:
             self._grant = replace(self._grant, is_holder=False)
 
-    def record_refused_token(self, fencing: int) -> None:
+    def record_refused_token(self, fencing_token: int) -> None:
         """An order with this token was refused: another has a higher one."""
-        self._refused_token = max(self._refused_token, fencing)
+        self._refused_token = max(self._refused_token, fencing_token)
 
     def current_token(self, now_s: float) -> int | None:
         """Return the token to give orders with, if the lease holds now."""
