--- a/src/railfold/_internal/decisions/batching.py
+++ b/src/railfold/_internal/decisions/batching.py
@@ -1,11 +1,11 @@
-"""How many ready sequences one engine step takes.
-
-A sequence passes each stage of its chain once for each token. If a stage took
-all that is ready, the sequences would gather into one cohort, and while one
-stage runs it the others would idle. If it took them as they trickle in, there
-would be more cohorts than stages, and each would wait for the others. So each
-round of a stage, in which every open sequence passes once, is split into as
-many even steps as the chain has stages.
+"""Choose how many of the ready sequences one engine step runs.
+
+A sequence passes each stage of its chain once per token. If each step ran all ready
+sequences, they would gather in one batch, and all stages but the one that runs it
+would be idle. If each step ran the few sequences that had just arrived, there would
+be more batches than stages, and batches would queue for each other. Therefore each
+round of a stage, in which every open sequence runs once, is split into as many steps
+of equal size as the chain has stages.
 """
 
 from __future__ import annotations
@@ -16,9 +16,9 @@
 
 
 class RoundBatcher:
-    """Splits the sequences of one stage into even steps.
+    """Splits each round of one stage into steps of equal size.
 
-    :param max_batch: the most sequences that the engine takes in one step.
+    :param max_batch: the most sequences that the engine runs in one step.
     """
 
     def __init__(self, max_batch: int) -> None:
@@ -27,10 +27,11 @@
         self._steps_this_round = 0
 
     def take(self, ready: Sequence[Hashable], open_sequences: int, stages: int) -> int:
-        """Return how many of ``ready``, from its front, the next step takes.
+        """Return how many sequences the next step runs, from the front of ``ready``.
 
-        :param open_sequences: sequences open at this stage, ready or not.
-        :param stages: stages of the longest open chain.
+        :param ready: the sequences whose input has arrived; not empty.
+        :param open_sequences: number of sequences open at this stage, ready or not.
+        :param stages: number of stages of the longest open chain.
         """
         if self._steps_this_round >= stages or ready[0] in self._ran_this_round:
             self._ran_this_round.clear()
--- a/src/railfold/_internal/decisions/calls.py
+++ b/src/railfold/_internal/decisions/calls.py
@@ -1,7 +1,9 @@
-"""The life of one call, at its entry and at its agent.
+"""State of one call, at its entry and at the agent that passes it on.
 
-A call goes to one host at a time: a plain service, or the first backend server
-of a chain that forwards the call itself.
+A call is sent to one host at a time: a replica of a plain service, or the first
+backend server of a chain that forwards the call itself. The state machine has no
+I/O and no clock: :meth:`CallLifecycle.apply` takes one event and returns the
+actions to perform, in order.
 """
 
 from __future__ import annotations
@@ -49,14 +51,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CallHostChosen:
-    """The host to send the call to."""
+    """A host was chosen for the call."""
 
     host: str
 
 
 @dataclass(frozen=True, slots=True)
 class NoHost:
-    """No host can take the call now, or no retry is allowed."""
+    """No host can take the call now, or no retry is allowed.
+
+    :param retry_after_s: after which time the caller may send the call again.
+    """
 
     error: RailfoldError
     retry_after_s: float
@@ -64,14 +69,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CallAnswered:
-    """The service answered."""
+    """The host returned the whole answer."""
 
     host: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallHostRefused:
-    """The agent gave no answer; ``started`` tells if the call may have run."""
+    """The host refused the call or failed to answer it.
+
+    :param started: whether the call may have run.
+    """
 
     host: str
     started: bool
@@ -80,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallNotSent:
-    """Nothing was sent, since the host takes no calls any more; others may."""
+    """Nothing was sent, because the host no longer takes calls; another host may."""
 
     host: str
     reason: str
@@ -88,10 +96,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallHostLost:
-    """The host is dead, replaced or unreachable, or broke its answer off.
+    """The host is dead, replaced or unreachable, or its answer broke off.
 
-    It counts as one that ran the call: neither silence nor a missing registration
-    proves that it has ended.
+    The call counts as run: neither a host that doesn't answer nor one whose
+    registration is missing is proven to have stopped working on the call.
     """
 
     host: str
@@ -104,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallCallerDisconnected:
-    """The caller closed its connection."""
+    """The caller closed its connection before the outcome."""
 
 
 CallEvent = (
@@ -121,7 +129,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ChooseHost:
-    """Choose a host outside ``exclude``."""
+    """Choose a host that isn't in ``exclude``.
+
+    :param is_retry: whether the call was sent before, so that the retry budget
+        applies.
+    """
 
     exclude: frozenset[str]
     is_retry: bool
@@ -136,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishCall:
-    """The final outcome; nothing follows it."""
+    """End the call with its final outcome; no other action follows."""
 
     outcome: Outcome
 
@@ -148,10 +160,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CallLimits:
-    """Bounds of one call.
+    """Limits on the retries of one call.
 
-    :param max_sends: how often it is sent; refused tries cost little.
-    :param max_lost_hosts: how many hosts may run it.
+    :param max_sends: how many times the call is sent. A refused send costs the
+        hosts little.
+    :param max_lost_hosts: the call ends when this many hosts were lost after it
+        was sent to them, because each of them may have run it.
     """
 
     max_sends: int = 4
@@ -182,18 +196,18 @@
 
     @property
     def done(self) -> bool:
-        """Whether the final outcome was given."""
+        """Whether the call has its final outcome."""
         return self._phase is _Phase.DONE
 
     @property
     def host(self) -> str:
-        """The host the call was sent to last."""
+        """The host that the call was last sent to; empty before the first send."""
         return self._host
 
     def excluded_after_loss(self) -> frozenset[str] | None:
-        """Return which hosts are left out if the call's host is lost now.
+        """Return the hosts that a retry would exclude if the current host is lost now.
 
-        Nothing if the call would be given up.
+        Return None if no retry would follow.
         """
         cannot_retry = self._phase is not _Phase.SENT or not self._repeatable
         if cannot_retry or self._limits_reached(self._lost_hosts + 1):
@@ -205,11 +219,14 @@
         return self._sends >= limits.max_sends or lost_hosts >= limits.max_lost_hosts
 
     def start(self) -> list[CallAction]:
-        """Begin: ask for a host."""
+        """Return the first action, which asks for a host."""
         return [ChooseHost(frozenset(), is_retry=False)]
 
     def apply(self, event: CallEvent) -> list[CallAction]:
-        """Take one event; return what to do about it."""
+        """Process one event; return the actions to perform, in order.
+
+        Events after the final outcome are ignored.
+        """
         if self.done:
             return []
         match event:
@@ -261,7 +278,10 @@
         return [ChooseHost(frozenset(self._excluded), is_retry=True)]
 
     def _choose_another(self, host: str, error: RailfoldError) -> list[CallAction]:
-        """Choose again; a retry is only what follows a call that was sent."""
+        """Ask for another host after nothing was sent to this one.
+
+        The next send counts as a retry only if an earlier host received the call.
+        """
         if self._phase is not _Phase.SENT or host != self._host:
             return []
         if self._limits_reached(self._lost_hosts):
@@ -285,7 +305,7 @@
             return self._finish(NotRun(proof, error, retry_after_s))
         if self._repeatable:
             return self._finish(Failed(error, retry_after_s))
-        # Coming back with a new request could run it twice: no Retry-After.
+        # No Retry-After: a new request from the caller could run the call twice.
         return self._finish(Unknown(error))
 
     def _finish(self, outcome: Outcome) -> list[CallAction]:
@@ -294,9 +314,11 @@
 
 
 class CallRegister:
-    """An agent's memory of the calls it has passed on, bounded.
+    """Request ids of the calls that an agent has passed on to its service.
+
+    Each request id is passed on at most once, as long as it is remembered.
 
-    A request id is passed on at most once in an agent's life.
+    :param max_remembered: how many ids are kept; the oldest are dropped first.
     """
 
     def __init__(self, max_remembered: int = 65536) -> None:
@@ -306,7 +328,7 @@
         self.running = 0
 
     def admit(self, request_id: str) -> bool:
-        """Return whether the call may be passed on; remembers it if so."""
+        """Return whether the call may be passed on; if so, remember its id."""
         if request_id in self._seen:
             return False
         self._seen[request_id] = None
--- a/src/railfold/_internal/decisions/claims.py
+++ b/src/railfold/_internal/decisions/claims.py
@@ -1,10 +1,11 @@
-"""Claims on idempotency keys, folded from the platform's log.
-
-A request that isn't repeatable and has an idempotency key is claimed in the
-log before anything of it is sent. The first claim of a key in log order wins;
-every entry folds the same records and so sees the same winner. A claim is
-never taken over, because its holder may be paused and not dead; it ends by its
-holder's own release (the request provably didn't run) or by expiry.
+"""Claims on idempotency keys, computed from the records of the platform's log.
+
+Before an entry sends any part of a request that isn't repeatable and has an
+idempotency key, it appends a claim on the key to the log. The first claim of a key
+in log order wins. Every entry processes the same records and therefore sees the
+same winner. No entry takes over another's claim, because the entry that holds it may
+be paused and not dead. A claim ends when its holder releases it, after proof that the
+request didn't run, or when it expires.
 """
 
 from __future__ import annotations
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimKey:
-    """An idempotency key; workspaces can't see each other's keys."""
+    """An idempotency key; each workspace has its own set of keys."""
 
     workspace: str
     key: str
@@ -36,10 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimWrite:
-    """An entry claims a key for a request.
+    """Record by which an entry claims a key for a request.
 
-    :param fingerprint: digest of the request; another request under the same
-        key is the caller's mistake.
+    :param fingerprint: digest of the request. A different request under the same
+        key is an error of the caller.
     """
 
     key: ClaimKey
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseWrite:
-    """The holder proved that its request didn't run: the key is free."""
+    """Record that frees a key, after proof that the claiming request didn't run."""
 
     key: ClaimKey
     request_id: str
@@ -58,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompletionWrite:
-    """The holder's request ended; ``answer`` is given to later callers.
+    """Record that the claiming request ended; later callers get its ``answer``.
 
     :param outcome: the outcome's name.
     :param status: HTTP status of the answer.
@@ -77,23 +78,23 @@
 
 
 class ClaimState(Enum):
-    """How far a claimed request is known to be."""
+    """Progress of a claimed request as far as the log shows it."""
 
     HELD = "held"
     COMPLETED = "completed"
 
 
 class ClaimVerdict(Enum):
-    """What a claim means for the request that made it."""
+    """Result of a claim for the request that made it."""
 
     WON = "won"
     LOST = "lost"
-    MISUSED = "misused"  # The key belongs to a different request.
+    MISUSED = "misused"  # The key is claimed by a request with other content.
 
 
 @dataclass(slots=True)
 class Claim:
-    """The standing claim of a key."""
+    """The current claim of a key."""
 
     offset: int
     appended_s: float
@@ -102,18 +103,18 @@
 
     @property
     def state(self) -> ClaimState:
-        """How far the request is known to be."""
+        """Whether the request is known to have completed."""
         return ClaimState.HELD if self.completion is None else ClaimState.COMPLETED
 
 
 class ClaimLedger:
-    """Folds claim records; a pure function of the log.
+    """The current claims; a pure function of the log's records.
 
-    Expiry goes by the log's own append times, so that all entries agree on it
-    whatever their clocks say.
+    Claims expire by the log's append times and not by the entries' clocks, so that
+    all entries agree on which claims have expired.
 
     :param validity_s: how long a key stays claimed. It must be well below the
-        log's retention.
+        log's retention, so that no claim outlives its record.
     """
 
     def __init__(self, validity_s: float) -> None:
@@ -125,11 +126,11 @@
         return len(self._claims)
 
     def get(self, key: ClaimKey) -> Claim | None:
-        """Return the standing claim of ``key``."""
+        """Return the current claim of ``key``, if there is one."""
         return self._claims.get(key)
 
     def fold(self, offset: int, appended_s: float, record: ClaimRecord) -> None:
-        """Fold one record; records already folded are ignored."""
+        """Apply one record; ignore records that were already applied."""
         if offset < self.next_offset:
             return
         self.next_offset = offset + 1
@@ -148,15 +149,15 @@
                     claim.completion = record
 
     def skip_to(self, offset: int) -> None:
-        """Go on from ``offset``: records before it have expired.
+        """Continue at ``offset``, because the log has dropped the records before it.
 
-        Claims in them have expired too, since their validity is shorter than
-        the log's retention.
+        The claims in these records have expired as well, since claims are valid for
+        a shorter time than the log keeps records.
         """
         self.next_offset = max(self.next_offset, offset)
 
     def verdict(self, write: ClaimWrite) -> ClaimVerdict:
-        """Return what the folded log says of a claim that is in it."""
+        """Return the result of a claim whose record was already applied."""
         claim = self._claims.get(write.key)
         if claim is None:
             return ClaimVerdict.LOST
--- a/src/railfold/_internal/decisions/heartbeats.py
+++ b/src/railfold/_internal/decisions/heartbeats.py
@@ -1,4 +1,4 @@
-"""How often agents send heartbeats, and when a token is overdue."""
+"""Compute the heartbeat interval of agents, and when a token is overdue."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatPace:
-    """Spreads an entry's budget for control traffic over its agents.
+    """Shares an entry's traffic budget for heartbeats among its agents.
 
-    An idle agent sends heartbeats at this interval. An agent with work needs
-    none to be found dead: its link breaks, or a token is overdue and it fails
-    to answer a probe.
+    An idle agent sends heartbeats at the resulting interval. The failure of an agent
+    with work is detected without heartbeats: its link breaks, or a token is overdue
+    and the agent doesn't answer a probe.
 
-    :param budget_bytes_per_s: what heartbeats may cost this entry.
-    :param heartbeat_bytes: one heartbeat and the probe that renews the entry's
-        lease: 247 bytes of payload, and 52 bytes of headers for each
-        of four packets.
+    :param budget_bytes_per_s: how much traffic heartbeats may cause at this entry.
+    :param heartbeat_bytes: size of one heartbeat and of the probe that renews the
+        agent's lease: 247 bytes of payload, and 52 bytes of headers for each of four
+        packets.
     """
 
     budget_bytes_per_s: float = 5600.0
@@ -27,19 +27,20 @@
     max_interval_s: float = 60.0
 
     def interval_s(self, agents: int) -> float:
-        """Return the interval for each of ``agents``, in seconds."""
+        """Return the heartbeat interval for this number of agents, in seconds."""
         budget_interval_s = agents * self.heartbeat_bytes / self.budget_bytes_per_s
         return min(self.max_interval_s, max(self.min_interval_s, budget_interval_s))
 
 
 @dataclass(slots=True)
 class OverdueTimer:
-    """Tells when the next token of one sequence is overdue.
+    """Computes when the next token of one sequence is overdue.
 
-    The limit follows the sequence's own recent gaps between tokens, so that a
-    slow chain isn't taken for a frozen one.
+    The limit follows the recent gaps between the sequence's tokens, so that a slow
+    chain isn't mistaken for one that hangs.
 
-    :param factor: how many recent gaps may pass.
+    :param factor: limit for the next token, as a multiple of the mean recent gap.
+    :param floor_s: lower bound of that limit.
     :param first_token_s: limit for the first token of an attempt.
     """
 
@@ -52,15 +53,15 @@
     _opened_s: float = 0.0
 
     def opened(self, now_s: float) -> None:
-        """An attempt was opened."""
+        """Record that an attempt was opened."""
         self._last_token_s = None
         self._opened_s = now_s
 
     def token(self, now_s: float) -> bool:
-        """A token arrived; return whether the next one is due sooner than before.
+        """Record a token; return whether the limit became shorter.
 
-        That is so at an attempt's first token: until then the limit is the one
-        for first tokens.
+        It does at the first token of an attempt, which ends the longer limit for
+        first tokens.
         """
         is_first = self._last_token_s is None
         if self._last_token_s is not None:
@@ -72,7 +73,7 @@
         return is_first
 
     def probed(self, now_s: float) -> None:
-        """All stages answered a probe: wait twice as long for the next."""
+        """Record that all stages answered a probe; this doubles the limit."""
         self._probe_backoff *= 2.0
         if self._last_token_s is None:
             self._opened_s = now_s
--- a/src/railfold/_internal/decisions/leadership.py
+++ b/src/railfold/_internal/decisions/leadership.py
@@ -1,4 +1,4 @@
-"""Which of several processes does a duty, by a lease with a fencing token."""
+"""Elect the one process that performs a duty, by a lease with a fencing token."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 
 __all__ = ["Candidacy", "Leadership", "LeaseGrant"]
 
-# Clocks of holder and granter may run apart, and an order is under way for a
-# while after the last look at the lease.
+# The holder treats the lease as expired this share of its duration early: the clocks of
+# holder and granter may drift apart, and an order is in flight for a while after the
+# holder has checked its lease.
 _MARGIN_SHARE = 0.2
 
 
@@ -17,11 +18,14 @@
 class LeaseGrant:
     """The granter's answer to one renewal.
 
-    :param is_holder: whether the lease is the caller's.
-    :param fencing_token: rises with every change of holder.
-    :param assignment: what tells how many processes ask for the lease, if it is known.
-    :param epoch: of the granter's log, which rises when that goes back.
-    :param is_candidate: whether the caller is one of the few that stand by for duties.
+    :param is_holder: whether the caller holds the lease.
+    :param fencing_token: increases with every change of the holder.
+    :param assignment: the caller's share of the group's partitions, from which the
+        number of processes that ask for the lease follows; None if it isn't known.
+    :param epoch: epoch of the granter's log, which increases when that log is restored
+        from an older copy.
+    :param is_candidate: whether the caller is one of the few processes that are to ask
+        for the leases of duties.
     """
 
     is_holder: bool
@@ -31,17 +35,17 @@
     is_candidate: bool = False
 
 
-# A new deal among all processes names other candidates. Former ones stay for this time,
-# so that the lease isn't dealt anew by each change.
+# Each change of the processes may select other candidates. Former candidates keep
+# asking for the lease for this time, so that not every change moves the lease.
 _FORMER_CANDIDATE_S = 5.0
 
 
 @dataclass(slots=True)
 class Candidacy:
-    """Whether one process asks for the lease; times are on the monotonic clock.
+    """Decides whether one process asks for the lease; times are monotonic.
 
-    :param membership_s: how long the process counts as a member after its last renewal
-        among all processes.
+    :param membership_s: how long the process counts as a member after it last renewed
+        its membership of the group of all processes.
     """
 
     membership_s: float
@@ -49,13 +53,13 @@
     _renewed_s: float = float("-inf")
 
     def record_renewal(self, grant: LeaseGrant, sent_s: float) -> None:
-        """Take an answer to a renewal among all processes."""
+        """Record an answer to a renewal of the membership, sent at ``sent_s``."""
         self._renewed_s = sent_s
         if grant.is_candidate:
             self._last_candidate_s = sent_s
 
     def requests_lease(self, now_s: float) -> bool:
-        """Return whether to ask for the lease; its holder goes on anyway."""
+        """Return whether to ask for the lease; a holder renews it in any case."""
         is_member = now_s - self._renewed_s < self.membership_s
         return is_member and now_s - self._last_candidate_s < _FORMER_CANDIDATE_S
 
@@ -64,9 +68,11 @@
 class Leadership:
     """One process's view of the lease; times are on the monotonic clock.
 
-    The lease counts from when its renewal was sent, and ends for its holder
-    before it ends for the granter. A holder whose token was refused as too low
-    has a successor, and waits until it is granted a higher one.
+    The lease counts from the moment when its renewal was sent, and its holder treats
+    it as expired before the granter does. A holder whose token was refused as too low
+    has a successor, and has no valid token until it is granted a higher one.
+
+    :param duration_s: how long the granter considers the lease valid.
     """
 
     duration_s: float
@@ -75,23 +81,23 @@
     _refused_token: int = -1
 
     def record_renewal(self, grant: LeaseGrant, sent_s: float) -> bool:
-        """Take an answer to a renewal; return whether the role changed."""
+        """Record an answer to a renewal; return whether this process's role changed."""
         previous = self._grant
         self._grant = grant
         self._renewed_s = sent_s
         return previous is None or previous.is_holder != grant.is_holder
 
     def revoke(self) -> None:
-        """The granter forgot what it granted, and may grant the lease to another."""
+        """Drop the lease: the granter lost its record and may grant it to another."""
         if self._grant is not None:
             self._grant = replace(self._grant, is_holder=False)
 
     def record_refused_token(self, fencing_token: int) -> None:
-        """An order with this token was refused: another has a higher one."""
+        """Record that an order with this token was refused for a higher one."""
         self._refused_token = max(self._refused_token, fencing_token)
 
     def current_token(self, now_s: float) -> int | None:
-        """Return the token to give orders with, if the lease holds now."""
+        """Return the fencing token for orders, or None if the lease isn't held now."""
         grant = self._grant
         if (
             grant is None
@@ -105,5 +111,5 @@
 
     @property
     def newest_token(self) -> int:
-        """The newest token that was heard of."""
+        """The token in the granter's newest answer; 0 before the first answer."""
         return self._grant.fencing_token if self._grant else 0
--- a/src/railfold/_internal/decisions/lifecycle.py
+++ b/src/railfold/_internal/decisions/lifecycle.py
@@ -1,9 +1,9 @@
-"""The life of one generate request at its entry.
+"""State of one generate request at its entry.
 
-A request goes through attempts until it has exactly one final outcome. Tokens
-that were emitted are never emitted again nor changed: a new attempt starts
-after them. The machine has no I/O and no clock; the driver feeds events and
-performs the returned actions in order.
+A request goes through attempts until it has exactly one final outcome. Emitted
+tokens are neither repeated nor changed: a new attempt continues after them. The
+state machine has no I/O and no clock; its driver passes events in and performs the
+returned actions in order.
 """
 
 from __future__ import annotations
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LifecycleLimits:
-    """Bounds of one request's attempts."""
+    """Limits on the attempts of one request."""
 
     max_attempts: int = 6
 
@@ -68,14 +68,15 @@
 class _Phase(Enum):
     PLANNING = auto()
     RUNNING = auto()
-    SETTLING = auto()  # Waiting for a tombstone before a retry is safe.
+    SETTLING = auto()  # A retry waits until the first stage confirms a tombstone.
     DONE = auto()
 
 
 class RequestLifecycle:
     """State machine of one request.
 
-    :param layer_count: layers of the model, checked in every lineage.
+    :param layer_count: number of layers of the model; the lineage of each token
+        must cover all of them.
     """
 
     def __init__(
@@ -96,12 +97,12 @@
 
     @property
     def done(self) -> bool:
-        """Whether the final outcome was given."""
+        """Whether the request has its final outcome."""
         return self._phase is _Phase.DONE
 
     @property
     def attempt(self) -> int:
-        """The number of the newest attempt."""
+        """The number of the newest attempt; 0 before the first."""
         return self._attempt
 
     @property
@@ -111,15 +112,18 @@
 
     @property
     def emitted(self) -> Sequence[Token]:
-        """Tokens given to the caller so far."""
+        """Tokens sent to the caller so far."""
         return self._emitted
 
     def start(self) -> list[LifecycleAction]:
-        """Begin: ask for the first chain."""
+        """Return the first action, which asks for a chain."""
         return [PlanChain(frozenset(), (), is_retry=False)]
 
     def apply(self, event: LifecycleEvent) -> list[LifecycleAction]:
-        """Take one event; return what to do about it."""
+        """Process one event; return the actions to perform, in order.
+
+        Events after the final outcome are ignored.
+        """
         if self.done:
             return []
         match event:
@@ -143,7 +147,7 @@
                 return self._on_token_overdue()
             case DeadlinePassed():
                 error = DeadlineExpiredError(
-                    "the request's deadline passed before its answer was whole",
+                    "the request's deadline passed before its answer was complete",
                     hint="allow a longer deadline, or ask for fewer tokens",
                 )
                 return self._abort(error)
@@ -163,12 +167,12 @@
         return [OpenAttempt(self._attempt, chain, emitted)]
 
     def _on_token(self, event: TokenArrived) -> list[LifecycleAction]:
-        # Even a token that can't be used is a sign that an attempt ran.
+        # Even a token that is dropped below shows that an attempt ran.
         self._may_have_run = True
         if self._phase is not _Phase.RUNNING or event.attempt != self._attempt:
             return []
         if event.token.step != len(self._emitted):
-            return []  # A duplicate, or beyond a token that was lost.
+            return []  # A duplicate, or a token after one that was lost.
         try:
             check_lineage(event.lineage, self._expected_lineage)
         except LineageError as error:
@@ -188,8 +192,8 @@
         error = NoCapacityError(f"host {host} refused the request", why=reason)
         self._refusing_hosts.append(host)
         if host == self._chain.stages[0].host:
-            # Only the first stage starts an attempt: unstarted there, it
-            # didn't run anywhere.
+            # Only the first stage starts an attempt: if it didn't start there,
+            # it didn't run at any stage.
             return self._retry(error, (host,))
         return self._retry_when_safe(error, (host,))
 
@@ -210,7 +214,7 @@
             f"host {names} was lost", why="its link broke or it doesn't answer"
         )
         if self._chain.stages[0].host in affected:
-            # The one that could prove the request unstarted is gone.
+            # Only the first stage could prove that the request didn't start.
             self._may_have_run = True
             return self._retry(error, tuple(sorted(affected)))
         if self._phase is _Phase.SETTLING:
@@ -224,7 +228,8 @@
         if self._request.repeatable or self._may_have_run:
             self._may_have_run = True
             return self._retry(error, exclude)
-        # Not repeatable: a retry needs proof that the first stage didn't run.
+        # A request that isn't repeatable is only retried after proof that the
+        # first stage didn't run it.
         self._phase = _Phase.SETTLING
         self._last_error = error
         self._excluded.update(exclude)
@@ -265,7 +270,7 @@
     def _abort(self, error: RailfoldError) -> list[LifecycleAction]:
         cancel: list[LifecycleAction] = []
         if self._phase in (_Phase.RUNNING, _Phase.SETTLING):
-            self._may_have_run = True  # Nothing proves otherwise at this point.
+            self._may_have_run = True  # There is no proof that it didn't run.
             cancel = [CancelAttempt(self._attempt, self._chain)]
         return [*cancel, *self._finish_without_answer(error, 1.0)]
 
@@ -283,7 +288,8 @@
     def _incomplete_outcome(
         self, error: RailfoldError, retry_after_s: float | None = None
     ) -> Outcome:
-        # With a token in hand the request surely ran and surely isn't whole.
+        # An emitted token proves that the request ran, and the answer is
+        # incomplete: the outcome is known.
         if self._emitted:
             return Failed(error, retry_after_s)
         return Unknown(error, retry_after_s)
--- a/src/railfold/_internal/decisions/lifecycle_events.py
+++ b/src/railfold/_internal/decisions/lifecycle_events.py
@@ -1,4 +1,4 @@
-"""Events and actions of a generate request's life."""
+"""Events that the state machine of a generate request takes, and its actions."""
 
 from __future__ import annotations
 
@@ -38,7 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanRefused:
-    """No chain, or no retry is allowed now; says when to come back."""
+    """No chain is available, or no retry is allowed now.
+
+    :param retry_after_s: after which time the caller may send the request again.
+    """
 
     error: RailfoldError
     retry_after_s: float
@@ -55,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StageRefused:
-    """A stage refused an attempt before its engine saw any of it."""
+    """A stage refused an attempt before any part of it reached its engine."""
 
     attempt: int
     host: str
@@ -64,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StageFailed:
-    """A stage can't go on; ``host`` is where the failure lies."""
+    """A stage can't continue; ``host`` is the host that failed."""
 
     attempt: int
     host: str
@@ -73,14 +76,17 @@
 
 @dataclass(frozen=True, slots=True)
 class HostsLost:
-    """These hosts are dead, replaced or don't answer probes."""
+    """These hosts are dead or replaced, or they don't answer probes."""
 
     hosts: frozenset[str]
 
 
 @dataclass(frozen=True, slots=True)
 class TombstoneReplied:
-    """A stage confirmed that the attempt never runs there from now on."""
+    """A stage confirmed that it won't run the attempt from now on.
+
+    :param started: whether the attempt had started at this stage before.
+    """
 
     attempt: int
     host: str
@@ -89,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenOverdue:
-    """The next token is later than recent step times explain."""
+    """The next token is overdue, judged by recent gaps between tokens."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -99,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerDisconnected:
-    """The caller closed its connection."""
+    """The caller closed its connection before the outcome."""
 
 
 LifecycleEvent = (
@@ -118,7 +124,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanChain:
-    """Plan a chain without ``exclude``, keeping ``prefer`` where possible."""
+    """Plan a chain without the hosts in ``exclude``.
+
+    :param prefer: hosts of the previous chain, to be used again where possible.
+    :param is_retry: whether there was an attempt before, so that the retry budget
+        applies.
+    """
 
     exclude: frozenset[str]
     prefer: tuple[str, ...]
@@ -127,7 +138,10 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenAttempt:
-    """Open an attempt at every stage, to go on after ``emitted``."""
+    """Open an attempt at every stage.
+
+    :param emitted: ids of the tokens after which the attempt continues.
+    """
 
     attempt: int
     chain: Chain
@@ -151,14 +165,14 @@
 
 @dataclass(frozen=True, slots=True)
 class EmitToken:
-    """Give a token to the caller."""
+    """Send a token to the caller."""
 
     token: Token
 
 
 @dataclass(frozen=True, slots=True)
 class Finish:
-    """The final outcome; nothing follows it."""
+    """End the request with its final outcome; no other action follows."""
 
     outcome: Outcome
 
--- a/src/railfold/_internal/decisions/lineage.py
+++ b/src/railfold/_internal/decisions/lineage.py
@@ -1,4 +1,4 @@
-"""Checking that a token went through each layer once, in order."""
+"""Check that a token passed through each layer exactly once, in order."""
 
 from __future__ import annotations
 
@@ -15,13 +15,14 @@
 ) -> tuple[StageRun, ...]:
     """Return the lineage that each token of an attempt must have.
 
-    :raises LineageError: the chain doesn't cover each layer once, in order.
+    :raises LineageError: the chain doesn't cover each of the model's
+        ``layer_count`` layers exactly once, in order.
     """
     next_layer = 0
     for stage in chain.stages:
         if stage.layers.first != next_layer:
             raise LineageError(
-                f"layer {next_layer} is missing or repeated in a chain",
+                f"layer {next_layer} is missing, repeated or out of order in a chain",
                 why=", ".join(f"{s.host}[{s.layers}]" for s in chain.stages),
             )
         next_layer = stage.layers.last + 1
@@ -37,16 +38,16 @@
 
 
 def check_lineage(lineage: Sequence[StageRun], expected: tuple[StageRun, ...]) -> None:
-    """Check a token's lineage against the one that its attempt must have.
+    """Check a token's lineage against the lineage that its attempt must have.
 
-    :raises LineageError: a layer is missing, repeated, out of order, or was
-        run by another host, incarnation or attempt than the chain names.
+    :raises LineageError: a layer is missing, repeated, out of order, or was run by
+        another host, incarnation or attempt than ``expected`` names.
     """
     if tuple(lineage) != expected:
         raise LineageError(
             "a token's lineage differs from its chain",
             why=f"expected {_describe(expected)}, got {_describe(lineage)}",
-            hint="the attempt is abandoned; the token wasn't given to the caller",
+            hint="the attempt is abandoned; the token wasn't sent to the caller",
         )
 
 
--- a/src/railfold/_internal/decisions/log_epoch.py
+++ b/src/railfold/_internal/decisions/log_epoch.py
@@ -1,9 +1,10 @@
-"""Which history of a log is read.
+"""Detect by a log's epoch that the log was restored from an older copy.
 
-A log may come back from a copy that is some seconds old. What it had acknowledged since
-is gone, its offsets are given out again, and its epoch rises by one. Nothing that was
-read by offset before holds then: a reader at 100, of a log that came back at 90 and has
-grown to 105, would go on at 100 and never see what stands at 90 to 99.
+A log may be restored from a copy that is some seconds old. The records that it has
+acknowledged since the copy are then lost, their offsets are assigned again, and its
+epoch increases by one. Offsets that were read before are no longer valid: if a log
+whose reader is at offset 100 is restored at 90 and grows to 105, a reader that
+continued at 100 would miss the new records at 90 to 99.
 """
 
 from __future__ import annotations
@@ -12,25 +13,25 @@
 
 __all__ = ["LOG_RECOVERY_S", "LogEpoch", "fencing_token"]
 
-# What others wrote and the log lost is written again within about two seconds (the
-# platform's word); the rest is for reading it. Until then a copy may lack a
-# configuration that was in force, and servers that live.
+# How long after a restore the log may lack a configuration that was in force, and
+# servers that are alive. According to the platform, lost records are written again
+# within about two seconds; the rest is the time to read them.
 LOG_RECOVERY_S = 2.3
 
-# A group's generation takes the lower bits of a token, so that the token rises though
-# generations fall when the log goes back and are given out again. Both together stay
-# below 2^53, which every reader of JSON keeps.
+# A token has the epoch in its upper bits and the group's generation in its lower bits,
+# so that tokens increase although generations fall and are assigned again after a
+# restore. Tokens stay below 2^53, up to which every JSON reader keeps integers exact.
 _GENERATION_BITS = 36
 
 
 @dataclass(slots=True)
 class LogEpoch:
-    """The newest epoch that this process has met."""
+    """The newest epoch of a log that this process has seen."""
 
     newest: int | None = None
 
     def observe(self, epoch: int) -> bool:
-        """Take the epoch of an answer; return whether the log went back since."""
+        """Record the epoch of an answer; return whether the log was restored since."""
         rolled_back = self.newest is not None and epoch > self.newest
         if self.newest is None or rolled_back:
             self.newest = epoch
@@ -38,5 +39,5 @@
 
 
 def fencing_token(epoch: int, generation: int) -> int:
-    """Return a token that rises with both, epochs first."""
+    """Return a token that increases with the epoch, and within it the generation."""
     return (epoch << _GENERATION_BITS) + generation
--- a/src/railfold/_internal/decisions/membership.py
+++ b/src/railfold/_internal/decisions/membership.py
@@ -1,11 +1,11 @@
-"""Which agents an entry may route to.
-
-Three sources speak of an agent, in this order of authority: the agent's own
-word over its link, the state of the link, and the platform's host list, which
-lags. An agent that says it is draining gets no new work whatever the list
-says; an agent whose link is down gets none either. The list adds hosts to dial
-and marks those that are leaving, which get no new work; a linked host that is
-missing from it goes on serving, since the list may be wrong or empty.
+"""Keep track of the agents that an entry may send work to.
+
+There are three sources of an agent's state, in order of precedence: the agent's own
+reports over its link, the state of the link, and the platform's host list, which lags
+behind. An agent that reports that it is draining gets no new work, whatever the list
+contains, and neither does an agent whose link is down. The list names the hosts to
+connect to and marks those that are leaving, which get no new work. A connected host
+that is missing from the list keeps serving, since the list may be wrong or empty.
 """
 
 from __future__ import annotations
@@ -32,7 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedHost:
-    """A host as the platform's list has it; ``address`` is its agent's."""
+    """A host in the platform's list.
+
+    :param address: address of the host's agent.
+    :param leaving: whether the platform is about to remove the host.
+    """
 
     host: str
     address: str
@@ -41,14 +45,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HostListReceived:
-    """A new copy of the platform's list."""
+    """A new copy of the platform's host list arrived."""
 
     hosts: tuple[ListedHost, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class LinkUp:
-    """A link to an agent was handshaken."""
+    """A link to an agent completed its handshake."""
 
     host: str
     address: str
@@ -59,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkDown:
-    """The link to one incarnation of an agent ended."""
+    """The link to one incarnation of an agent closed."""
 
     host: str
     incarnation: int
@@ -67,9 +71,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentReport:
-    """An agent's own word, from a heartbeat.
+    """An agent's report of its own state, from a heartbeat.
 
-    :param owned: how many of its ``sequences`` are this entry's.
+    :param sequences: number of open sequences at the agent.
+    :param owned: how many of ``sequences`` belong to this entry.
+    :param step_ms: recent mean duration of an engine step.
     """
 
     host: str
@@ -96,10 +102,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """What an event changed.
+    """Consequences of a membership event.
 
     :param connect: hosts to open a link to.
-    :param disconnect: hosts whose link is no longer wanted.
+    :param disconnect: hosts to stop connecting to.
     :param lost: hosts whose work in flight is lost.
     """
 
@@ -110,10 +116,12 @@
 
 @dataclass(slots=True)
 class Member:
-    """What an entry knows of one linked agent.
+    """An entry's knowledge of one connected agent.
 
-    :param own_sequences: this entry's own sequences there now, which it knows exactly.
-    :param other_sequences: sequences of other entries there, by the last report.
+    :param suspect: whether the agent missed a probe and hasn't reported since.
+    :param leaving: whether the host list marks the agent's host as leaving.
+    :param own_sequences: exact number of this entry's sequences at the agent.
+    :param other_sequences: number of other entries' sequences in the last report.
     """
 
     host: str
@@ -133,12 +141,12 @@
 
     @property
     def routable(self) -> bool:
-        """Whether new work may go there."""
+        """Whether the agent may get new work."""
         return self.state == "serving" and not self.suspect and not self.leaving
 
     @property
     def displayed_state(self) -> str:
-        """What operators see: the agent's own state, or why it gets no work."""
+        """The state shown to operators: as reported, or why the agent gets no work."""
         if self.suspect:
             return "suspect"
         if self.leaving and self.state == "serving":
@@ -147,7 +155,7 @@
 
     @property
     def load(self) -> int:
-        """Sequences there, as well as it is known."""
+        """Number of sequences at the agent, as far as this entry knows."""
         return self.own_sequences + self.other_sequences
 
 
@@ -162,11 +170,11 @@
         return iter(self._members.values())
 
     def get(self, host: str) -> Member | None:
-        """Return the linked agent at ``host``."""
+        """Return the connected agent at ``host``, or None."""
         return self._members.get(host)
 
     def apply(self, event: MembershipEvent) -> MembershipChange:
-        """Take one event; return what changed."""
+        """Process one event; return its consequences."""
         match event:
             case HostListReceived(hosts=hosts):
                 return self._on_host_list(hosts)
@@ -191,8 +199,8 @@
             for name, h in listed.items()
             if name not in known or known[name].address != h.address
         )
-        # A host that is off the list may still finish what it has: only hang
-        # up once its own word or its link has ended that.
+        # A connected host that is no longer listed may still finish its work: it is
+        # only given up once the agent itself or a failure has closed the link.
         unlisted = tuple(
             name for name in known if name not in listed and name not in self._members
         )
@@ -248,9 +256,9 @@
     def stages(
         self, model: str, version: str, placed: dict[str, LayerRange]
     ) -> list[Replica]:
-        """Return replicas of a model that are placed and read back as loaded.
+        """Return the replicas that report the model's placed layers as loaded.
 
-        :param placed: host to layer range, from the configuration.
+        :param placed: layer range per host, from the configuration.
         """
         found: list[Replica] = []
         for host, layers in placed.items():
@@ -262,7 +270,7 @@
         return found
 
     def service_replicas(self, service: str, hosts: list[str]) -> list[Replica]:
-        """Return replicas of a plain service among ``hosts``."""
+        """Return the replicas of a plain service among ``hosts``."""
         members = (self._members.get(host) for host in hosts)
         return [
             _replica(member, LayerRange(0, 0))
@@ -271,7 +279,10 @@
         ]
 
     def count_own(self, stages: Iterable[Stage], change: int) -> None:
-        """Count own work that begins (``change`` 1) or ends (-1) at ``stages``."""
+        """Add ``change`` to the count of this entry's sequences at ``stages``.
+
+        :param change: 1 if a sequence begins there, -1 if one ends.
+        """
         for stage in stages:
             member = self._members.get(stage.host)
             if member is not None and member.incarnation == stage.incarnation:
--- a/src/railfold/_internal/decisions/orders.py
+++ b/src/railfold/_internal/decisions/orders.py
@@ -1,12 +1,13 @@
-"""Orders to an engine: which one to give now, if any.
-
-Only the agent beside an engine gives orders, one at a time, and compares what
-the engine then says with what the configuration wants: the level is reconciled,
-not an order fired once. Each order carries a fencing number from the log's
-order. Some engines refuse an older number; others ignore it, and there the
-agent is the fence: it gives no order unless it heard from an entry within its
-lease, looked at on the monotonic clock right before, and none if the engine has
-seen a newer number. A paused agent that wakes finds its lease lapsed.
+"""Decide which load order, if any, to send to an engine now.
+
+Only the agent on an engine's host sends orders to it, one at a time. The agent
+compares the state that the engine reports with the state that the configuration
+demands, and repeats the order until both agree. Each order carries a fencing token
+that increases in the order of the log. Some engines refuse an order with an older
+token. Other engines ignore the token, so the agent has to protect them: it sends an
+order only if it had contact to an entry within its lease, which it checks on the
+monotonic clock directly before, and only if the engine hasn't seen a newer token. An
+agent that resumes after a pause therefore finds its lease expired.
 """
 
 from __future__ import annotations
@@ -31,9 +32,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadOrder:
-    """Load these layers of this model version.
+    """An order to load these layers of this model version.
 
-    :param fencing_token: version of the pipeline in the log's order.
+    :param fencing_token: version of the pipeline, which increases in the log's order,
+        or the token of the lease under which an entry places layers.
     """
 
     model: str
@@ -44,34 +46,34 @@
 
 @dataclass(frozen=True, slots=True)
 class DesiredStateReached:
-    """The engine holds what is desired, or nothing is desired of it."""
+    """The engine has loaded the desired layers, or no layers are desired."""
 
 
 @dataclass(frozen=True, slots=True)
 class GiveOrder:
-    """Give this order now."""
+    """Send this order now."""
 
     order: LoadOrder
 
 
 @dataclass(frozen=True, slots=True)
 class WaitForLease:
-    """No entry was heard within the lease: another agent may be in charge."""
+    """No contact to an entry within the lease: another agent may be in charge."""
 
 
 @dataclass(frozen=True, slots=True)
 class NewerTokenSeen:
-    """The engine has seen a newer fencing number than ours."""
+    """The engine has seen a newer fencing token than that of the desired order."""
 
 
 @dataclass(frozen=True, slots=True)
 class WaitForSequences:
-    """Sequences are open on what is loaded; refuse new ones until it is free."""
+    """Sequences use the loaded layers; new ones are refused until these have ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class WaitForSlot:
-    """Its turn at the weight store comes at loop time ``at_s``."""
+    """The host may load from the weight store from loop time ``at_s`` on."""
 
     at_s: float
 
@@ -88,10 +90,13 @@
 
 @dataclass(frozen=True, slots=True)
 class OrderLimits:
-    """Bounds of orders.
+    """Limits on the orders to one engine.
 
-    :param loads_per_s: what the weight store allows all hosts together.
-    :param retry_s: least time between two orders.
+    :param lease_s: how long after the last contact to an entry orders may be sent.
+    :param loads_per_s: how many loads per second the weight store allows to all
+        hosts together.
+    :param retry_s: minimum time between two orders, unless
+        :meth:`Reconciler.record_order` sets another.
     """
 
     lease_s: float = 5.0
@@ -100,7 +105,7 @@
 
 
 class Reconciler:
-    """Decides on orders for one engine."""
+    """Decides on the orders for one engine."""
 
     def __init__(self, limits: OrderLimits) -> None:
         self._limits = limits
@@ -121,10 +126,13 @@
     ) -> OrderDecision:
         """Return what to do now.
 
-        :param loaded: model, version and layers as read back.
-        :param engine_fencing_token: the highest number that the engine has seen.
-        :param last_contact_s: when an entry was heard last, on the monotonic clock.
-        :param now_s: the monotonic clock right now.
+        :param desired: the desired order, and the number of the host's slot in the
+            sequence in which the hosts load from the weight store.
+        :param loaded: model, version and layers that the engine reports as loaded.
+        :param engine_fencing_token: the highest token that the engine has seen.
+        :param open_sequences: number of sequences that use the loaded layers.
+        :param last_contact_s: monotonic time of the last contact to an entry.
+        :param now_s: the current monotonic time.
         """
         if desired is None:
             return DesiredStateReached()
@@ -146,10 +154,10 @@
         return GiveOrder(order)
 
     def record_order(self, now_s: float, retry_s: float | None = None) -> None:
-        """An order was given.
+        """Record that an order was sent.
 
-        :param retry_s: after which time it may be given again, if that isn't the
-            usual one.
+        :param retry_s: after which time it may be sent again, if that isn't the
+            limits' ``retry_s``.
         """
         self._last_order_s = now_s
         self._retry_s = self._limits.retry_s if retry_s is None else retry_s
--- a/src/railfold/_internal/decisions/policy.py
+++ b/src/railfold/_internal/decisions/policy.py
@@ -1,10 +1,10 @@
-"""Workspace policies: short CEL programs that steer each request.
+"""Workspace policies: short CEL programs that are evaluated for each request.
 
-A policy is one expression over ``request`` and ``workspace`` that gives a map.
-Its keys are all optional: ``admit`` (bool), ``priority`` (int) and
-``max_tokens`` (int). A policy that doesn't compile is refused when it is
-published; one that fails at run time falls back to :data:`DEFAULT_DECISION`,
-and the caller of :meth:`Policy.evaluate` counts it.
+A policy is one expression over ``request`` and ``workspace`` that returns a map with
+the optional keys ``admit`` (bool), ``priority`` (int) and ``max_tokens`` (int). A
+policy that doesn't compile is refused when it is published. If a policy fails at run
+time, the request gets the values of :data:`DEFAULT_DECISION` with ``failed`` set, and
+the caller of :meth:`Policy.evaluate` counts the failure.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 MAX_POLICY_BYTES = 2048
 
-# Each comprehension may loop over its input; nesting them multiplies the cost.
+# Each comprehension may loop over its whole input, and nested ones multiply the cost.
 _MAX_COMPREHENSIONS = 2
 _COMPREHENSIONS = (".map(", ".filter(", ".all(", ".exists(", ".exists_one(")
 
@@ -27,7 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyDecision:
-    """What a policy says of one request; None leaves the request's own value."""
+    """A policy's result for one request; None keeps the value from the request.
+
+    :param failed: whether the policy failed, so that the other fields are defaults.
+    """
 
     admit: bool = True
     priority: int | None = None
@@ -47,10 +50,10 @@
 
     @classmethod
     def compile(cls, text: str) -> Policy:
-        """Compile ``text``.
+        """Compile the policy in ``text``.
 
-        :raises ConfigurationRefusedError: it is too large, may cost too much,
-            or isn't a valid expression.
+        :raises ConfigurationRefusedError: the text is over the size limit, has too
+            many comprehensions, or isn't a valid expression.
         """
         problems = []
         if len(text.encode()) > MAX_POLICY_BYTES:
@@ -60,8 +63,8 @@
             problems.append(f"policy has over {_MAX_COMPREHENSIONS} comprehensions")
         if problems:
             raise ConfigurationRefusedError("policy", problems)
-        # Imported where it is needed: the library brings a terminal toolkit
-        # with it, which costs a third of a second at every start.
+        # Imported on first use: the library imports a terminal toolkit, which would
+        # add a third of a second to the start of every process.
         import cel
 
         try:
@@ -71,7 +74,11 @@
             raise ConfigurationRefusedError("policy", [problem]) from error
 
     def evaluate(self, workspace: str, request: dict[str, Any]) -> PolicyDecision:
-        """Return the decision; the safe default if the program fails."""
+        """Return the decision on a request.
+
+        If the program fails or its result isn't valid, return the default decision
+        with ``failed`` set.
+        """
         try:
             result = self._program.execute({"workspace": workspace, "request": request})
         except (ValueError, TypeError, RuntimeError, KeyError):
--- a/src/railfold/_internal/decisions/sequence_events.py
+++ b/src/railfold/_internal/decisions/sequence_events.py
@@ -1,4 +1,4 @@
-"""Events and actions of an agent's sequence table."""
+"""Events that an agent's sequence table takes, and the actions that it returns."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class RefusalReason(Enum):
-    """Why an open was refused; values are part of the link protocol."""
+    """Why an open was refused; the values are part of the link protocol."""
 
     DRAINING = "draining"
     FULL = "full"
@@ -44,7 +44,16 @@
 
 @dataclass(frozen=True, slots=True)
 class SequenceLimits:
-    """Bounds of the table."""
+    """Limits of a sequence table.
+
+    :param max_sequences: open sequences, without cancelled ones.
+    :param max_held_frames: frames of one sequence that wait for their turn.
+    :param remembered_outputs: newest outputs of one sequence that are kept in order
+        to be sent again.
+    :param max_orphan_frames: frames of all attempts that aren't open yet.
+    :param orphan_timeout_s: how long such a frame waits for its attempt's open.
+    :param max_tombstones: attempts of which the table remembers that they have ended.
+    """
 
     max_sequences: int = 64
     max_held_frames: int = 4
@@ -56,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepInput:
-    """What a step needs: data from the previous stage, and its lineage."""
+    """Input of a step: the data from the previous stage, and their lineage."""
 
     data: object
     lineage: tuple[StageRun, ...] = ()
@@ -64,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepOutput:
-    """What a step gave, and the lineage with this stage's run added."""
+    """Output of a step, and its lineage including this stage's run."""
 
     data: object
     lineage: tuple[StageRun, ...]
@@ -74,8 +83,10 @@
 class OpenReceived:
     """An entry opens an attempt at this stage.
 
+    :param owner: the entry.
+    :param index: position of this stage in the chain.
     :param base_step: the first step of this attempt.
-    :param max_tokens: steps of the whole answer.
+    :param max_tokens: number of steps of the whole answer.
     :param first_input: the input of ``base_step`` if this is the first stage.
     """
 
@@ -90,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FrameReceived:
-    """Input for one step arrived from another stage."""
+    """Input for one step arrived from the previous stage of the chain."""
 
     attempt_id: AttemptId
     step: int
@@ -110,7 +121,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunFailed:
-    """The engine failed a step, or its answer was lost."""
+    """The engine failed to run a step, or its answer was lost."""
 
     attempt_id: AttemptId
     step: int
@@ -119,28 +130,28 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelReceived:
-    """The owner gives the attempt up and wants a tombstone."""
+    """The owner cancels the attempt and asks for a tombstone."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class OwnerLost:
-    """The link to an entry is gone: its sequences are orphans."""
+    """The link to an entry is closed: the sequences that it owns are closed too."""
 
     owner: str
 
 
 @dataclass(frozen=True, slots=True)
 class PeerLost:
-    """Another stage can't be reached."""
+    """The host of another stage can't be reached."""
 
     host: str
 
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time passes: held frames of unopened attempts expire."""
+    """Time has passed: frames of attempts that weren't opened in time expire."""
 
 
 SequenceEvent = (
@@ -157,10 +168,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRun:
-    """Give this step to the engine.
+    """Run this step on the engine.
 
-    :param begins: whether it is the first step of the attempt, so that the
-        engine has no cache for it yet. For any other step it must have one.
+    :param begins: whether this is the first step of the attempt at this stage. The
+        engine has no KV cache of the attempt before its first step, and must have one
+        at every other step.
     """
 
     attempt_id: AttemptId
@@ -171,7 +183,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForwardOutput:
-    """Send this output on: to the next stage, or as a token."""
+    """Send this output to the next stage, or from the last stage to the entry."""
 
     attempt_id: AttemptId
     step: int
@@ -180,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RefuseOpen:
-    """Tell the owner that nothing of the attempt ran here, and why."""
+    """Tell the owner that the attempt is refused and didn't run here, and why."""
 
     attempt_id: AttemptId
     owner: str
@@ -189,7 +201,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FailSequence:
-    """Tell the owner that the attempt can't go on, and where it failed."""
+    """Tell the owner that the attempt can't continue, and which host failed."""
 
     attempt_id: AttemptId
     owner: str
@@ -199,14 +211,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CloseEngineSequence:
-    """Let the engine free the sequence's KV cache."""
+    """Make the engine free the sequence's KV cache."""
 
     attempt_id: AttemptId
 
 
 @dataclass(frozen=True, slots=True)
 class ConfirmTombstone:
-    """Tell the owner whether the attempt ever started; it never will now."""
+    """Tell the owner that the attempt won't run here from now on.
+
+    :param started: whether it had started before.
+    """
 
     attempt_id: AttemptId
     started: bool
--- a/src/railfold/_internal/decisions/sequences.py
+++ b/src/railfold/_internal/decisions/sequences.py
@@ -1,13 +1,15 @@
-"""The agent's guard over its backend server's sequences.
-
-For each attempt the table holds the next step its engine may run. The next
-step runs; a repeated step is answered from memory; a step that is ahead, or
-that comes before its attempt was opened, is held, bounded; anything from an
-older attempt or another agent incarnation is refused. So no duplicated,
-crossed or late frame can run a layer twice or feed another request.
-
-The table is a state machine without I/O: :meth:`SequenceTable.apply` takes one
-event and returns the actions to perform, in order.
+"""An agent's table of the sequences that run on its backend server.
+
+For each attempt the table keeps the number of the next step that the engine may run.
+A frame for that step runs. A frame for an earlier step is a repetition, and the
+remembered output is sent again. A frame for a later step is held until its turn, and
+so is a frame that arrives before its attempt was opened; the number of held frames is
+limited. Frames and opens of an older attempt or another agent incarnation are refused.
+Therefore no duplicated, reordered or late frame can run a layer twice or become input
+of another request.
+
+The table is a state machine without I/O: :meth:`SequenceTable.apply` takes one event
+and returns the actions to perform, in order.
 """
 
 from __future__ import annotations
@@ -44,7 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SequenceView:
-    """What is needed to route an open attempt's messages."""
+    """The facts that are needed to route the messages of an open attempt.
+
+    :param owner: the entry that opened the attempt.
+    :param index: position of this agent's stage in the chain.
+    """
 
     owner: str
     chain: Chain
@@ -72,7 +78,7 @@
 
     @property
     def upstream(self) -> Stage:
-        # The first stage's upstream is the last one: index -1 wraps around.
+        # The first stage gets its input from the last one: index -1 wraps around.
         return self.chain.stages[self.index - 1]
 
 
@@ -83,7 +89,7 @@
 
 
 class SequenceTable:
-    """All attempts that one agent holds.
+    """All attempts that are open at one agent.
 
     :param host: this agent's host.
     :param incarnation: this agent's incarnation.
@@ -106,19 +112,19 @@
 
     @property
     def _active_count(self) -> int:
-        # A cancelled sequence whose last step still runs takes no place: its
-        # entry has given the place to another request already.
+        # A cancelled sequence whose last step still runs isn't counted: its entry
+        # may already have sent another request in its place.
         return len(self._sequences) - self._closing_count
 
     def owned_by(self, owner: str) -> int:
-        """Return how many sequences an entry owns."""
+        """Return how many sequences an entry owns, without cancelled ones."""
         return sum(
             sequence.owner == owner and not sequence.closing
             for sequence in self._sequences.values()
         )
 
     def view(self, attempt_id: AttemptId) -> SequenceView | None:
-        """Return what is needed to route an open attempt's messages."""
+        """Return how to route the messages of an attempt, or None if it isn't open."""
         sequence = self._sequences.get(attempt_id)
         if sequence is None:
             return None
@@ -127,15 +133,15 @@
         )
 
     def open_attempts(self) -> list[AttemptId]:
-        """Return all open attempts."""
+        """Return the ids of all open attempts."""
         return list(self._sequences)
 
     def longest_chain(self) -> int:
-        """Return the number of stages of the longest open chain."""
+        """Return the number of stages of the longest open chain; 1 if none is open."""
         return max((len(s.chain.stages) for s in self._sequences.values()), default=1)
 
     def apply(self, event: SequenceEvent, now_s: float) -> list[SequenceAction]:
-        """Take one event at loop time ``now_s``; return what to do about it."""
+        """Process one event at loop time ``now_s``; return the actions, in order."""
         match event:
             case OpenReceived():
                 return self._open(event)
@@ -158,10 +164,10 @@
     def _open(self, event: OpenReceived) -> list[SequenceAction]:
         attempt_id = event.attempt_id
         if attempt_id in self._sequences:
-            return []  # A duplicated open: the first one stands.
+            return []  # A duplicated open: the first one counts.
         reason = self._refusal_reason(event)
         if reason is not None:
-            # What was refused must stay refused if the open comes again.
+            # A refused open must be refused again if a duplicate of it arrives.
             self._add_tombstone(attempt_id, started=False)
             return [RefuseOpen(attempt_id, event.owner, reason)]
         actions = self._close_older_attempt(attempt_id)
@@ -223,7 +229,7 @@
     ) -> list[SequenceAction]:
         output = sequence.outputs.get(step)
         if output is None:
-            return []  # Still running, or too old to matter.
+            return []  # The step still runs, or its output is no longer needed.
         return [ForwardOutput(attempt_id, step, output)]
 
     def _run_next(
@@ -283,7 +289,7 @@
             return []
         self._add_tombstone(attempt_id, started=sequence.started)
         if sequence.running is not None:
-            # The engine is at it: its KV cache goes when the step has ended.
+            # The engine still runs a step: its KV cache is freed after that step.
             if not sequence.closing:
                 self._closing_count += 1
             sequence.closing = True
