--- a/tests/unit/test_lifecycle_properties.py
+++ b/tests/unit/test_lifecycle_properties.py
@@ -90,28 +90,28 @@
     def feed(self, event: LifecycleEvent) -> None:
         self.perform(self.machine.apply(event))
 
-    def feed_drawn_event(self, kind: int, which: int, shift: int) -> None:
-        attempt = max(1, max(self.opened, default=1) + min(0, shift))
+    def feed_drawn_event(self, event_kind: int, stage_index: int, offset: int) -> None:
+        attempt = max(1, max(self.opened, default=1) + min(0, offset))
         chain = self.opened.get(attempt, make_chain(0))
-        host = chain.stages[which].host
-        match kind:
+        host = chain.stages[stage_index].host
+        match event_kind:
             case 0 | 1 | 2 | 3 if attempt not in self.never_starts:
                 self.started.add(attempt)
-                self.feed(self.token(attempt, chain, len(self.emitted) + shift))
+                self.feed(self.token(attempt, chain, len(self.emitted) + offset))
             case 4:
                 self.feed(HostsLost(frozenset({host})))
-            case 5 if which or attempt not in self.started:
-                self.never_starts |= set() if which else {attempt}
+            case 5 if stage_index or attempt not in self.started:
+                self.never_starts |= set() if stage_index else {attempt}
                 self.feed(StageRefused(attempt, host, "draining"))
             case 6:
                 self.feed(StageFailed(attempt, host, "engine"))
             case 7:
-                started = attempt in self.started and which == 0
-                self.never_starts |= set() if which or started else {attempt}
+                started = attempt in self.started and stage_index == 0
+                self.never_starts |= set() if stage_index or started else {attempt}
                 self.feed(TombstoneReplied(attempt, host, started))
-            case 8 if shift:
+            case 8 if offset:
                 self.feed(DeadlinePassed())
-            case 9 if shift:
+            case 9 if offset:
                 self.feed(CallerDisconnected())
             case _:
                 self.feed(PlanRefused(NoCapacityError("none"), 1.0))
