--- a/tests/lib/models.py
+++ b/tests/lib/models.py
@@ -1,4 +1,4 @@
-"""A model of the users' sites, as tests of decisions need it."""
+"""A model and accelerators with the users' figures, for tests of decisions."""
 
 from __future__ import annotations
 
--- a/tests/lib/traces.py
+++ b/tests/lib/traces.py
@@ -1,9 +1,10 @@
-"""Replaying recorded traces through the decisions.
+"""Replay of recorded traces through the state machines of the decisions.
 
-A trace is a file of JSON lines. The first line names the machine and its
-set-up, the last one states the outcome, and each line between gives a time and
-an event. Replaying gives the actions of each event as plain data, which is
-compared with a golden file, and the outcome, which must be the stated one.
+A trace is a file of JSON lines. The first line names the state machine and its
+parameters, each following line has a time and an event, and the last line has the
+expected outcome. A replay returns the actions after each event as plain data, which
+the test compares with a snapshot file, and the outcome, which it compares with the
+expected one.
 """
 
 from __future__ import annotations
@@ -33,7 +34,7 @@
 
 
 def to_plain(value: Any) -> Any:
-    """Return a value as plain data that reads well in a golden file."""
+    """Convert a value to plain data that is readable in a snapshot file."""
     match value:
         case RailfoldError():
             return value.code
@@ -61,7 +62,7 @@
 
 
 def decode(module: Any, name: str, fields: dict[str, Any]) -> Any:
-    """Return the event ``name`` of a decisions module."""
+    """Return an instance of the class ``name`` of a decisions module."""
     return msgspec.convert(fields, getattr(module, name), dec_hook=_decode_special)
 
 
@@ -77,7 +78,12 @@
 
 @dataclasses.dataclass
 class Replay:
-    """What a replay gave."""
+    """Result of a replay.
+
+    :param steps: one line per event, with its actions.
+    :param outcome: the outcome of the replay.
+    :param expected: the outcome that the trace expects.
+    """
 
     steps: list[str]
     outcome: Any
@@ -85,7 +91,7 @@
 
 
 def replay(path: Path) -> Replay:
-    """Replay one trace."""
+    """Replay one trace file."""
     lines = [json.loads(line) for line in path.read_text().splitlines()]
     header, *events, last = lines
     machine = _MACHINES[header.pop("machine")](header)
--- a/tests/unit/test_leadership_handover.py
+++ b/tests/unit/test_leadership_handover.py
@@ -1,4 +1,9 @@
-"""The duty to place layers changes hands soon, and is never done by two at a time."""
+"""A lost leader is replaced soon, and two processes never lead at the same time.
+
+The leader places layers. Several candidates renew the lease at a simulated store while
+faults are injected: refused or lost calls, processes cut off from the store and from
+each other, suspended processes, delayed calls and restores of an older copy.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +27,7 @@
 from tests.lib.properties import examples
 from tests.lib.virtual_time import run_in_virtual_time
 
-# What callers lose while layers are missing and nobody orders others.
+# How long requests may fail because layers are missing and no leader orders others.
 HANDOVER_S = 1.5
 
 _TICK_S = 0.01
@@ -32,7 +37,7 @@
 
 @dataclass
 class Group:
-    """A store's group that deals one partition, as its pages tell."""
+    """A group of the store with one partition, as the store documents it."""
 
     generation: int = 0
     holder: str = ""
@@ -75,7 +80,7 @@
         return min(self.last_join_s, default="")
 
     def _assign(self) -> None:
-        """Pass the partition on once its holder has confirmed_generations this deal."""
+        """Reassign the partition when its holder has confirmed this generation."""
         if (
             self.holder
             and self.confirmed_generations.get(self.holder, 0) < self.generation
@@ -86,7 +91,7 @@
 
 @dataclass
 class Process:
-    """A candidate, its way to the store and its faults."""
+    """A candidate with its connection to the store and its injected faults."""
 
     name: str
     group: Group
@@ -120,7 +125,7 @@
 
     @property
     def fencing(self) -> int | None:
-        """The token that it gives orders with."""
+        """The fencing token under which the process gives orders, if it can."""
         if self.active_fault in ("frozen", "killed"):
             return None
         return self.leadership.current_token(asyncio.get_running_loop().time())
@@ -158,7 +163,7 @@
         generation, holding = self.group.join(holder, self.generation)
         epoch = self.group.epoch
         self.generation = generation if epoch == epoch_when_sent else 0
-        # An answer that is lost has been carried out.
+        # A call whose answer is lost below has already been carried out.
         await asyncio.sleep(_TRANSIT_S / 2)
         if self.active_fault not in ("", "late"):
             await asyncio.Event().wait()
@@ -168,7 +173,7 @@
 
     async def release(self, holder: str) -> None:
         if self.active_fault == "late":
-            # The answer is lost, and the call carried out afterwards.
+            # The call's answer is lost, and the store carries the call out later.
             loop = asyncio.get_running_loop()
             loop.call_later(_LATE_LEAVE_S, self.group.leave, holder)
             await asyncio.Event().wait()
@@ -178,7 +183,7 @@
 
 @contextlib.asynccontextmanager
 async def candidates(count: int):  # type: ignore[no-untyped-def]
-    """Some candidates, of which one leads."""
+    """Run ``count`` candidates, of which one leads after the first two seconds."""
     group = Group()
     processes: list[Process] = []
     for number in range(count):
@@ -233,7 +238,10 @@
 
 @pytest.mark.parametrize("phase_s", [n * 0.03 for n in range(9)])
 def test_delayed_leave_does_not_end_a_newer_lease(phase_s: float) -> None:
-    """The leader leads again meanwhile, and a successor must not lead beside it."""
+    """A delayed leave for a stopped leader must not end the lease that it holds since.
+
+    Otherwise a successor would lead beside that leader, which leads again.
+    """
 
     async def leave_late() -> int:
         async with candidates(2) as (_, processes):
@@ -253,7 +261,7 @@
 
 
 def test_abandoned_member_id_is_not_reused() -> None:
-    """A leave for it may be carried out at any later time."""
+    """The store may carry out a delayed leave of an abandoned id at any later time."""
 
     async def refuse_leader() -> tuple[str, set[str]]:
         async with candidates(2) as (group, processes):
@@ -286,7 +294,7 @@
 def test_faults_never_cause_two_leaders_or_falling_tokens(
     faults: list[tuple[str, int, float, float]],
 ) -> None:
-    """Over cuts, suspensions and a store that goes back, in any order."""
+    """Connection faults, suspensions and restores of the store occur in any order."""
 
     async def run() -> None:
         async with candidates(4) as (group, processes):
@@ -329,7 +337,7 @@
 
 
 def test_candidate_without_renewals_stops_requesting_the_lease() -> None:
-    """It isn't a member by now, and others have been confirmed_generations."""
+    """The store no longer counts it as a member and has selected other candidates."""
     candidacy = Candidacy(MEMBER_S)
     candidacy.record_renewal(LeaseGrant(False, 1, is_candidate=True), 10.0)
     assert not candidacy.requests_lease(10.0 + MEMBER_S)
--- a/tests/unit/test_leases.py
+++ b/tests/unit/test_leases.py
@@ -1,4 +1,8 @@
-"""Leases count from when a call was sent, and end before others believe so."""
+"""Leases count from when a call was sent, and end for the holder first.
+
+If a lease counted from the answer, or ended for its holder as late as for the granter,
+two holders could act at the same time.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +13,7 @@
 def test_freshness_counts_from_when_the_call_was_sent() -> None:
     lease = FreshnessLease(5.0)
     assert not lease.valid(0.0)
-    lease.renew(sent_s=10.0)  # Its answer may have come at 14.
+    lease.renew(sent_s=10.0)  # The answer may have arrived as late as 14.0.
     assert lease.valid(14.9)
     assert not lease.valid(15.0)
 
--- a/tests/unit/test_lifecycle_properties.py
+++ b/tests/unit/test_lifecycle_properties.py
@@ -1,4 +1,10 @@
-"""Whatever happens, a request has one outcome and tokens never change."""
+"""Any order of events leads a request to one outcome and to unchanged tokens.
+
+The tests draw tokens, refusals, failures, losses of hosts, tombstones, deadlines and
+disconnects in any order, also from attempts that are no longer current. They guard
+against a second outcome, repeated or missing tokens, a "not run" outcome of a request
+that has started, and a second start of a request that isn't repeatable.
+"""
 
 from __future__ import annotations
 
@@ -54,7 +60,7 @@
 
 
 class AgentSimulation:
-    """Plays the agents' part, with an oracle of what was started."""
+    """Answers the state machine as agents would, and records which attempts started."""
 
     def __init__(self, *, repeatable: bool) -> None:
         request = GenerateRequest(
@@ -162,7 +168,7 @@
     for event in events:
         simulation.feed_drawn_event(*event)
         newest = max(simulation.opened, default=0)
-        # An attempt that has started is never followed by another one.
+        # No other attempt follows one that has started.
         assert all(
             attempt == newest for attempt in simulation.started & set(simulation.opened)
         )
--- a/tests/unit/test_log_epoch.py
+++ b/tests/unit/test_log_epoch.py
@@ -1,4 +1,8 @@
-"""A reader of a log that goes back holds what the log holds, in any interleaving."""
+"""A reader agrees with a log that is restored from an older copy at any time.
+
+After a restore the log assigns offsets again, so a reader that only continued at its
+offset would miss records and keep lost ones.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +26,7 @@
 
 @dataclass
 class Log:
-    """A log that keeps the newest record of each key, and goes back."""
+    """A log of values per key that can be restored from an older copy."""
 
     records: list[tuple[str, int]] = field(default_factory=list)
     epoch: int = 0
@@ -43,7 +47,7 @@
 
 @dataclass
 class Reader:
-    """Holds the newest value of each key; a whole copy replaces all."""
+    """Keeps the newest value of each key; a complete snapshot replaces all values."""
 
     values: dict[str, int] = field(default_factory=dict)
     read_offset: int = -1
@@ -154,7 +158,7 @@
 
 
 class UnresponsiveLog(Log):
-    """A log that answers no read that waits."""
+    """A log that never answers a read that may wait for new records."""
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
         if wait_s > 0.0:
@@ -163,7 +167,10 @@
 
 
 async def test_waiting_read_of_an_unresponsive_log_can_be_abandoned() -> None:
-    """Another read has found that the log doesn't answer."""
+    """When another read finds the log unresponsive, the waiting read ends at once.
+
+    Otherwise the reader would notice the outage only after the read's whole timeout.
+    """
     log, reader = UnresponsiveLog([("a", 1)]), Reader()
     lost: list[LogUnavailableError] = []
     follower = StreamFollower(
--- a/tests/unit/test_membership.py
+++ b/tests/unit/test_membership.py
@@ -1,4 +1,9 @@
-"""The view follows the agent's word, then its link, then the list."""
+"""Agents get work by their own reports first, then by their link, then by the list.
+
+The tests guard against work for agents that are draining, leaving, disconnected,
+replaced or without the right layers, and against dropping connected agents because
+the platform's host list lags behind or is empty.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +41,7 @@
 
 @pytest.fixture
 def view() -> MembershipView:
-    """A view of one serving agent."""
+    """A view with one serving agent, "a1"."""
     view = MembershipView()
     view.apply(HostListReceived((ListedHost("a1", "10.0.0.1:1"),)))
     view.apply(link_up())
--- a/tests/unit/test_orders.py
+++ b/tests/unit/test_orders.py
@@ -1,4 +1,9 @@
-"""An engine gets one order at a time, from the agent in charge only."""
+"""An engine gets one load order at a time, and only from the agent in charge.
+
+The tests guard against orders that are lost and not repeated, orders of an agent whose
+lease has expired or whose token is outdated, orders that cut open sequences, and more
+loads per second than the weight store allows.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +46,7 @@
 
 @pytest.fixture
 def reconciler() -> Reconciler:
-    """A reconciler that has seen nothing yet."""
+    """A reconciler that has sent no order yet."""
     return Reconciler(LIMITS)
 
 
--- a/tests/unit/test_public_names.py
+++ b/tests/unit/test_public_names.py
@@ -1,4 +1,4 @@
-"""The exported names are whole and can be embedded without a process."""
+"""All exported names exist, and their functions work without a railfold process."""
 
 from __future__ import annotations
 
--- a/tests/unit/test_sequence_properties.py
+++ b/tests/unit/test_sequence_properties.py
@@ -1,8 +1,8 @@
-"""No interleaving of frames runs a layer twice or mixes two requests.
+"""No order of frames makes a stage run a layer twice or mixes two requests.
 
-Three stages' tables are joined by a network that duplicates, drops, reorders
-and delays whatever it carries, while attempts are opened anew, cancelled and
-orphaned at any moment.
+The sequence tables of three stages are connected by a simulated network that
+duplicates, drops, reorders and delays messages, while new attempts are opened,
+attempts are cancelled and their owner is lost at any moment.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 @dataclass
 class Network:
-    """The tables, what travels between them, and what they started_steps."""
+    """The tables, the messages in transit between them, and the steps that ran."""
 
     tables: list[SequenceTable] = field(
         default_factory=lambda: [SequenceTable(h, 1, SequenceLimits()) for h in HOSTS]
--- a/tests/unit/test_stalls.py
+++ b/tests/unit/test_stalls.py
@@ -1,4 +1,8 @@
-"""A stalled step is told from a slow one by the steps before it."""
+"""A step counts as stalled by the limit that follows from the steps before it.
+
+A fixed limit would take each step of a slow engine for a stalled one, or detect a
+stall of a fast engine too late.
+"""
 
 from __future__ import annotations
 
--- a/tests/unit/test_traces.py
+++ b/tests/unit/test_traces.py
@@ -1,4 +1,8 @@
-"""Recorded traces give their stated outcomes, action by action."""
+"""Replays of recorded traces lead to the recorded outcomes, action by action.
+
+Each trace is a sequence of events that is known to be critical, for example a frame
+that is duplicated or a host that is lost while a request runs.
+"""
 
 from __future__ import annotations
 
