--- a/tests/forwarding/test_store_goes_back.py
+++ b/tests/forwarding/test_store_goes_back.py
@@ -213,14 +213,14 @@
         await other.release("b")
     await lease.renew("a", 1.0)
     before = await lease.renew("a", 1.0)
-    assert before.holding
+    assert before.is_holder
     deployment.store.go_back(copy)
     first = await lease.renew("a", 1.0)
     # It may have been granted to another one meanwhile.
-    assert not first.holding
+    assert not first.is_holder
     after = await lease.renew("a", 1.0)
-    assert after.holding
-    assert after.fencing > before.fencing
+    assert after.is_holder
+    assert after.fencing_token > before.fencing_token
 
 
 async def test_an_entry_that_starts_on_an_older_copy_doesnt_serve_on_it(
--- a/tests/unit/test_held_up_loop.py
+++ b/tests/unit/test_held_up_loop.py
@@ -188,7 +188,7 @@
 
 def standing(pool: AgentPool, host: str) -> str:
     member = pool.view.get(host)
-    return "not linked" if member is None else member.standing
+    return "not linked" if member is None else member.displayed_state
 
 
 # Streams began anew on other hosts, or ended once the retry budget was spent, though
