--- a/tests/unit/test_leadership_handover.py
+++ b/tests/unit/test_leadership_handover.py
@@ -124,7 +124,7 @@
         )
 
     @property
-    def fencing(self) -> int | None:
+    def fencing_token(self) -> int | None:
         """The fencing token under which the process gives orders, if it can."""
         if self.active_fault in ("frozen", "killed"):
             return None
@@ -160,7 +160,7 @@
     async def renew(self, holder: str, duration_s: float) -> LeaseGrant:
         await self._reach_store()
         epoch_when_sent = self.epoch
-        generation, holding = self.group.join(holder, self.generation)
+        generation, is_holder = self.group.join(holder, self.generation)
         epoch = self.group.epoch
         self.generation = generation if epoch == epoch_when_sent else 0
         # A call whose answer is lost below has already been carried out.
@@ -169,7 +169,7 @@
             await asyncio.Event().wait()
         token = (epoch << 36) + generation
         same_history = epoch == epoch_when_sent
-        return LeaseGrant(holding and same_history, token, epoch=epoch)
+        return LeaseGrant(is_holder and same_history, token, epoch=epoch)
 
     async def release(self, holder: str) -> None:
         if self.active_fault == "late":
@@ -202,7 +202,7 @@
 
 
 def leaders(processes: list[Process]) -> list[Process]:
-    return [process for process in processes if process.fencing is not None]
+    return [process for process in processes if process.fencing_token is not None]
 
 
 @pytest.mark.parametrize("phase_s", [n * 0.03 for n in range(9)])
@@ -308,12 +308,12 @@
                 end_s = asyncio.get_running_loop().time() + wait_s
                 while asyncio.get_running_loop().time() < end_s:
                     leading = leaders(processes)
-                    tokens = {process.fencing for process in leading}
+                    tokens = {process.fencing_token for process in leading}
                     assert len(tokens) == len(leading)
                     if fault != "back" and not group.epoch:
                         assert len(leading) <= 1
                     for process in leading:
-                        token = process.fencing
+                        token = process.fencing_token
                         assert token is not None
                         if token > newest:
                             newest, newest_leader = token, process.name
