--- a/src/railfold/_internal/decisions/event_cursor.py
+++ b/src/railfold/_internal/decisions/event_cursor.py
@@ -1,8 +1,8 @@
-"""Passing a stream of server-sent events on, so that it can be resumed.
+"""Forwarding of a stream of server-sent events that can be resumed.
 
-Only whole events are passed on. When a backend server breaks off within an
-event, the rest comes whole from the next one, which starts after the last event
-that the client has.
+Only complete events are forwarded. If a backend server's answer ends within an event,
+that event is dropped, and the next attempt starts after the last event that the client
+has received.
 """
 
 from __future__ import annotations
@@ -16,65 +16,66 @@
 
 
 class EventCursor:
-    """Position in one answer, over all attempts.
+    """Position of the client in one answer, over all attempts.
 
-    :param last_id: id of the last event that the client has, if any.
+    :param last_id: id of the last event that the client has received, if any.
     """
 
     def __init__(self, last_id: int | None = None) -> None:
         self._last_id = last_id
         self._partial = b""
-        self._resumed = False
+        self._dropping_repeated = False
         self.events = 0
 
     @property
     def last_id(self) -> int | None:
-        """The id of the last event that was passed on."""
+        """The id of the last event that was forwarded."""
         return self._last_id
 
-    def resumed(self) -> None:
-        """Another attempt continues the answer."""
+    def resume(self) -> None:
+        """Prepare for the answer of another attempt, which may repeat events."""
         self._partial = b""
-        self._resumed = True
+        self._dropping_repeated = True
 
     @property
     def partial(self) -> bool:
-        """Whether an event has begun that isn't whole yet."""
+        """Whether an incomplete event has been received."""
         return bool(self._partial)
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes as they arrive; return the whole events among them."""
+        """Add received bytes; return the complete events that weren't forwarded yet."""
         data = self._partial + data if self._partial else data
         end = _end_of_last_event(data)
-        whole, self._partial = data[:end], data[end:]
-        if not whole:
-            return whole
-        if self._resumed:
-            whole = self._without_repeated(whole)
-        ids = _EVENT_ID.findall(whole)
+        complete, self._partial = data[:end], data[end:]
+        if not complete:
+            return complete
+        if self._dropping_repeated:
+            complete = self._drop_repeated(complete)
+        ids = _EVENT_ID.findall(complete)
         if ids:
             self._last_id = int(ids[-1])
             self.events += len(ids)
-        return whole
+        return complete
 
-    def _without_repeated(self, whole: bytes) -> bytes:
-        """Drop events that the client already has from a new attempt's start."""
+    def _drop_repeated(self, complete: bytes) -> bytes:
+        """Drop the first events of an attempt that the client already has."""
         start = 0
-        while start < len(whole):
-            match = _EVENT_END.search(whole, start)
-            end = match.end() if match else len(whole)
-            found = _EVENT_ID.search(whole, start, end)
-            if found is None or self._last_id is None:
+        while start < len(complete):
+            match = _EVENT_END.search(complete, start)
+            end = match.end() if match else len(complete)
+            event_id = _EVENT_ID.search(complete, start, end)
+            if event_id is None or self._last_id is None:
                 break
-            if int(found.group(1)) > self._last_id:
-                self._resumed = False
+            if int(event_id.group(1)) > self._last_id:
+                self._dropping_repeated = False
                 break
             start = end
-        return whole[start:]
+        return complete[start:]
 
 
 def _end_of_last_event(data: bytes) -> int:
+    """Return the offset after the last blank line; 0 if there is none."""
     end = data.rfind(b"\n\n") + 2
     crlf_end = data.rfind(b"\n\r\n") + 3
-    found = max(end if end > 1 else 0, crlf_end if crlf_end > 2 else 0)
-    return found
+    offset = max(end if end > 1 else 0, crlf_end if crlf_end > 2 else 0)
+    return offset
--- a/src/railfold/_internal/decisions/leadership.py
+++ b/src/railfold/_internal/decisions/leadership.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, replace
 
-from railfold._internal.decisions.fleet_size import Deal
+from railfold._internal.decisions.fleet_size import PartitionAssignment
 
 __all__ = ["Candidacy", "Leadership", "LeaseGrant"]
 
@@ -30,7 +30,7 @@
 
     is_holder: bool
     fencing_token: int
-    assignment: Deal | None = None
+    assignment: PartitionAssignment | None = None
     epoch: int = 0
     is_candidate: bool = False
 
--- a/src/railfold/_internal/decisions/load_rounds.py
+++ b/src/railfold/_internal/decisions/load_rounds.py
@@ -1,19 +1,21 @@
-"""Adding up what entries have under way, in rounds.
-
-In each round one entry of a failure domain collects the parts of the others, and sends
-all of them the sum, together with the sums of other domains; that of its own domain
-goes to one entry of each other domain, which passes it on to the next collector there,
-and that one to the collector after it.
-Who collects is drawn by the number of the round, so that the work and the bytes are
-shared, and a collector that is lost costs one round. An entry that hears no sum goes on
-to the next round, and passes over the collector that it missed.
-
-A round's number is a logical clock of a domain: a part counts only in the round that it
-was sent for, which begins with the sum of the one before. So no clocks are compared. A
-sum counts for an entry only if its own part is in it: then it was made after that part
-was sent. Another domain's sum names the newest round of this one that is known there,
-and is reckoned to be as old as that. Each round begins from nothing; what was lost,
-came twice or late changes no other.
+"""Aggregation of the load of all entries, in rounds.
+
+In each round one entry of a failure domain, the collector, adds up the load of the
+domain's entries. It sends them the sum, together with the sums of other domains. It
+sends the sum of its own domain to one entry of each other domain, which forwards it to
+the next collector there; that collector hands it over to the one after it.
+
+The collector is chosen by a hash of the round number, so that work and traffic are
+spread, and a lost collector costs one round. An entry that receives no sum continues
+with the next round, and skips a collector that it missed repeatedly.
+
+The round number is a logical clock of a domain: a contribution counts only in the round
+that it was sent for, which starts with the sum of the previous round. So no clocks are
+compared. An entry uses a sum only if its own contribution is included, since the sum
+was then made after that contribution was sent. The sum of another domain names the
+newest round of this domain that was known there, and is assumed to be as old as that
+round. Each round starts from zero; lost, duplicate or late messages affect no other
+round.
 """
 
 from __future__ import annotations
@@ -23,134 +25,138 @@
 from dataclasses import dataclass, field
 
 __all__ = [
+    "AmountsByKey",
     "DomainSum",
     "LoadRounds",
-    "Parts",
+    "OtherEntriesLoad",
     "PublishSum",
     "RoundAction",
-    "SendPart",
-    "SumTaken",
+    "SendContribution",
 ]
 
-# How long a collector waits for parts that were sent at the same time, and how much
-# longer the others wait for its sum, as shares of the interval.
-_COLLECT_SHARE = 0.25
-_PATIENCE_SHARE = 0.25
+# How long a collector waits for contributions that were sent at the same time, and how
+# much longer the other entries wait for its sum, as parts of the interval.
+_COLLECT_TIME_SHARE = 0.25
+_SUM_TIMEOUT_SHARE = 0.25
 
-# A collector that was missed so often in a row is passed over for so many intervals:
-# entries that are gone for good stay in the list for minutes.
-_MISSED = 2
-_PASSED_OVER_INTERVALS = 20
+# After this many missed rounds in a row a collector is skipped for this many intervals:
+# entries that have left for good stay in the list for minutes.
+_MAX_MISSED = 2
+_SKIP_INTERVALS = 20
 
-# Sums of other domains count for so many intervals.
-_FOREIGN_INTERVALS = 5
+# Sums of other domains are used for this many intervals.
+_DOMAIN_SUM_LIFETIME_INTERVALS = 5
 
-# So many own parts are kept, by which the age of other domains' sums is reckoned.
-_SENT_KEPT = 12
+# The newest own contributions are kept to tell the age of other domains' sums.
+_MAX_SENT_KEPT = 12
 
-# Parts for later rounds than the next come from entries that are ahead.
-_COLLECTED_ROUNDS_KEPT = 4
+# Contributions to rounds after the next one come from entries that are ahead.
+_MAX_COLLECTED_ROUNDS = 4
 
-Parts = Mapping[int, Sequence[int]]
-"""Amounts by a key, all of the same length."""
+AmountsByKey = Mapping[int, Sequence[int]]
+"""Amounts by key; all sequences have the same length."""
 
 
 @dataclass(frozen=True, slots=True)
-class SendPart:
-    """Send the own part for a round to the one that collects it."""
+class SendContribution:
+    """Send this entry's contribution for a round to the collector."""
 
     to: str
     round: int
-    part: Parts
+    contribution: AmountsByKey
 
 
 @dataclass(frozen=True, slots=True)
 class DomainSum:
-    """The sum of another domain.
+    """The sum over one failure domain, as other domains receive it.
 
-    :param seen: the newest round of this domain that was known there, if any was.
+    :param entries: number of entries that are included.
+    :param known_round: the newest round of the receiving domain that the sender knew,
+        if any.
     """
 
     domain: str
     round: int
     entries: int
-    parts: Parts
-    seen: int | None
+    amounts_by_key: AmountsByKey
+    known_round: int | None
 
 
 @dataclass(frozen=True, slots=True)
 class PublishSum:
     """Send the sum of a round.
 
-    :param to: entries of the own domain.
-    :param foreign: one entry of each other domain, which get ``home``.
-    :param next_collector: gets what is known of other domains, ``handed_over``.
-    :param seen: the newest rounds of other domains that are known.
-    :param included: entries of the own domain whose parts are in it.
-    :param home: the sum of the own domain.
-    :param total: the same with the sums of other domains.
-    :param entries: how many entries' parts are in ``total``.
-    :param age_s: how much older than the parts of the own domain the others are.
+    :param to: entries of the own domain that get ``total``.
+    :param other_domain_receivers: one entry of each other domain, which get
+        ``domain_total``.
+    :param next_collector: gets the known sums of other domains, ``forwarded_sums``.
+    :param known_rounds: the newest known round of each other domain.
+    :param included: entries of the own domain whose contributions are included.
+    :param domain_total: the sum of the own domain.
+    :param total: the sum of the own domain and of other domains.
+    :param entries: number of entries included in ``total``.
+    :param age_s: how much older the sums of other domains are than the contributions of
+        the own domain, at most.
     """
 
     round: int
     to: tuple[str, ...]
-    foreign: tuple[str, ...]
+    other_domain_receivers: tuple[str, ...]
     next_collector: str
-    handed_over: tuple[DomainSum, ...]
-    seen: Mapping[str, int]
+    forwarded_sums: tuple[DomainSum, ...]
+    known_rounds: Mapping[str, int]
     included: tuple[str, ...]
-    home: Parts
-    total: Parts
+    domain_total: AmountsByKey
+    total: AmountsByKey
     entries: int
     age_s: float
 
 
 @dataclass(frozen=True, slots=True)
-class SumTaken:
-    """What the other entries have under way.
+class OtherEntriesLoad:
+    """The load of the other entries.
 
-    :param at_s: from when the oldest part is, at the earliest.
-    :param entries: how many other entries' parts are in it.
+    :param at_s: no contribution is older than this.
+    :param entries: number of other entries that are included.
     """
 
     at_s: float
-    others: Parts
+    amounts_by_key: AmountsByKey
     entries: int
 
 
-RoundAction = SendPart | PublishSum
+RoundAction = SendContribution | PublishSum
 
 
 @dataclass(slots=True)
-class _Foreign:
-    """A sum of another domain.
+class _OtherDomainSum:
+    """A received sum of another domain.
 
-    :param at_s: from when it is at the earliest.
+    :param at_s: the sum is no older than this.
     """
 
-    sum: DomainSum
+    domain_sum: DomainSum
     at_s: float
     received_s: float
 
 
 @dataclass(slots=True)
-class _Sent:
+class _SentContribution:
     at_s: float
-    parts: Parts
+    amounts_by_key: AmountsByKey
     included: int = 0
 
 
 @dataclass(slots=True)
 class LoadRounds:
-    """One entry's part in the rounds.
+    """One entry's state in the aggregation rounds.
 
     Times are on the monotonic clock.
 
-    :param name: this entry's.
-    :param domain: its failure domain.
+    :param name: name of this entry.
+    :param domain: failure domain of this entry.
     :param random_unit: returns a random number from 0 to 1.
-    :param round: the newest round of which a sum was heard, or given up.
+    :param round: the newest round whose sum was received or given up.
     """
 
     name: str
@@ -158,107 +164,120 @@
     interval_s: float
     random_unit: Callable[[], float]
     round: int = 0
-    _began_s: float | None = None
-    _sent: dict[int, _Sent] = field(default_factory=dict)
-    _collected: dict[int, dict[str, Parts]] = field(default_factory=dict)
-    _foreign: dict[str, _Foreign] = field(default_factory=dict)
-    _seen: dict[str, int] = field(default_factory=dict)
-    _missed: dict[str, int] = field(default_factory=dict)
-    _passed_over_until_s: dict[str, float] = field(default_factory=dict)
+    _round_started_s: float | None = None
+    _sent: dict[int, _SentContribution] = field(default_factory=dict)
+    _collected: dict[int, dict[str, AmountsByKey]] = field(default_factory=dict)
+    _other_domain_sums: dict[str, _OtherDomainSum] = field(default_factory=dict)
+    _known_rounds: dict[str, int] = field(default_factory=dict)
+    _missed_rounds: dict[str, int] = field(default_factory=dict)
+    _skipped_until_s: dict[str, float] = field(default_factory=dict)
 
     def step(
         self,
         now_s: float,
         members: Mapping[str, Sequence[str]],
-        own: Callable[[], Parts],
+        own: Callable[[], AmountsByKey],
     ) -> list[RoundAction]:
-        """Return what to send now.
+        """Return the messages to send now.
 
-        :param members: names of all entries by failure domain, with this one.
-        :param own: returns what this entry has under way.
+        :param members: names of all entries by failure domain, including this one.
+        :param own: returns the load of this entry.
         """
-        if self._began_s is None:
-            # Entries that start together don't all collect at once.
-            self._began_s = now_s - self.random_unit() * self.interval_s
-        home = members.get(self.domain, ())
+        if self._round_started_s is None:
+            # A random start keeps entries that start together from all collecting at
+            # once.
+            self._round_started_s = now_s - self.random_unit() * self.interval_s
+        domain_members = members.get(self.domain, ())
         number = self.round + 1
-        collector = self._collector(home, number, now_s)
-        since_s = now_s - self._began_s
+        collector = self._collector(domain_members, number, now_s)
+        since_s = now_s - self._round_started_s
         actions: list[RoundAction] = []
-        collect_s = _COLLECT_SHARE * self.interval_s
+        collect_s = _COLLECT_TIME_SHARE * self.interval_s
         if since_s >= self.interval_s - collect_s and number not in self._sent:
-            part = own()
-            self._note_sent(number, now_s, part)
+            contribution = own()
+            self._record_sent(number, now_s, contribution)
             if collector != self.name:
-                actions.append(SendPart(collector, number, part))
+                actions.append(SendContribution(collector, number, contribution))
         collects = collector == self.name or number in self._collected
         if collects and number in self._sent:
-            parts = self._collected.get(number, {})
-            complete = collector == self.name and len(parts) >= len(home) - 1
+            contributions = self._collected.get(number, {})
+            complete = (
+                collector == self.name and len(contributions) >= len(domain_members) - 1
+            )
             if complete or since_s >= self.interval_s:
                 actions.append(self._publish(number, now_s, members, collector))
-        elif since_s >= (1.0 + _PATIENCE_SHARE) * self.interval_s:
-            self._pass_over(collector, now_s)
-            self._begin(number, now_s - self.interval_s + collect_s)
+        elif since_s >= (1.0 + _SUM_TIMEOUT_SHARE) * self.interval_s:
+            self._record_missed(collector, now_s)
+            self._start_round(number, now_s - self.interval_s + collect_s)
         return actions
 
-    def part_received(self, name: str, number: int, parts: Parts) -> bool:
-        """Take another entry's part; return whether it comes in time."""
-        self._heard(name)
+    def contribution_received(
+        self, name: str, number: int, amounts_by_key: AmountsByKey
+    ) -> bool:
+        """Store another entry's contribution; return whether its round is open."""
+        self._mark_reachable(name)
         if number <= self.round:
             return False
-        self._collected.setdefault(number, {})[name] = parts
-        while len(self._collected) > _COLLECTED_ROUNDS_KEPT:
+        self._collected.setdefault(number, {})[name] = amounts_by_key
+        while len(self._collected) > _MAX_COLLECTED_ROUNDS:
             del self._collected[min(self._collected)]
         return True
 
-    def next_collector(self, home: Sequence[str], now_s: float) -> str:
-        """Return which of the own domain's entries collects the next round."""
-        return self._collector(home, self.round + 1, now_s)
-
-    def foreign_sum_received(self, received: DomainSum, now_s: float) -> None:
-        """Take the sum of another domain."""
-        known = self._foreign.get(received.domain)
-        # Entries that were all started again count their rounds anew.
-        lasting_s = _FOREIGN_INTERVALS * self.interval_s
-        is_fresh = known is not None and now_s - known.received_s < lasting_s
-        is_old = known is not None and known.sum.round >= received.round and is_fresh
-        if is_old or received.domain == self.domain:
+    def next_collector(self, domain_members: Sequence[str], now_s: float) -> str:
+        """Return which entry of the own domain collects the next round."""
+        return self._collector(domain_members, self.round + 1, now_s)
+
+    def domain_sum_received(self, received: DomainSum, now_s: float) -> None:
+        """Store the sum of another domain."""
+        known = self._other_domain_sums.get(received.domain)
+        # Round numbers start anew after a restart of all entries of a domain, so that
+        # an older number is accepted once the known sum has expired.
+        lifetime_s = _DOMAIN_SUM_LIFETIME_INTERVALS * self.interval_s
+        is_fresh = known is not None and now_s - known.received_s < lifetime_s
+        is_outdated = (
+            known is not None and known.domain_sum.round >= received.round and is_fresh
+        )
+        if is_outdated or received.domain == self.domain:
             return
-        seen = received.seen
-        rounds = [n for n in self._sent if seen is not None and n <= seen]
-        at_s = self._sent[max(rounds)].at_s if rounds else float("-inf")
-        self._foreign[received.domain] = _Foreign(received, at_s, now_s)
-        self._seen[received.domain] = received.round
+        known_round = received.known_round
+        sent_rounds = [
+            n for n in self._sent if known_round is not None and n <= known_round
+        ]
+        at_s = self._sent[max(sent_rounds)].at_s if sent_rounds else float("-inf")
+        self._other_domain_sums[received.domain] = _OtherDomainSum(
+            received, at_s, now_s
+        )
+        self._known_rounds[received.domain] = received.round
 
     def sum_received(
         self,
         sender: str,
         number: int,
-        total: Parts,
+        total: AmountsByKey,
         entries: int,
         now_s: float,
         *,
         includes_own: bool,
         age_s: float,
-        seen: Mapping[str, int],
-    ) -> SumTaken | None:
-        """Take a sum; return what counts of it for this entry.
-
-        :param entries: how many entries' parts are in it.
-        :param age_s, seen: see :class:`PublishSum`.
-        :param includes_own: whether this entry's is one of them.
+        known_rounds: Mapping[str, int],
+    ) -> OtherEntriesLoad | None:
+        """Process a sum; return the load of the other entries if the sum is usable.
+
+        :param entries: number of entries included in the sum.
+        :param includes_own: whether this entry's contribution is included.
+        :param age_s: see :class:`PublishSum`.
+        :param known_rounds: see :class:`PublishSum`.
         """
-        self._heard(sender)
+        self._mark_reachable(sender)
         if number > self.round:
-            self._begin(number, now_s)
-            self._seen = dict(seen)
+            self._start_round(number, now_s)
+            self._known_rounds = dict(known_rounds)
         sent = self._sent.get(number)
         if sent is None or not includes_own or entries <= sent.included:
             return None
         sent.included = entries
-        others = _difference(total, sent.parts)
-        return SumTaken(sent.at_s - age_s, others, entries - 1)
+        others = _subtract_amounts(total, sent.amounts_by_key)
+        return OtherEntriesLoad(sent.at_s - age_s, others, entries - 1)
 
     def _publish(
         self,
@@ -267,78 +286,90 @@
         members: Mapping[str, Sequence[str]],
         collector: str,
     ) -> PublishSum:
-        parts = self._collected.pop(number, {})
-        home = _sum([self._sent[number].parts, *parts.values()])
-        lasting_s = _FOREIGN_INTERVALS * self.interval_s
-        foreign = [
+        contributions = self._collected.pop(number, {})
+        domain_total = _add_amounts(
+            [self._sent[number].amounts_by_key, *contributions.values()]
+        )
+        lifetime_s = _DOMAIN_SUM_LIFETIME_INTERVALS * self.interval_s
+        other_sums = [
             known
-            for domain, known in self._foreign.items()
-            if domain in members and now_s - known.at_s < lasting_s
+            for domain, known in self._other_domain_sums.items()
+            if domain in members and now_s - known.at_s < lifetime_s
         ]
         sent_s = self._sent[number].at_s
-        age_s = max((sent_s - known.at_s for known in foreign), default=0.0)
-        total = _sum([home, *(known.sum.parts for known in foreign)])
-        entries = 1 + len(parts) + sum(known.sum.entries for known in foreign)
+        age_s = max((sent_s - known.at_s for known in other_sums), default=0.0)
+        total = _add_amounts(
+            [domain_total, *(known.domain_sum.amounts_by_key for known in other_sums)]
+        )
+        entries = (
+            1
+            + len(contributions)
+            + sum(known.domain_sum.entries for known in other_sums)
+        )
         others = [n for n in members.get(self.domain, ()) if n != self.name]
-        # Parts that came although another one collects: only their senders wait.
-        to = others if collector == self.name else list(parts)
+        # If another entry is the collector, only the senders of these contributions
+        # wait for a sum from this one.
+        to = others if collector == self.name else list(contributions)
         receivers = [
             self._collector(names, number, now_s)
             for domain, names in members.items()
             if domain != self.domain and names
         ]
-        self._begin(number, now_s)
+        self._start_round(number, now_s)
         return PublishSum(
             number,
             tuple(to),
             tuple(receivers),
             self.next_collector(members.get(self.domain, ()), now_s),
-            tuple(known.sum for known in foreign),
-            dict(self._seen),
-            (self.name, *parts),
-            home,
+            tuple(known.domain_sum for known in other_sums),
+            dict(self._known_rounds),
+            (self.name, *contributions),
+            domain_total,
             total,
             entries,
             max(0.0, age_s),
         )
 
-    def _begin(self, number: int, now_s: float) -> None:
+    def _start_round(self, number: int, now_s: float) -> None:
         self.round = number
-        self._began_s = now_s
+        self._round_started_s = now_s
         for collected in [n for n in self._collected if n <= number]:
             del self._collected[collected]
 
-    def _note_sent(self, number: int, now_s: float, own: Parts) -> None:
-        self._sent[number] = _Sent(now_s, dict(own))
-        while len(self._sent) > _SENT_KEPT:
+    def _record_sent(self, number: int, now_s: float, own: AmountsByKey) -> None:
+        self._sent[number] = _SentContribution(now_s, dict(own))
+        while len(self._sent) > _MAX_SENT_KEPT:
             del self._sent[min(self._sent)]
 
-    def _heard(self, name: str) -> None:
-        self._missed.pop(name, None)
-        self._passed_over_until_s.pop(name, None)
+    def _mark_reachable(self, name: str) -> None:
+        self._missed_rounds.pop(name, None)
+        self._skipped_until_s.pop(name, None)
 
-    def _pass_over(self, name: str, now_s: float) -> None:
-        self._missed[name] = self._missed.get(name, 0) + 1
-        if name != self.name and self._missed[name] >= _MISSED:
-            until_s = now_s + _PASSED_OVER_INTERVALS * self.interval_s
-            self._passed_over_until_s[name] = until_s
+    def _record_missed(self, name: str, now_s: float) -> None:
+        self._missed_rounds[name] = self._missed_rounds.get(name, 0) + 1
+        if name != self.name and self._missed_rounds[name] >= _MAX_MISSED:
+            until_s = now_s + _SKIP_INTERVALS * self.interval_s
+            self._skipped_until_s[name] = until_s
 
     def _collector(self, names: Sequence[str], number: int, now_s: float) -> str:
-        """Return who collects a round among these entries."""
-        passed_over = self._passed_over_until_s
-        able = [n for n in names if passed_over.get(n, now_s) <= now_s]
-        return max(able or names or [self.name], key=lambda name: _rank(name, number))
+        """Return which of these entries collects a round."""
+        skipped_until_s = self._skipped_until_s
+        candidates = [n for n in names if skipped_until_s.get(n, now_s) <= now_s]
+        return max(
+            candidates or names or [self.name],
+            key=lambda name: _collector_score(name, number),
+        )
 
 
-def _rank(name: str, number: int) -> bytes:
+def _collector_score(name: str, number: int) -> bytes:
     text = f"{number}/{name}".encode()
     return hashlib.blake2b(text, digest_size=8).digest()
 
 
-def _sum(all_parts: Sequence[Parts]) -> dict[int, tuple[int, ...]]:
+def _add_amounts(contributions: Sequence[AmountsByKey]) -> dict[int, tuple[int, ...]]:
     total: dict[int, tuple[int, ...]] = {}
-    for parts in all_parts:
-        for key, amounts in parts.items():
+    for amounts_by_key in contributions:
+        for key, amounts in amounts_by_key.items():
             known = total.get(key)
             if known is None:
                 total[key] = tuple(amounts)
@@ -347,11 +378,15 @@
     return total
 
 
-def _difference(total: Parts, own: Parts) -> dict[int, tuple[int, ...]]:
-    left: dict[int, tuple[int, ...]] = {}
+def _subtract_amounts(
+    total: AmountsByKey, own: AmountsByKey
+) -> dict[int, tuple[int, ...]]:
+    others: dict[int, tuple[int, ...]] = {}
     for key, amounts in total.items():
-        taken = own.get(key, (0,) * len(amounts))
-        rest = tuple(max(0, a - b) for a, b in zip(amounts, taken, strict=True))
-        if any(rest):
-            left[key] = rest
-    return left
+        own_amounts = own.get(key, (0,) * len(amounts))
+        difference = tuple(
+            max(0, a - b) for a, b in zip(amounts, own_amounts, strict=True)
+        )
+        if any(difference):
+            others[key] = difference
+    return others
--- a/src/railfold/_internal/decisions/rate_limits/sharing.py
+++ b/src/railfold/_internal/decisions/rate_limits/sharing.py
@@ -1,8 +1,9 @@
-"""One entry's part in keeping the limits of backend servers with all others.
+"""Permits of one entry for backend servers whose limits all entries share.
 
-Whoever wants to send to a server with a limit needs a permit: of its own if it hands
-out permits for that server, else of one that does. A holder that has none says when the
-next one will be there, later the more entries ask, and isn't asked before.
+An entry needs a permit for each request to a server with a limit. It takes the permit
+from its own schedule if it is an issuer for that server, and asks an issuer otherwise.
+An issuer without a permit answers how long to wait for the next one, longer the more
+entries ask. The entry doesn't ask that issuer again until then.
 """
 
 from __future__ import annotations
@@ -10,10 +11,10 @@
 import random
 from dataclasses import dataclass, field
 
-from railfold._internal.decisions.rate_limits.holders import (
-    Fleet,
-    Holders,
-    permit_holders,
+from railfold._internal.decisions.rate_limits.issuers import (
+    KnownEntries,
+    PermitIssuers,
+    permit_issuers,
 )
 from railfold._internal.decisions.rate_limits.permits import (
     PermitDenied,
@@ -22,163 +23,186 @@
     PermitSchedule,
 )
 
-__all__ = ["AskHolder", "PermitSharing", "PermitStep"]
+__all__ = ["AskIssuer", "PermitDecision", "PermitSharing"]
 
-# A holder that didn't answer isn't asked again for this time.
-_SILENT_S = 1.0
+# Time for which an issuer that didn't answer isn't asked again.
+_NO_ANSWER_RETRY_S = 1.0
 
-# What is told of the wait where nobody can be asked: as long as it takes to hear of
-# others, or that the limit has lapsed.
-_NOBODY_S = 1.0
+# Wait in a denial if there is no issuer to ask. It is about the time in which an entry
+# learns of other entries, or a limit lapses.
+_NO_ISSUER_WAIT_S = 1.0
 
-# Of the entries that were told to wait, about so many ask for the next permit.
-_ASK_FOR_EACH = 3.0
+# Waits are spread so that about this number of denied entries ask for each permit.
+_REQUESTS_PER_PERMIT = 3.0
 
-# Nobody is told to wait for longer, so that a limit that changes is heard. Where
-# entries are many they wait for so long that a holder isn't asked more often than this.
-_MOST_WAIT_S = 1.0
-_MOST_ASKS_PER_S = 60.0
+# Longest wait that an issuer asks for, so that entries notice changes of the limit
+# soon. With many entries the wait is longer, so that an issuer doesn't get more
+# requests a second than ``_MAX_REQUESTS_PER_S``.
+_MAX_DENIAL_WAIT_S = 1.0
+_MAX_REQUESTS_PER_S = 60.0
 
 
 @dataclass(frozen=True, slots=True)
-class AskHolder:
-    """Ask this entry for a permit."""
+class AskIssuer:
+    """The entry ``name`` has to be asked for a permit."""
 
     name: str
 
 
-PermitStep = PermitOutcome | AskHolder
+PermitDecision = PermitOutcome | AskIssuer
 
 
 @dataclass(slots=True)
-class _Permits:
-    """What this entry hands out for one server, and what it knows of other holders.
+class _ServerPermits:
+    """Permits that this entry issues for one server, and state of all issuers.
 
-    :param denied: how many were told to wait since the last permit.
-    :param due_s: when it is worth to ask each holder again, also this entry itself.
-    :param fleet: what ``holders`` was reckoned for, as was ``per_s``.
+    :param denied_count: number of requests denied since the last permit was issued.
+    :param retry_at_s: when each issuer, this entry included, may be asked again.
+    :param entries: the entries among which ``issuers`` were selected.
+    :param limit_per_s: the limit for which ``issuers`` were selected.
     """
 
     schedule: PermitSchedule
-    denied: int = 0
-    due_s: dict[str, float] = field(default_factory=dict)
-    fleet: Fleet | None = None
-    per_s: float = 0.0
-    holders: Holders | None = None
+    denied_count: int = 0
+    retry_at_s: dict[str, float] = field(default_factory=dict)
+    entries: KnownEntries | None = None
+    limit_per_s: float = 0.0
+    issuers: PermitIssuers | None = None
 
 
 class PermitSharing:
-    """Permits for all servers with a limit.
+    """Permits of one entry for all servers with a limit.
 
     Times are on the monotonic clock.
 
-    :param rng: for the choice of a holder, and the spread of waits.
+    :param rng: chooses among issuers and spreads waits.
     """
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
-        self._permits: dict[str, _Permits] = {}
-
-    def holders(
-        self, server_id: str, per_s: float, fleet: Fleet, now_s: float
-    ) -> Holders:
-        """Return who hands out permits for a server."""
-        permits = self._of(server_id, now_s)
-        known = permits.holders
-        if known is None or permits.per_s != per_s or permits.fleet != fleet:
-            known = permit_holders(server_id, per_s, fleet)
-            if permits.per_s != per_s:
-                permits.due_s.clear()
-            if permits.holders is None:
-                # Not all holders' first permits at the same time.
-                first_s = now_s + self._rng.random() / known.per_s
-                permits.schedule = PermitSchedule(first_s)
-            permits.holders, permits.per_s, permits.fleet = known, per_s, fleet
-        return known
-
-    def _of(self, server_id: str, now_s: float) -> _Permits:
+        self._permits: dict[str, _ServerPermits] = {}
+
+    def issuers(
+        self, server_id: str, limit_per_s: float, entries: KnownEntries, now_s: float
+    ) -> PermitIssuers:
+        """Return the issuers of permits for a server."""
+        permits = self._permits_for(server_id, now_s)
+        current = permits.issuers
+        if (
+            current is None
+            or permits.limit_per_s != limit_per_s
+            or permits.entries != entries
+        ):
+            current = permit_issuers(server_id, limit_per_s, entries)
+            if permits.limit_per_s != limit_per_s:
+                permits.retry_at_s.clear()
+            if permits.issuers is None:
+                # Issuers start at random times, so that their first permits don't
+                # become available together.
+                first_permit_s = now_s + self._rng.random() / current.permits_per_s
+                permits.schedule = PermitSchedule(first_permit_s)
+            permits.issuers, permits.limit_per_s, permits.entries = (
+                current,
+                limit_per_s,
+                entries,
+            )
+        return current
+
+    def _permits_for(self, server_id: str, now_s: float) -> _ServerPermits:
         permits = self._permits.get(server_id)
         if permits is None:
-            permits = self._permits[server_id] = _Permits(PermitSchedule(now_s))
+            permits = self._permits[server_id] = _ServerPermits(PermitSchedule(now_s))
         return permits
 
-    def step(
+    def request_permit(
         self,
         server_id: str,
-        per_s: float,
-        fleet: Fleet,
+        limit_per_s: float,
+        entries: KnownEntries,
         now_s: float,
         max_wait_s: float,
-    ) -> PermitStep:
-        """Return what comes of this entry's wish to send, or whom to ask for it.
+    ) -> PermitDecision:
+        """Take a permit for a request of this entry, or return which issuer to ask.
 
-        :param per_s: the server's limit.
-        :param max_wait_s: how long the request may wait.
+        :param limit_per_s: the server's limit.
+        :param max_wait_s: how long the request may wait for the permit.
         """
-        holders = self.holders(server_id, per_s, fleet, now_s)
-        due_s = self._of(server_id, now_s).due_s
-        ready = [
+        issuers = self.issuers(server_id, limit_per_s, entries, now_s)
+        retry_at_s = self._permits_for(server_id, now_s).retry_at_s
+        askable = [
             name
-            for name in holders.names
-            if due_s.get(name, now_s) - now_s <= max_wait_s
+            for name in issuers.names
+            if retry_at_s.get(name, now_s) - now_s <= max_wait_s
         ]
-        if fleet.own_name in ready:
-            outcome = self._take(server_id, holders, now_s, max_wait_s)
+        if entries.own_name in askable:
+            outcome = self._take_permit(server_id, issuers, now_s, max_wait_s)
             if isinstance(outcome, PermitGranted):
                 return outcome
-            due_s[fleet.own_name] = now_s + outcome.wait_s
-            ready.remove(fleet.own_name)
-        if ready:
-            return AskHolder(self._rng.choice(ready))
-        return PermitDenied(self.wait_s(server_id, per_s, fleet, now_s))
-
-    def wait_s(self, server_id: str, per_s: float, fleet: Fleet, now_s: float) -> float:
-        """Return when it is worth to wish again, in seconds from now."""
-        holders = self.holders(server_id, per_s, fleet, now_s)
-        due_s = self._of(server_id, now_s).due_s
-        waits_s = [max(0.0, due_s.get(name, now_s) - now_s) for name in holders.names]
-        return min(waits_s, default=_NOBODY_S)
-
-    def asked(
+            retry_at_s[entries.own_name] = now_s + outcome.wait_s
+            askable.remove(entries.own_name)
+        if askable:
+            return AskIssuer(self._rng.choice(askable))
+        return PermitDenied(self.wait_s(server_id, limit_per_s, entries, now_s))
+
+    def wait_s(
+        self, server_id: str, limit_per_s: float, entries: KnownEntries, now_s: float
+    ) -> float:
+        """Return in how many seconds an issuer may be asked for a permit."""
+        issuers = self.issuers(server_id, limit_per_s, entries, now_s)
+        retry_at_s = self._permits_for(server_id, now_s).retry_at_s
+        waits_s = [
+            max(0.0, retry_at_s.get(name, now_s) - now_s) for name in issuers.names
+        ]
+        return min(waits_s, default=_NO_ISSUER_WAIT_S)
+
+    def answer_peer(
         self,
         server_id: str,
-        per_s: float,
-        fleet: Fleet,
+        limit_per_s: float,
+        entries: KnownEntries,
         now_s: float,
         max_wait_s: float,
     ) -> PermitOutcome:
-        """Return what another entry gets that asks this one."""
-        holders = self.holders(server_id, per_s, fleet, now_s)
-        if fleet.own_name not in holders.names:
-            return PermitDenied(_NOBODY_S)
-        outcome = self._take(server_id, holders, now_s, max_wait_s)
+        """Return the answer to another entry that asks this one for a permit."""
+        issuers = self.issuers(server_id, limit_per_s, entries, now_s)
+        if entries.own_name not in issuers.names:
+            return PermitDenied(_NO_ISSUER_WAIT_S)
+        outcome = self._take_permit(server_id, issuers, now_s, max_wait_s)
         if isinstance(outcome, PermitGranted):
             return outcome
-        permits = self._of(server_id, now_s)
-        permits.denied += 1
-        spread_s = permits.denied / (_ASK_FOR_EACH * holders.per_s)
+        permits = self._permits_for(server_id, now_s)
+        permits.denied_count += 1
+        spread_s = permits.denied_count / (_REQUESTS_PER_PERMIT * issuers.permits_per_s)
         wait_s = outcome.wait_s + spread_s * self._rng.random()
-        most_s = max(_MOST_WAIT_S, fleet.members / _MOST_ASKS_PER_S)
-        return PermitDenied(min(wait_s, most_s * (0.5 + self._rng.random())))
+        longest_wait_s = max(
+            _MAX_DENIAL_WAIT_S, entries.entry_count / _MAX_REQUESTS_PER_S
+        )
+        return PermitDenied(min(wait_s, longest_wait_s * (0.5 + self._rng.random())))
 
-    def _take(
-        self, server_id: str, holders: Holders, now_s: float, max_wait_s: float
+    def _take_permit(
+        self, server_id: str, issuers: PermitIssuers, now_s: float, max_wait_s: float
     ) -> PermitOutcome:
-        permits = self._of(server_id, now_s)
-        outcome = permits.schedule.take(now_s, holders.per_s, holders.burst, max_wait_s)
+        permits = self._permits_for(server_id, now_s)
+        outcome = permits.schedule.take(
+            now_s, issuers.permits_per_s, issuers.burst, max_wait_s
+        )
         if isinstance(outcome, PermitGranted):
-            permits.denied = 0
+            permits.denied_count = 0
         return outcome
 
-    def denied(self, server_id: str, holder: str, wait_s: float, now_s: float) -> None:
-        """A holder has no permit before ``wait_s`` from now."""
-        self._of(server_id, now_s).due_s[holder] = now_s + wait_s
+    def record_denial(
+        self, server_id: str, issuer: str, wait_s: float, now_s: float
+    ) -> None:
+        """Record that an issuer has no permit for the next ``wait_s``."""
+        self._permits_for(server_id, now_s).retry_at_s[issuer] = now_s + wait_s
 
-    def unanswered(self, server_id: str, holder: str, now_s: float) -> None:
-        """A holder didn't answer."""
-        self._of(server_id, now_s).due_s[holder] = now_s + _SILENT_S
+    def record_no_answer(self, server_id: str, issuer: str, now_s: float) -> None:
+        """Record that an issuer didn't answer."""
+        self._permits_for(server_id, now_s).retry_at_s[issuer] = (
+            now_s + _NO_ANSWER_RETRY_S
+        )
 
     def forget(self, known_ids: set[str]) -> None:
-        """Forget all servers but these."""
+        """Forget all servers but ``known_ids``."""
         for server_id in set(self._permits) - known_ids:
             del self._permits[server_id]
--- a/src/railfold/_internal/forwarding/requests/chain_planner.py
+++ b/src/railfold/_internal/forwarding/requests/chain_planner.py
@@ -10,14 +10,18 @@
 from railfold._internal.core import Chain
 from railfold._internal.decisions.chain_choice import (
     ChainOption,
-    blindness,
+    choose_for_risky_request,
     choose_option,
-    choose_sparing,
+    load_uncertainty,
 )
 from railfold._internal.decisions.chain_costs import RequestNeeds
-from railfold._internal.decisions.coverage import describe_shortages, shortage_of
+from railfold._internal.decisions.coverage import describe_shortages, domain_shortage
 from railfold._internal.decisions.domains import group_by_domain
-from railfold._internal.decisions.eligibility import EndingBar, Role, Terms
+from railfold._internal.decisions.eligibility import (
+    EligibilityTerms,
+    Role,
+    TemporaryReason,
+)
 from railfold._internal.decisions.load_shedding import BackingOff, HalfOpen
 from railfold._internal.decisions.planner import (
     Replica,
@@ -64,7 +68,7 @@
         model: EngineModel,
         needs: RequestNeeds,
         exclude: frozenset[str],
-        terms: Terms,
+        terms: EligibilityTerms,
         bearable_s: float,
         is_suspect: bool,
     ) -> Destination:
@@ -87,7 +91,7 @@
         eligible = [self._eligible(r, exclude, now_s, terms) for r in replicas]
         usable = [replica for replica in eligible if replica is not None]
         if not is_suspect and self._balancer.applies(model, usable):
-            doubtful = self._router.directory.doubtful(spec.name)
+            doubtful = self._router.directory.possibly_departed(spec.name)
             chosen = self._balancer.choose(
                 spec.name, model, usable, needs, bearable_s, doubtful
             )
@@ -127,8 +131,8 @@
         now_s = asyncio.get_running_loop().time()
         held = group_by_domain(replicas, lambda r: r.failure_domain)
         rooms = [_typical_room(members, model) for members in held]
-        blind = blindness(rooms, self._router.entries)
-        doubtful = self._router.directory.doubtful(spec.name)
+        blind = load_uncertainty(rooms, self._router.entries)
+        doubtful = self._router.directory.possibly_departed(spec.name)
         chains: list[Chain] = []
         options: list[ChainOption] = []
         for members in group_by_domain(usable, lambda r: r.failure_domain):
@@ -139,16 +143,16 @@
                 continue
             chains.append(chain)
             option = self._option(chain, usable, model, now_s, bearable_s)
-            option = replace(option, sure=doubtful.isdisjoint(chain.hosts))
+            option = replace(option, confirmed=doubtful.isdisjoint(chain.hosts))
             if is_suspect:
                 first = self._router.directory.get(chain.stages[0].host)
                 replaceable = first is not None and self._router.has_stand_in(first)
-                option = replace(option, first_replaceable=replaceable)
+                option = replace(option, first_engine_replaceable=replaceable)
             options.append(option)
         if not chains:
             return None
         if is_suspect:
-            index = choose_sparing(options)
+            index = choose_for_risky_request(options)
         else:
             index = choose_option(options, self._router.entries, self._router.rng)
         if index is None:
@@ -161,7 +165,7 @@
         model: EngineModel,
         replicas: list[Replica],
         usable: list[Replica],
-        terms: Terms,
+        terms: EligibilityTerms,
         now_s: float,
     ) -> NoCapacityError:
         """Return why there is no chain, told of each failure domain.
@@ -170,7 +174,7 @@
         :param usable: those that a chain could use.
         :param terms: with the bars of the others.
         """
-        registered = self._router.directory.of_service(spec.name)
+        registered = self._router.directory.servers_of(spec.name)
         domains = sorted({entry.registration.failure_domain for entry in registered})
         if not domains:
             return NoCapacityError(
@@ -189,22 +193,28 @@
                 for r in usable
                 if r.failure_domain == domain and not r.full
             ]
-            shortages.append(shortage_of(domain, held, free, model.layer_count))
+            shortages.append(domain_shortage(domain, held, free, model.layer_count))
         return NoCapacityError(
             "no live backend servers with room cover all layers",
             why=describe_shortages(shortages),
             hint="come back after Retry-After; operators: see 'railfold status'",
         )
 
-    def _left_s(self, server_id: str, terms: Terms, now_s: float) -> float | None:
+    def _left_s(
+        self, server_id: str, terms: EligibilityTerms, now_s: float
+    ) -> float | None:
         """Return when a server takes requests again, as far as that is known."""
-        bar = terms.bars.get(server_id)
-        if isinstance(bar, EndingBar):
+        bar = terms.reasons.get(server_id)
+        if isinstance(bar, TemporaryReason):
             return max(0.0, bar.until_s - now_s)
         return self._router.fleet_load.full_for_s(server_id, now_s)
 
     def _eligible(
-        self, replica: Replica, exclude: frozenset[str], now_s: float, terms: Terms
+        self,
+        replica: Replica,
+        exclude: frozenset[str],
+        now_s: float,
+        terms: EligibilityTerms,
     ) -> Replica | None:
         """Return what a chain may use of a replica, if anything.
 
@@ -219,7 +229,7 @@
             return replica if allowed else None
         if self._router.eligibility.allows(server_id, Role.FIRST_STAGE, now_s, terms):
             return replica if server_id not in exclude else None
-        backs_off = isinstance(terms.bars[server_id], BackingOff | HalfOpen)
+        backs_off = isinstance(terms.reasons[server_id], BackingOff | HalfOpen)
         if not backs_off or len(replica.stage.layers) < 2:
             return None
         # It wants no requests from this entry; those of other engines may pass it.
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -24,7 +24,7 @@
     SendCall,
 )
 from railfold._internal.decisions.event_cursor import EventCursor
-from railfold._internal.decisions.fleet_load import LoadPart
+from railfold._internal.decisions.fleet_load import EntryLoad
 from railfold._internal.decisions.routing_table import RouteKind
 from railfold._internal.errors import (
     DeadlineExpiredError,
@@ -123,7 +123,7 @@
         # Whether its answer asks for a backoff.
         self._backed_off = False
         # What the attempt under way adds to its servers' load.
-        self._part = LoadPart(1, 1)
+        self._part = EntryLoad(1, 1)
         self._kind: AnswerKind | None = None
         self._gathered: GatheredAnswer | None = None
         self._cursor = EventCursor(routed.request.last_event_id)
@@ -234,7 +234,7 @@
         resume_after = self._cursor.last_id
         self._resumed_after = resume_after or 0
         if self._attempts > 1:
-            self._cursor.resumed()
+            self._cursor.resume()
         plan = SendPlan(
             server_id=destination.server.host,
             registered_id=router.registered_id(destination.server.host),
@@ -251,9 +251,11 @@
         # A call to a plain service is one, whatever its headers say of tokens.
         is_model = destination.chain is not None
         size = self._request.size
-        self._part = LoadPart(1, 1)
+        self._part = EntryLoad(1, 1)
         if is_model:
-            self._part = LoadPart(self._held_tokens(destination), 1, size.prompt_tokens)
+            self._part = EntryLoad(
+                self._held_tokens(destination), 1, size.prompt_tokens
+            )
         prediction = None
         if destination.chain is not None:
             prediction = predict(router, destination.chain, size)
@@ -279,7 +281,7 @@
         model = self._router.model_of_service(destination.service)
         if model is None:
             return max(1, size.total)
-        return max(1, model.held_tokens(size.prompt_tokens, size.answer_tokens))
+        return max(1, model.mean_state_tokens(size.prompt_tokens, size.answer_tokens))
 
     def _check(self) -> None:
         """Look once more at what may have changed while the request waited.
@@ -297,7 +299,7 @@
         assert self._destination is not None
         server_id = self._destination.server.host
         router = self._router
-        bar = router.eligibility.bar_of_send(server_id, self._loop.time())
+        bar = router.eligibility.reason_against_send(server_id, self._loop.time())
         if bar is not None:
             router.metrics.count("attempts.not_eligible")
             raise ServerNotEligibleError(
@@ -368,10 +370,10 @@
 
     def _count_as_read(self) -> None:
         """The prompt of the attempt under way was read."""
-        unread = LoadPart(unread_tokens=self._part.unread_tokens)
-        if self._destination is not None and unread.unread_tokens:
+        unread = EntryLoad(pending_prompt_tokens=self._part.pending_prompt_tokens)
+        if self._destination is not None and unread.pending_prompt_tokens:
             self._router.uncount(self._destination, unread)
-            self._part = replace(self._part, unread_tokens=0)
+            self._part = replace(self._part, pending_prompt_tokens=0)
 
     def answer_body(self, data: bytes) -> None:
         """Bytes of a body came."""
--- a/src/railfold/_internal/forwarding/router.py
+++ b/src/railfold/_internal/forwarding/router.py
@@ -13,6 +13,20 @@
 from railfold._internal.decisions.avoidance import Avoidance
 from railfold._internal.decisions.chain_activity import ChainActivity
 from railfold._internal.decisions.chain_search import crossings
+from railfold._internal.decisions.client_retry_after import (
+    ContentOnTrial,
+    NoCapacity,
+    ProofMissingEverywhere,
+    ProofMissingHere,
+    RefusalCause,
+    RoomShort,
+    ServersBackingOff,
+    Starting,
+    client_retry_after_s,
+)
+from railfold._internal.decisions.client_retry_after import (
+    RateLimited as ReturnAtPermit,
+)
 from railfold._internal.decisions.domain_pipes import DomainPipes
 from railfold._internal.decisions.eligibility import ServerEligibility
 from railfold._internal.decisions.engine_directory import (
@@ -20,27 +34,15 @@
     EngineDirectory,
 )
 from railfold._internal.decisions.fleet_demand import DemandKey, FleetDemand
-from railfold._internal.decisions.fleet_load import FleetLoad, LoadPart, ServerLoad
+from railfold._internal.decisions.fleet_load import EntryLoad, FleetLoad, ServerLoad
 from railfold._internal.decisions.freshness import FreshnessLease
 from railfold._internal.decisions.placement import (
     stage_residence_s,
     stage_token_s,
-    uncovered_layers,
+    uncovered_ranges,
 )
 from railfold._internal.decisions.planner import LinkCosts, PlannerWeights
 from railfold._internal.decisions.retry_budget import RetryBudgets
-from railfold._internal.decisions.return_time import (
-    AloneWithoutProof,
-    NobodyHasProof,
-    NoRoom,
-    OnTrial,
-    ReturnCause,
-    RoomShort,
-    ServersBackingOff,
-    Starting,
-    return_after_s,
-)
-from railfold._internal.decisions.return_time import RateLimited as ReturnAtPermit
 from railfold._internal.decisions.routing_table import (
     CredentialOwner,
     EngineModel,
@@ -199,20 +201,20 @@
 
     def return_after_s(self, error: RailfoldError) -> float:
         """Return after how many seconds the caller of a refused request comes back."""
-        return return_after_s(self._return_cause(error), self.rng.random())
+        return client_retry_after_s(self._return_cause(error), self.rng.random())
 
-    def _return_cause(self, error: RailfoldError) -> ReturnCause:
+    def _return_cause(self, error: RailfoldError) -> RefusalCause:
         now_s = asyncio.get_running_loop().time()
         match error:
             case ConfigurationStaleError():
                 if self.others_have_proof(now_s):
-                    return AloneWithoutProof()
+                    return ProofMissingHere()
                 lapsed_s = self.lease.age_s(now_s) - self.lease.duration_s
-                return NobodyHasProof(lapsed_s)
+                return ProofMissingEverywhere(lapsed_s)
             case NotReadyError():
                 return Starting()
             case RequestOnTrialError(left_s=left_s):
-                return OnTrial(left_s)
+                return ContentOnTrial(left_s)
             case RateLimitedError(left_s=left_s):
                 return ReturnAtPermit(left_s)
             case ServersBackingOffError(left_s=left_s, service=service):
@@ -220,7 +222,7 @@
             case RoomShortError(served_share=served_share, left_s=left_s):
                 return RoomShort(served_share, left_s)
             case _:
-                return NoRoom()
+                return NoCapacity()
 
     def require_fresh(self, route: Route) -> None:
         """Refuse if what is known of credentials is too old.
@@ -256,7 +258,7 @@
             return False
         held = [
             peer.registration.layers
-            for peer in self.directory.of_service(own.service)
+            for peer in self.directory.servers_of(own.service)
             if peer is not entry
             and peer.routable
             and peer.registration.failure_domain == own.failure_domain
@@ -295,7 +297,7 @@
         model = self.model_of(chain)
         if model is None:
             return 0.0
-        own_tokens = self.fleet_load.own_part(chain.stages[0].host).tokens
+        own_tokens = self.fleet_load.own_load(chain.stages[0].host).tokens
         requests = min(
             own_tokens * self.entries / model.mean_tokens, model.max_sequences
         )
@@ -317,14 +319,14 @@
             return True
         for spec in self.table.model_services():
             held: dict[str, list[LayerRange | None]] = {}
-            for entry in self.directory.of_service(spec.name):
+            for entry in self.directory.servers_of(spec.name):
                 layers = entry.registration.layers if entry.routable else None
                 domain = entry.registration.failure_domain
                 held.setdefault(domain, []).append(layers)
             model = spec.model
             if model is None:
                 continue
-            if any(uncovered_layers(r, model.layer_count) for r in held.values()):
+            if any(uncovered_ranges(r, model.layer_count) for r in held.values()):
                 return True
         return False
 
@@ -339,22 +341,22 @@
         Announced load is the same for all entries: by it all would choose the same
         servers until the next sum.
         """
-        own = self.fleet_load.own_part(server_id)
+        own = self.fleet_load.own_load(server_id)
         return ServerLoad(
             float(own.tokens * self.entries),
             float(own.sequences * self.entries),
-            float(own.unread_tokens * self.entries),
+            float(own.pending_prompt_tokens * self.entries),
             known_share=1.0 / max(1, self.entries),
         )
 
-    def count(self, destination: Destination, part: LoadPart) -> None:
+    def count(self, destination: Destination, part: EntryLoad) -> None:
         """Add what was sent to the load of a destination's backend servers."""
         for server_id in destination.server_ids:
             if self.directory.get(server_id) is not None:
                 self.fleet_load.add(server_id, part)
 
     def uncount(
-        self, destination: Destination, part: LoadPart, *, ran: bool = False
+        self, destination: Destination, part: EntryLoad, *, ran: bool = False
     ) -> None:
         """Take back what was counted.
 
@@ -363,7 +365,7 @@
         for server_id in destination.server_ids:
             self.fleet_load.subtract(server_id, part)
             if ran:
-                self.fleet_load.room_freed(server_id)
+                self.fleet_load.capacity_freed(server_id)
 
     def record_arrival(
         self, route: Route, priority: int, workspace: str, tokens: int
@@ -392,7 +394,7 @@
         accelerator = model.accelerators.get(entry.registration.accelerator)
         if accelerator is None:
             return
-        tokens = model.state_tokens(accelerator, len(layers))
+        tokens = model.capacity_tokens(accelerator, len(layers))
         room = min(float(model.max_sequences), max(1.0, tokens / model.mean_tokens))
         stay_s = stage_residence_s(
             accelerator.slowed(entry.slowness), model, model.layer_count, room
@@ -423,9 +425,9 @@
         self.metrics.timing(f"prediction.first_event_{side}.{kind}", abs(late_s))
         now_s = asyncio.get_running_loop().time()
         for one, other in crossings([r.failure_domain for r in known]):
-            if self.pipes.observed(one, other, late_s, objective_s, now_s):
+            if self.pipes.record_first_event(one, other, late_s, objective_s, now_s):
                 self.metrics.count("pipes.cut")
-                share = round(self.pipes.share(one, other), 3)
+                share = round(self.pipes.quota_share(one, other), 3)
                 self.log.write(PipeShareCut(one, other, share, round(late_s * 1000)))
 
     def registered_id(self, server_id: str) -> str:
--- a/src/railfold/_internal/forwarding/servers/probes.py
+++ b/src/railfold/_internal/forwarding/servers/probes.py
@@ -17,7 +17,7 @@
 
 from railfold._internal.core import Chain, Stage
 from railfold._internal.decisions.engine_directory import DirectoryEntry
-from railfold._internal.decisions.probe_pace import ProbePace
+from railfold._internal.decisions.probe_backoff import ProbeBackoff
 from railfold._internal.errors import EngineError
 from railfold._internal.forwarding.dialect import NotExecuted
 from railfold._internal.forwarding.requests.stream_watch import Silence
@@ -81,7 +81,7 @@
         self.calls = calls
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.pace = ProbePace()
+        self.pace = ProbeBackoff()
         # Called with each backend server that was found well.
         self.on_well: Callable[[str], None] = lambda server_id: None
         self._checking: set[str] = set()
@@ -107,7 +107,7 @@
 
     def _suspect(self, server_id: str, cause: str) -> None:
         """Give it no new work until a probe finds it well."""
-        if not self._router.directory.suspect(server_id, self._loop.time()):
+        if not self._router.directory.mark_suspect(server_id, self._loop.time()):
             return
         self._router.metrics.count("servers.suspected")
         self._router.pool.drop(server_id)
@@ -128,7 +128,7 @@
             if entry is not None and not backed_off:
                 self._refused(entry, load, misplaced=refusal.misplaced)
             return
-        entry = self._router.directory.at(refusal.address)
+        entry = self._router.directory.get_by_address(refusal.address)
         if entry is not None:
             if entry.server_id != server_id or not backed_off:
                 self._refused(entry, load, misplaced=refusal.misplaced)
@@ -142,8 +142,8 @@
         self, entry: DirectoryEntry, load: int, *, misplaced: bool = False
     ) -> None:
         now_s = self._loop.time()
-        own_tokens = self._router.fleet_load.own_part(entry.server_id).tokens
-        self._router.avoidance.refused(entry.server_id, now_s, own_tokens, load)
+        own_tokens = self._router.fleet_load.own_load(entry.server_id).tokens
+        self._router.avoidance.record_refusal(entry.server_id, now_s, own_tokens, load)
         if not misplaced:
             self._router.record_rejection(entry)
 
@@ -165,7 +165,7 @@
         if entry is None or not self._may_eject(entry):
             return
         outcomes.clear()
-        if self._router.directory.suspect(server_id, self._loop.time()):
+        if self._router.directory.mark_suspect(server_id, self._loop.time()):
             self._router.metrics.count("servers.ejected")
             self._router.log.write(
                 EngineChanged(server_id, "ejected", "most of its last answers failed")
@@ -173,7 +173,7 @@
             self._spawn(self._recheck(server_id, _EJECTION_S))
 
     def _may_eject(self, entry: DirectoryEntry) -> bool:
-        peers = self._router.directory.of_service(entry.registration.service)
+        peers = self._router.directory.servers_of(entry.registration.service)
         out = sum(1 for peer in peers if not peer.routable)
         return out + 1 <= _MOST_EJECTED_SHARE * len(peers)
 
@@ -187,7 +187,7 @@
         to begin elsewhere anyway.
         """
         move_now = silence.stalled and not self._router.replaceable(silence.suspects)
-        if self.pace.take(chain.hosts[0], self._loop.time()):
+        if self.pace.allow_probe(chain.hosts[0], self._loop.time()):
             self._spawn(self._probe_suspects(chain, silence, request_id, move_now))
         if move_now:
             self._router.report_stalled(chain)
@@ -200,12 +200,12 @@
         )
         if found or moved or not silence.stalled:
             return
-        if self._router.activity.stalled(chain.hosts, self._loop.time(), 0.0):
+        if self._router.activity.is_stalled(chain.hosts, self._loop.time(), 0.0):
             self._router.report_stalled(chain)
 
     def ask_first(self, chain: Chain, request_id: str, silent_s: float) -> None:
         """Ask the first backend server of a silent stream whom it waits for."""
-        if self.pace.take(chain.hosts[0], self._loop.time()):
+        if self.pace.allow_probe(chain.hosts[0], self._loop.time()):
             self._spawn(self._ask_first(chain, request_id, silent_s))
 
     async def _ask_first(self, chain: Chain, request_id: str, silent_s: float) -> None:
@@ -244,7 +244,7 @@
         )
         self._suspect_all(verdict.unheard)
         if verdict.lost:
-            self.pace.found(chain.hosts[0])
+            self.pace.dead_server_found(chain.hosts[0])
             self._give_up(verdict.lost)
         return bool(verdict.lost)
 
@@ -266,7 +266,7 @@
             [stage.host for stage in near],
             [stage.host for stage in far],
         )
-        moved = self._router.activity.moved_since(started_s)
+        moved = self._router.activity.active_hosts_since(started_s)
         return replace(
             verdict, lost=verdict.lost - moved, unheard=verdict.unheard - moved
         )
@@ -349,7 +349,7 @@
             if await self.calls.alive(stage, _RECHECK_TIMEOUT_S):
                 break
             interval_s = delay_s = min(_RECHECK_MOST_S, 2 * interval_s)
-        self._router.directory.cleared(server_id)
+        self._router.directory.clear_suspicion(server_id)
         self.on_well(server_id)
         self._router.log.write(EngineChanged(server_id, "well", "it answers a probe"))
 
--- a/tests/unit/test_log_epoch.py
+++ b/tests/unit/test_log_epoch.py
@@ -148,7 +148,7 @@
 def test_hold_off_ignores_renewals_and_keeps_the_earlier_proof() -> None:
     lease = FreshnessLease(5.0)
     lease.renew(10.0)
-    lease.hold_off(14.0)
+    lease.ignore_sent_before(14.0)
     lease.renew(12.0)
     assert lease.age_s(13.0) == 3.0
     assert lease.valid(14.9)
