--- a/src/railfold/_internal/decisions/lifecycle.py
+++ b/src/railfold/_internal/decisions/lifecycle.py
@@ -1,9 +1,9 @@
-"""The life of one generate request at its entry.
+"""State of one generate request at its entry.
 
-A request goes through attempts until it has exactly one final outcome. Tokens
-that were emitted are never emitted again nor changed: a new attempt starts
-after them. The machine has no I/O and no clock; the driver feeds events and
-performs the returned actions in order.
+A request goes through attempts until it has exactly one final outcome. Emitted
+tokens are neither repeated nor changed: a new attempt continues after them. The
+state machine has no I/O and no clock; its driver passes events in and performs the
+returned actions in order.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
     Unknown,
 )
 from railfold._internal.decisions.lifecycle_events import (
-    CallerGone,
+    CallerDisconnected,
     CancelAttempt,
     ChainPlanned,
     DeadlinePassed,
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LifecycleLimits:
-    """Bounds of one request's attempts."""
+    """Limits on the attempts of one request."""
 
     max_attempts: int = 6
 
@@ -68,14 +68,15 @@
 class _Phase(Enum):
     PLANNING = auto()
     RUNNING = auto()
-    SETTLING = auto()  # Waiting for a tombstone before a retry is safe.
+    SETTLING = auto()  # A retry waits until the first stage confirms a tombstone.
     DONE = auto()
 
 
 class RequestLifecycle:
     """State machine of one request.
 
-    :param layer_count: layers of the model, checked in every lineage.
+    :param layer_count: number of layers of the model; the lineage of each token
+        must cover all of them.
     """
 
     def __init__(
@@ -96,12 +97,12 @@
 
     @property
     def done(self) -> bool:
-        """Whether the final outcome was given."""
+        """Whether the request has its final outcome."""
         return self._phase is _Phase.DONE
 
     @property
     def attempt(self) -> int:
-        """The number of the newest attempt."""
+        """The number of the newest attempt; 0 before the first."""
         return self._attempt
 
     @property
@@ -111,46 +112,49 @@
 
     @property
     def emitted(self) -> Sequence[Token]:
-        """Tokens given to the caller so far."""
+        """Tokens sent to the caller so far."""
         return self._emitted
 
     def start(self) -> list[LifecycleAction]:
-        """Begin: ask for the first chain."""
+        """Return the first action, which asks for a chain."""
         return [PlanChain(frozenset(), (), is_retry=False)]
 
     def apply(self, event: LifecycleEvent) -> list[LifecycleAction]:
-        """Take one event; return what to do about it."""
+        """Process one event; return the actions to perform, in order.
+
+        Events after the final outcome are ignored.
+        """
         if self.done:
             return []
         match event:
             case ChainPlanned(chain=chain):
-                return self._open(chain)
+                return self._open_attempt(chain)
             case PlanRefused(error=error, retry_after_s=retry_after_s):
                 if self._phase is not _Phase.PLANNING:
                     return []
-                return self._give_up(error, retry_after_s)
+                return self._finish_without_answer(error, retry_after_s)
             case TokenArrived():
-                return self._token(event)
+                return self._on_token(event)
             case StageRefused(attempt=attempt, host=host, reason=reason):
-                return self._refused(attempt, host, reason)
+                return self._on_stage_refused(attempt, host, reason)
             case StageFailed(attempt=attempt, host=host, reason=reason):
-                return self._failed(attempt, host, reason)
+                return self._on_stage_failed(attempt, host, reason)
             case HostsLost(hosts=hosts):
-                return self._lost(hosts)
+                return self._on_hosts_lost(hosts)
             case TombstoneReplied():
-                return self._tombstone(event)
+                return self._on_tombstone(event)
             case TokenOverdue():
-                return self._overdue()
+                return self._on_token_overdue()
             case DeadlinePassed():
                 error = DeadlineExpiredError(
-                    "the request's deadline passed before its answer was whole",
+                    "the request's deadline passed before its answer was complete",
                     hint="allow a longer deadline, or ask for fewer tokens",
                 )
                 return self._abort(error)
-            case CallerGone():
+            case CallerDisconnected():
                 return self._abort(EngineError("the caller closed its connection"))
 
-    def _open(self, chain: Chain) -> list[LifecycleAction]:
+    def _open_attempt(self, chain: Chain) -> list[LifecycleAction]:
         if self._phase is not _Phase.PLANNING:
             return []
         self._phase = _Phase.RUNNING
@@ -162,13 +166,13 @@
         emitted = tuple(token.token_id for token in self._emitted)
         return [OpenAttempt(self._attempt, chain, emitted)]
 
-    def _token(self, event: TokenArrived) -> list[LifecycleAction]:
-        # Even a token that can't be used is a sign that an attempt ran.
+    def _on_token(self, event: TokenArrived) -> list[LifecycleAction]:
+        # Even a token that is dropped below shows that an attempt ran.
         self._may_have_run = True
         if self._phase is not _Phase.RUNNING or event.attempt != self._attempt:
             return []
         if event.token.step != len(self._emitted):
-            return []  # A duplicate, or beyond a token that was lost.
+            return []  # A duplicate, or a token after one that was lost.
         try:
             check_lineage(event.lineage, self._expected_lineage)
         except LineageError as error:
@@ -180,24 +184,28 @@
             actions += self._finish(Answered())
         return actions
 
-    def _refused(self, attempt: int, host: str, reason: str) -> list[LifecycleAction]:
+    def _on_stage_refused(
+        self, attempt: int, host: str, reason: str
+    ) -> list[LifecycleAction]:
         if self._phase is not _Phase.RUNNING or attempt != self._attempt:
             return []
         error = NoCapacityError(f"host {host} refused the request", why=reason)
         self._refusing_hosts.append(host)
         if host == self._chain.stages[0].host:
-            # Only the first stage starts an attempt: unstarted there, it
-            # didn't run anywhere.
+            # Only the first stage starts an attempt: if it didn't start there,
+            # it didn't run at any stage.
             return self._retry(error, (host,))
-        return self._settle_then_retry(error, (host,))
+        return self._retry_when_safe(error, (host,))
 
-    def _failed(self, attempt: int, host: str, reason: str) -> list[LifecycleAction]:
+    def _on_stage_failed(
+        self, attempt: int, host: str, reason: str
+    ) -> list[LifecycleAction]:
         if self._phase is not _Phase.RUNNING or attempt != self._attempt:
             return []
         error = EngineUnavailableError(f"stage at host {host} failed", why=reason)
-        return self._settle_then_retry(error, (host,))
+        return self._retry_when_safe(error, (host,))
 
-    def _lost(self, hosts: frozenset[str]) -> list[LifecycleAction]:
+    def _on_hosts_lost(self, hosts: frozenset[str]) -> list[LifecycleAction]:
         affected = hosts.intersection(self._chain.hosts)
         if not affected or self._phase not in (_Phase.RUNNING, _Phase.SETTLING):
             return []
@@ -206,27 +214,28 @@
             f"host {names} was lost", why="its link broke or it doesn't answer"
         )
         if self._chain.stages[0].host in affected:
-            # The one that could prove the request unstarted is gone.
+            # Only the first stage could prove that the request didn't start.
             self._may_have_run = True
             return self._retry(error, tuple(sorted(affected)))
         if self._phase is _Phase.SETTLING:
             self._excluded.update(affected)
             return []
-        return self._settle_then_retry(error, tuple(sorted(affected)))
+        return self._retry_when_safe(error, tuple(sorted(affected)))
 
-    def _settle_then_retry(
+    def _retry_when_safe(
         self, error: RailfoldError, exclude: tuple[str, ...]
     ) -> list[LifecycleAction]:
         if self._request.repeatable or self._may_have_run:
             self._may_have_run = True
             return self._retry(error, exclude)
-        # Not repeatable: a retry needs proof that the first stage didn't run.
+        # A request that isn't repeatable is only retried after proof that the
+        # first stage didn't run it.
         self._phase = _Phase.SETTLING
         self._last_error = error
         self._excluded.update(exclude)
         return [CancelAttempt(self._attempt, self._chain)]
 
-    def _tombstone(self, event: TombstoneReplied) -> list[LifecycleAction]:
+    def _on_tombstone(self, event: TombstoneReplied) -> list[LifecycleAction]:
         if self._phase is not _Phase.SETTLING or event.attempt != self._attempt:
             return []
         if event.host != self._chain.stages[0].host:
@@ -246,14 +255,14 @@
         self._excluded.update(exclude)
         cancel = CancelAttempt(self._attempt, self._chain)
         if self._may_have_run and not self._request.repeatable:
-            return [cancel, *self._finish(self._ended_early(error))]
+            return [cancel, *self._finish(self._incomplete_outcome(error))]
         if self._attempt >= self._limits.max_attempts:
-            return [cancel, *self._give_up(error, 1.0)]
+            return [cancel, *self._finish_without_answer(error, 1.0)]
         self._phase = _Phase.PLANNING
         prefer = tuple(h for h in self._chain.hosts if h not in self._excluded)
         return [cancel, PlanChain(frozenset(self._excluded), prefer, is_retry=True)]
 
-    def _overdue(self) -> list[LifecycleAction]:
+    def _on_token_overdue(self) -> list[LifecycleAction]:
         if self._phase is not _Phase.RUNNING:
             return []
         return [ProbeStages(self._chain)]
@@ -261,25 +270,26 @@
     def _abort(self, error: RailfoldError) -> list[LifecycleAction]:
         cancel: list[LifecycleAction] = []
         if self._phase in (_Phase.RUNNING, _Phase.SETTLING):
-            self._may_have_run = True  # Nothing proves otherwise at this point.
+            self._may_have_run = True  # There is no proof that it didn't run.
             cancel = [CancelAttempt(self._attempt, self._chain)]
-        return [*cancel, *self._give_up(error, 1.0)]
+        return [*cancel, *self._finish_without_answer(error, 1.0)]
 
-    def _give_up(
+    def _finish_without_answer(
         self, error: RailfoldError, retry_after_s: float
     ) -> list[LifecycleAction]:
         if self._may_have_run:
-            return self._finish(self._ended_early(error, retry_after_s))
+            return self._finish(self._incomplete_outcome(error, retry_after_s))
         if self._refusing_hosts:
             hosts = tuple(dict.fromkeys(self._refusing_hosts))
             proof = RefusedBeforeStart(hosts)
             return self._finish(NotRun(proof, error, retry_after_s))
         return self._finish(NotRun(NeverSent(), error, retry_after_s))
 
-    def _ended_early(
+    def _incomplete_outcome(
         self, error: RailfoldError, retry_after_s: float | None = None
     ) -> Outcome:
-        # With a token in hand the request surely ran and surely isn't whole.
+        # An emitted token proves that the request ran, and the answer is
+        # incomplete: the outcome is known.
         if self._emitted:
             return Failed(error, retry_after_s)
         return Unknown(error, retry_after_s)
--- a/src/railfold/_internal/forwarding/store/leadership.py
+++ b/src/railfold/_internal/forwarding/store/leadership.py
@@ -112,8 +112,8 @@
             return _MEMBER_RETRY_DELAY_S
         self._on_epoch(grant.epoch)
         self._on_renewed(grant, sent_s)
-        is_new = grant.fencing != self._newest_fencing
-        self._newest_fencing = grant.fencing
+        is_new = grant.fencing_token != self._newest_fencing
+        self._newest_fencing = grant.fencing_token
         # A partition moves to its new member only after its former member has renewed
         # with the new generation, so the next renewal follows soon.
         return _CONFIRMATION_DELAY_S if is_new else _MEMBER_RENEWAL_INTERVAL_S
@@ -187,8 +187,8 @@
 
     async def _step(self) -> float:
         now_s = asyncio.get_running_loop().time()
-        leads = self._leadership.fencing(now_s) is not None
-        is_candidate = self._candidacy is None or self._candidacy.asks(now_s)
+        leads = self._leadership.current_token(now_s) is not None
+        is_candidate = self._candidacy is None or self._candidacy.requests_lease(now_s)
         if leads or is_candidate:
             await self._end_stopped_memberships()
             return await self._renew()
@@ -214,28 +214,30 @@
         self._failed_renewals = 0
         self._renewed_s = sent_s
         self._on_epoch(grant.epoch)
-        is_new = grant.fencing != self._leadership.newest_fencing
-        if self._leadership.renewed(grant, sent_s):
+        is_new = grant.fencing_token != self._leadership.newest_token
+        if self._leadership.record_renewal(grant, sent_s):
             self._log.write(
-                LeadershipChanged(grant.holding, grant.fencing, "the store's answer")
+                LeadershipChanged(
+                    grant.is_holder, grant.fencing_token, "the store's answer"
+                )
             )
         # Members confirm a new generation by their next renewal. Nobody holds the lease
         # until the former holder has confirmed it, so the next renewal follows soon.
         if is_new:
             return _CONFIRMATION_DELAY_S
-        return _RENEWAL_INTERVAL_S if grant.holding else _STANDBY_INTERVAL_S
+        return _RENEWAL_INTERVAL_S if grant.is_holder else _STANDBY_INTERVAL_S
 
     def _stop_if_lapsing(self, cause: str) -> None:
         """Stop leading if renewals have failed for too long."""
         now_s = asyncio.get_running_loop().time()
-        fencing = self._leadership.fencing(now_s)
+        fencing = self._leadership.current_token(now_s)
         if fencing is None:
             return
         age_s = now_s - self._renewed_s
         is_old = age_s >= _MAX_RENEWAL_AGE_SHARE * self._leadership.duration_s
         if self._failed_renewals < _MAX_FAILED_RENEWALS and not is_old:
             return
-        self._leadership.fenced(fencing)
+        self._leadership.record_refused_token(fencing)
         self._leadership.revoke()
         self._metrics.count("lease.stopped")
         why = f"not renewed for {age_s:.2f} s: {cause}"
@@ -276,8 +278,10 @@
         """Stop requesting the lease, and release it if this process holds it."""
         self._joined = False
         former_id, self._member_id = self._member_id, self._new_member_id()
-        newest = self._leadership.newest_fencing
-        self._leadership.renewed(LeaseGrant(holding=False, fencing=newest), 0.0)
+        newest = self._leadership.newest_token
+        self._leadership.record_renewal(
+            LeaseGrant(is_holder=False, fencing_token=newest), 0.0
+        )
         await self._end_membership(former_id)
 
     async def release(self) -> None:
--- a/tests/forwarding/test_incarnations.py
+++ b/tests/forwarding/test_incarnations.py
@@ -127,7 +127,7 @@
     engine = deployment_with_start_times.engines[0]
     entry = entry_of(deployment_with_start_times, engine)
     engine.born = SECOND_START
-    order = LoadOrder("inspect", "", LayerRange(0, 3), fencing=1)
+    order = LoadOrder("inspect", "", LayerRange(0, 3), fencing_token=1)
     outcome = await deployment_with_start_times.entry._placement._orders._send(
         entry, order
     )
--- a/tests/lib/traces.py
+++ b/tests/lib/traces.py
@@ -1,9 +1,10 @@
-"""Replaying recorded traces through the decisions.
+"""Replay of recorded traces through the state machines of the decisions.
 
-A trace is a file of JSON lines. The first line names the machine and its
-set-up, the last one states the outcome, and each line between gives a time and
-an event. Replaying gives the actions of each event as plain data, which is
-compared with a golden file, and the outcome, which must be the stated one.
+A trace is a file of JSON lines. The first line names the state machine and its
+parameters, each following line has a time and an event, and the last line has the
+expected outcome. A replay returns the actions after each event as plain data, which
+the test compares with a snapshot file, and the outcome, which it compares with the
+expected one.
 """
 
 from __future__ import annotations
@@ -32,8 +33,8 @@
 TRACES = Path(__file__).parent.parent / "traces"
 
 
-def plain(value: Any) -> Any:
-    """Return a value as plain data that reads well in a golden file."""
+def to_plain(value: Any) -> Any:
+    """Convert a value to plain data that is readable in a snapshot file."""
     match value:
         case RailfoldError():
             return value.code
@@ -45,22 +46,23 @@
             return [f"{s.host}[{s.layers}]" for s in value.stages]
         case _ if dataclasses.is_dataclass(value) and not isinstance(value, type):
             fields = {
-                f.name: plain(getattr(value, f.name)) for f in dataclasses.fields(value)
+                f.name: to_plain(getattr(value, f.name))
+                for f in dataclasses.fields(value)
             }
             return {type(value).__name__: fields}
         case msgspec.Struct():
             values = msgspec.structs.asdict(value)
-            return {type(value).__name__: {k: plain(v) for k, v in values.items()}}
+            return {type(value).__name__: {k: to_plain(v) for k, v in values.items()}}
         case frozenset():
-            return sorted(plain(item) for item in value)
+            return sorted(to_plain(item) for item in value)
         case list() | tuple():
-            return [plain(item) for item in value]
+            return [to_plain(item) for item in value]
         case _:
             return value
 
 
 def decode(module: Any, name: str, fields: dict[str, Any]) -> Any:
-    """Return the event ``name`` of a decisions module."""
+    """Return an instance of the class ``name`` of a decisions module."""
     return msgspec.convert(fields, getattr(module, name), dec_hook=_decode_special)
 
 
@@ -68,31 +70,38 @@
     if kind is object:
         return value
     if issubclass(kind, RailfoldError):
-        found = getattr(errors, value)
-        assert issubclass(found, RailfoldError)
-        return found(value)
+        error_type = getattr(errors, value)
+        assert issubclass(error_type, RailfoldError)
+        return error_type(value)
     raise NotImplementedError(kind)
 
 
 @dataclasses.dataclass
 class Replay:
-    """What a replay gave."""
+    """Result of a replay.
+
+    :param steps: one line per event, with its actions.
+    :param outcome: the outcome of the replay.
+    :param expected: the outcome that the trace expects.
+    """
 
     steps: list[str]
     outcome: Any
-    stated: Any
+    expected: Any
 
 
 def replay(path: Path) -> Replay:
-    """Replay one trace."""
+    """Replay one trace file."""
     lines = [json.loads(line) for line in path.read_text().splitlines()]
     header, *events, last = lines
     machine = _MACHINES[header.pop("machine")](header)
     steps = []
     for line in events:
         actions = machine.feed(line["at_s"], line["event"], line.get("fields", {}))
-        done = [json.dumps(plain(action)) for action in actions]
-        steps.append(f"{line['at_s']} {line['event']} -> {' '.join(done) or 'nothing'}")
+        performed = [json.dumps(to_plain(action)) for action in actions]
+        steps.append(
+            f"{line['at_s']} {line['event']} -> {' '.join(performed) or 'nothing'}"
+        )
     return Replay(steps, machine.outcome(), last["outcome"])
 
 
@@ -117,7 +126,7 @@
 
     def outcome(self) -> Any:
         tokens = [token.token_id for token in self.machine.emitted]
-        return {"final": plain(self.finish), "tokens": tokens}
+        return {"final": to_plain(self.finish), "tokens": tokens}
 
 
 class _Call:
@@ -141,7 +150,7 @@
         return actions
 
     def outcome(self) -> Any:
-        return plain(self.finish)
+        return to_plain(self.finish)
 
 
 class _Sequences:
--- a/tests/unit/test_stalls.py
+++ b/tests/unit/test_stalls.py
@@ -1,4 +1,8 @@
-"""A stalled step is told from a slow one by the steps before it."""
+"""A step counts as stalled by the limit that follows from the steps before it.
+
+A fixed limit would take each step of a slow engine for a stalled one, or detect a
+stall of a fast engine too late.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,7 @@
 
 
 @pytest.mark.parametrize(("step_s", "limit_s"), [(0.01, FLOOR_S), (0.2, 2.0)])
-def test_limit_follows_recent_steps(step_s: float, limit_s: float) -> None:
+def test_stall_limit_follows_recent_step_times(step_s: float, limit_s: float) -> None:
     times = after_steps(step_s)
     assert not times.stalled(100.0 + 0.9 * limit_s)
     assert times.stalled(100.0 + 1.1 * limit_s)
