--- a/src/railfold/_internal/forwarding/adapter.py
+++ b/src/railfold/_internal/forwarding/adapter.py
@@ -71,14 +71,14 @@
     def new_log(self) -> WritableLog:
         """Return a new client of the store's log, with its own connection."""
 
-    def new_member_client(self, role: str) -> LeaseClient:
+    def new_member_client(self, duty: str) -> LeaseClient:
         """Return a client for membership in the group of all entries.
 
-        Its grants say whether this entry is a candidate for the role.
+        Its grants say whether this entry is a candidate for the lease of the duty.
         """
 
-    def new_lease_client(self, role: str) -> LeaseClient:
-        """Return a client for the lease of a role, which one entry holds at a time."""
+    def new_lease_client(self, duty: str) -> LeaseClient:
+        """Return a client for the lease of a duty, which one entry holds at a time."""
 
     def decode_configuration(self, value: bytes) -> RoutingTable:
         """Decode a configuration record.
--- a/src/railfold/_internal/forwarding/dialect.py
+++ b/src/railfold/_internal/forwarding/dialect.py
@@ -224,11 +224,11 @@
         """Return the start time of the server that sent ``body``, if it is included."""
 
     def place_call(
-        self, layers: LayerRange, fencing: int, order_count: int
+        self, layers: LayerRange, fencing_token: int, order_count: int
     ) -> EngineCall:
         """Return the call that orders an engine to load these layers.
 
-        :param fencing: fencing token of the lease under which the order is given.
+        :param fencing_token: token of the lease under which the order is given.
         :param order_count: number of accepted orders in the engine's latest report.
         """
 
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -82,7 +82,7 @@
 _OK = 200
 _SERVICE_UNAVAILABLE = 503
 
-_PLACEMENT_ROLE = "placement"
+_PLACEMENT_DUTY = "placement"
 
 # How long one read waits for a newer configuration; it is answered as soon as there is
 # one. Separate reads prove that the known configuration is in force (see
@@ -178,7 +178,7 @@
         self._leadership_keeper = LeadershipKeeper(
             settings.name,
             self._leadership,
-            adapter.new_lease_client(_PLACEMENT_ROLE),
+            adapter.new_lease_client(_PLACEMENT_DUTY),
             self.log,
             self.metrics,
             self._on_epoch,
@@ -187,7 +187,7 @@
         )
         self._membership = MembershipKeeper(
             settings.name,
-            adapter.new_member_client(_PLACEMENT_ROLE),
+            adapter.new_member_client(_PLACEMENT_DUTY),
             self.metrics,
             self._on_member_renewed,
             self._on_epoch,
@@ -407,11 +407,11 @@
         self.router.directory.store_recovered(self._loop.time())
 
     def _on_epoch(self, epoch: int) -> None:
-        """Observe the store's epoch; discard what is invalid if the store went back.
+        """Discard what is no longer valid if the epoch shows that the log was restored.
 
-        A store that goes back is restored from an older copy. Until they are written
-        again, it may lack a configuration that revoked credentials, registrations of
-        running servers, and everything that entries wrote recently.
+        A log that was restored from an older copy may lack a configuration that revoked
+        credentials, registrations of running servers, and everything that entries wrote
+        recently, until these records are written again.
         """
         if not self._epoch.observe(epoch):
             return
@@ -421,7 +421,7 @@
         self.router.lease.ignore_sent_before(now_s + LOG_RECOVERY_S)
         self.router.directory.store_recovered(now_s)
         self._leadership.revoke()
-        self._registration_feed.log_went_back()
+        self._registration_feed.log_restored()
         self._peering.log_went_back()
 
     # Callbacks of the client server
--- a/src/railfold/_internal/forwarding/store/feeds.py
+++ b/src/railfold/_internal/forwarding/store/feeds.py
@@ -106,9 +106,9 @@
     def caught_up(self, next_offset: int, sent_s: float) -> None:
         """Renew the proof that the known configuration is in force.
 
-        It was in force when the read was sent. If the log went back and contains an
-        older configuration than the known one, the read proves nothing, since other
-        changes may be missing too.
+        It was in force when the read was sent. If the log was restored from an older
+        copy and contains an older configuration than the known one, the read proves
+        nothing, since other changes may be missing too.
         """
         self._next_offset = next_offset
         if not self.lacks_newest:
@@ -157,7 +157,7 @@
         # Registered ids whose newest record describes no usable backend server.
         self._refused_ids: set[str] = set()
         # Whether the next snapshot may be older than the known registrations.
-        self._store_went_back = False
+        self._log_restored = False
         # Registrations in such a snapshot whose servers had left before.
         self._departed: dict[str, Registration] = {}
         self._departed_due_s = 0.0
@@ -194,7 +194,7 @@
             self._register_departed(now_s)
             return
         snapshot, self._snapshot = self._snapshot, None
-        if self._store_went_back:
+        if self._log_restored:
             self._exclude_departed(snapshot, now_s)
         known = [e.registration.registered_id for e in self._router.directory]
         for registered_id in known:
@@ -214,12 +214,9 @@
         self._refused_ids = set()
         return NEWEST_OF_EACH_KEY
 
-    def log_went_back(self) -> None:
-        """Expect the next snapshot to be older than the known registrations.
-
-        The log went back: it was restored from an older copy.
-        """
-        self._store_went_back = True
+    def log_restored(self) -> None:
+        """Expect an older snapshot, since the log was restored from an older copy."""
+        self._log_restored = True
 
     def _exclude_departed(
         self, snapshot: dict[str, Registration], now_s: float
@@ -230,7 +227,7 @@
         again, or if the registration hasn't lapsed by the time at which the one of a
         stopped server would have.
         """
-        self._store_went_back = False
+        self._log_restored = False
         directory = self._router.directory
         self._departed = {i: r for i, r in snapshot.items() if directory.has_left(r)}
         self._departed_due_s = now_s + _REGISTRATION_LAPSE_S
--- a/src/railfold/_internal/forwarding/store/leadership.py
+++ b/src/railfold/_internal/forwarding/store/leadership.py
@@ -90,7 +90,7 @@
         self._metrics = metrics
         self._on_renewed = on_renewed
         self._on_epoch = on_epoch
-        self._newest_fencing = 0
+        self._newest_token = 0
         self._released = False
 
     async def run(self, ready: asyncio.Event) -> None:
@@ -112,8 +112,8 @@
             return _MEMBER_RETRY_DELAY_S
         self._on_epoch(grant.epoch)
         self._on_renewed(grant, sent_s)
-        is_new = grant.fencing_token != self._newest_fencing
-        self._newest_fencing = grant.fencing_token
+        is_new = grant.fencing_token != self._newest_token
+        self._newest_token = grant.fencing_token
         # A partition moves to its new member only after its former member has renewed
         # with the new generation, so the next renewal follows soon.
         return _CONFIRMATION_DELAY_S if is_new else _MEMBER_RENEWAL_INTERVAL_S
@@ -230,18 +230,18 @@
     def _stop_if_lapsing(self, cause: str) -> None:
         """Stop leading if renewals have failed for too long."""
         now_s = asyncio.get_running_loop().time()
-        fencing = self._leadership.current_token(now_s)
-        if fencing is None:
+        token = self._leadership.current_token(now_s)
+        if token is None:
             return
         age_s = now_s - self._renewed_s
         is_old = age_s >= _MAX_RENEWAL_AGE_SHARE * self._leadership.duration_s
         if self._failed_renewals < _MAX_FAILED_RENEWALS and not is_old:
             return
-        self._leadership.record_refused_token(fencing)
+        self._leadership.record_refused_token(token)
         self._leadership.revoke()
         self._metrics.count("lease.stopped")
         why = f"not renewed for {age_s:.2f} s: {cause}"
-        self._log.write(LeadershipChanged(leading=False, fencing=fencing, cause=why))
+        self._log.write(LeadershipChanged(leading=False, fencing=token, cause=why))
         stopped_id, self._member_id = self._member_id, self._new_member_id()
         self._record_stopped(stopped_id)
         self._on_stopped(stopped_id)
--- a/src/railfold/_internal/platform/adapter.py
+++ b/src/railfold/_internal/platform/adapter.py
@@ -30,13 +30,13 @@
         """Return a new client of the store's log."""
         return KeyedLog(self._store)
 
-    def new_member_client(self, role: str) -> GroupLease:
+    def new_member_client(self, duty: str) -> GroupLease:
         """Return a client of the group of all entries, which names candidates."""
-        return GroupLease(self._store, role, self._partitions)
+        return GroupLease(self._store, duty, self._partitions)
 
-    def new_lease_client(self, role: str) -> DutyLease:
+    def new_lease_client(self, duty: str) -> DutyLease:
         """Return a client for the lease of a duty."""
-        return DutyLease(self._store, role, self._partitions)
+        return DutyLease(self._store, duty, self._partitions)
 
     def decode_configuration(self, value: bytes) -> RoutingTable:
         """Return a configuration."""
--- a/tests/forwarding/test_store_goes_back.py
+++ b/tests/forwarding/test_store_goes_back.py
@@ -1,4 +1,4 @@
-"""The store goes back: it is restored from a copy that is some seconds old.
+"""The store is restored from a copy that is some seconds old.
 
 Records that it acknowledged after the copy are lost, and their offsets are assigned
 again. The operator and the servers write their records again within about two seconds;
@@ -210,7 +210,7 @@
 
 
 async def test_a_fencing_token_never_decreases(deployment: Deployment) -> None:
-    """The group's generation decreases when the store goes back, and is used again."""
+    """The group's generation decreases with the restored store, and is used again."""
     port = deployment._adapter._store.port
     lease = GroupLease(Address("127.0.0.1", port), "test", PARTITIONS)
     other = GroupLease(Address("127.0.0.1", port), "test", PARTITIONS)
--- a/tests/unit/test_registration_feed.py
+++ b/tests/unit/test_registration_feed.py
@@ -162,5 +162,6 @@
         key: server[0] for key, server in full_reader.known_servers().items()
     }
     assert {
-        key: server[0] for key, server in snapshot_reader.known_servers().items()
+        registered_id: server[0]
+        for registered_id, server in snapshot_reader.known_servers().items()
     } == expected_addresses
