--- a/src/railfold/_internal/forwarding/fleet_limits.py
+++ b/src/railfold/_internal/forwarding/fleet_limits.py
@@ -45,7 +45,7 @@
         self._fleet.assignment_received(deal, sent_s)
         members = self._fleet.members
         if members is not None:
-            self._router.entries = self._router.limits.members = members
+            self._router.entries = self._router.limits.entry_count = members
         self._router.metrics.gauge("entries", members or 0)
         self.divide()
 
--- a/src/railfold/_internal/forwarding/peers/peering.py
+++ b/src/railfold/_internal/forwarding/peers/peering.py
@@ -113,9 +113,9 @@
                 settings.peers, view, router.metrics, router.rng, self._on_message
             )
             proofs.use(self._channel)
-            router.limits.use(settings.name, self._channel)
-            router.backoffs.use(settings.name, self._channel)
-            router.statements.use(self._channel)
+            router.limits.set_channel(settings.name, self._channel)
+            router.backoffs.set_channel(settings.name, self._channel)
+            router.statements.set_channel(self._channel)
             self._keeper = PeerKeeper(
                 view,
                 adapter.new_log(),
@@ -200,9 +200,9 @@
             case RateLimitNotice():
                 self._limits.record_notice(message)
             case PermitRequest():
-                self._limits.permit_asked(message)
+                self._limits.answer_permit_request(message)
             case PermitReply():
-                self._limits.permit_replied(message)
+                self._limits.record_permit_reply(message)
             case BackoffNotice():
                 self._backoffs.record_notice(message)
             case LeavingNotice():
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -39,10 +39,10 @@
 from railfold._internal.forwarding.requests.routed_request import RoutedRequest
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.servers.engine_calls import EngineCalls
-from railfold._internal.forwarding.servers.placement import PlacementKeeper
+from railfold._internal.forwarding.servers.placement import PlacementController
 from railfold._internal.forwarding.servers.pool import ConnectionPool
-from railfold._internal.forwarding.servers.probes import ChainProber
-from railfold._internal.forwarding.servers.slow_engines import SlowEngineWatch
+from railfold._internal.forwarding.servers.probes import ServerProber
+from railfold._internal.forwarding.servers.slow_engines import SlowEngineMonitor
 from railfold._internal.forwarding.settings import ForwardingSettings
 from railfold._internal.forwarding.settings_source import SettingsSource
 from railfold._internal.forwarding.store.feeds import (
@@ -166,7 +166,7 @@
         fleet = FleetSize(settings.retry_window_s, MEMBER_S, founded_by_s)
         self._fleet_limits = FleetLimits(settings, fleet, self.router)
         calls = EngineCalls(self.router)
-        self._prober = ChainProber(self.router, calls)
+        self._prober = ServerProber(self.router, calls)
         self._leadership = Leadership(LEASE_S)
         self._candidacy = Candidacy(MEMBER_S)
         self._leadership_keeper = LeadershipKeeper(
@@ -186,13 +186,13 @@
             self._on_member_renewed,
             self._on_epoch,
         )
-        self._placement = PlacementKeeper(
+        self._placement = PlacementController(
             self.router,
             self._leadership,
             calls,
             first_start=settings.first_start,
         )
-        self._slow_engines = SlowEngineWatch(self.router, calls)
+        self._slow_engines = SlowEngineMonitor(self.router, calls)
         self._epoch = LogEpoch()
         self._configuration_feed = ConfigurationFeed(
             self.router,
@@ -226,8 +226,8 @@
             proofs=self._proofs,
             on_leadership_stopped=self._leadership_keeper.holder_stopped,
         )
-        calls.on_refused = self._peering.quarantine.server_refused
-        self._prober.on_well = self._peering.quarantine.server_answered
+        calls.on_connection_refused = self._peering.quarantine.server_refused
+        self._prober.on_healthy = self._peering.quarantine.server_answered
         self._held = MemoryQuota(int(settings.memory_bytes * _HELD_SHARE))
         self._clients = ClientServer(
             settings.clients,
@@ -517,7 +517,7 @@
             self.router.avoidance.forget(known)
             self.router.fleet_load.forget(known, now_s)
             self.router.fleet_demand.forget(now_s)
-            self._prober.pace.forget(known)
+            self._prober.probe_backoff.forget(known)
             self.router.limits.upkeep(known, now_s)
             self.router.backoffs.upkeep(known, now_s)
             self._registrations.pace = self._registration_pace(now_s)
--- a/src/railfold/_internal/forwarding/requests/destination_search.py
+++ b/src/railfold/_internal/forwarding/requests/destination_search.py
@@ -169,7 +169,7 @@
         begun: bool,
     ) -> None:
         """Go to a place, once its servers have a permit."""
-        if not self._router.limits.limited(destination.server_ids):
+        if not self._router.limits.limited_servers(destination.server_ids):
             self._go_to(destination, is_retry=is_retry, begun=begun)
             return
         waiting = self._await_permit(
@@ -261,7 +261,7 @@
                 self._denied += 1
                 self.search(exclude, is_retry=is_retry, broke_off=False, begun=begun)
             case PermitDenied(wait_s=wait_s):
-                error = limits.refusal(destination.server_ids, wait_s)
+                error = limits.refusal_error(destination.server_ids, wait_s)
                 self._listener.destination_refused(error)
 
     def _go_to(self, destination: Destination, *, is_retry: bool, begun: bool) -> None:
--- a/src/railfold/_internal/forwarding/requests/destinations.py
+++ b/src/railfold/_internal/forwarding/requests/destinations.py
@@ -134,9 +134,9 @@
             return None
         backoffs = {s: b for s, b in ending.items() if not isinstance(b, RateLimited)}
         if not backoffs:
-            return self._router.limits.refusal(ending, max(met_s) - now_s)
+            return self._router.limits.refusal_error(ending, max(met_s) - now_s)
         first_s = min(max(met_s), *(bar.until_s for bar in backoffs.values()))
-        return self._router.backoffs.refusal(spec.name, backoffs, first_s - now_s)
+        return self._router.backoffs.refusal_error(spec.name, backoffs, first_s - now_s)
 
     def _choose_at(
         self,
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -66,7 +66,7 @@
 from railfold._internal.forwarding.requests.routed_request import RoutedRequest
 from railfold._internal.forwarding.requests.stream_watch import Silence, StreamWatch
 from railfold._internal.forwarding.router import Router
-from railfold._internal.forwarding.servers.probes import ChainProber
+from railfold._internal.forwarding.servers.probes import ServerProber
 
 __all__ = ["RequestDriver"]
 
@@ -92,7 +92,7 @@
         client: ClientExchange,
         router: Router,
         destinations: DestinationChooser,
-        prober: ChainProber,
+        prober: ServerProber,
         quarantine: RequestQuarantine,
         room: RoomQueue,
     ) -> None:
@@ -317,7 +317,7 @@
         server_id = destination.server.host
         self._log_attempt(server_id, reason)
         if error is None:
-            self._prober.unreachable(server_id)
+            self._prober.record_unreachable(server_id)
         elif isinstance(error, ServerNotEligibleError):
             self._feed(CallUnsent(server_id, reason))
             return
@@ -331,7 +331,7 @@
         """No whole answer comes of the attempt."""
         if self._destination is not None:
             self._note_broken_off()
-            self._prober.doubt(self._destination.server.host)
+            self._prober.record_broken_answer(self._destination.server.host)
         self.end_attempt(reason)
 
     def _note_broken_off(self) -> None:
@@ -401,17 +401,17 @@
                 self._release()
                 self._search.rejected()
                 self._log_attempt(server_id, reason)
-                self._prober.not_executed(
+                self._prober.record_not_executed(
                     server_id, refusal, self._part.tokens, backed_off=self._backed_off
                 )
                 self._feed(CallHostRefused(server_id, started=False, reason=reason))
             case ServerFailure():
                 self._answer.keep_failure(gathered)
-                self._prober.failed(server_id)
+                self._prober.record_failure(server_id)
                 status = gathered.head.status if gathered else 0
                 self.end_attempt(f"it answered {status}")
             case UnusableAnswer(reason=reason):
-                self._prober.failed(server_id)
+                self._prober.record_failure(server_id)
                 self.end_attempt(reason)
             case _:
                 self.end_attempt("its answer has no head")
@@ -420,7 +420,7 @@
         if self._streaming and gathered is None and self._cursor.partial:
             self.end_attempt("it ended within an event")
             return
-        self._prober.served(server_id)
+        self._prober.record_served(server_id)
         self._quarantine.record_success(self._request, self._owner)
         if gathered is not None:
             self._answer.deliver(gathered)
@@ -538,7 +538,7 @@
         if destination is not None:
             ran = isinstance(self._kind, ServedAnswer)
             self._router.uncount(destination, self._part, ran=ran)
-            self._router.backoffs.attempt_ended(
+            self._router.backoffs.record_attempt_end(
                 destination.server.host, self._request.request_id
             )
         self._watch.closed()
@@ -572,7 +572,7 @@
         elif silence.suspects:
             self._prober.probe_suspects(chain, silence, request_id)
         else:
-            self._prober.ask_first(chain, request_id, silence.silent_s)
+            self._prober.query_first_engine(chain, request_id, silence.silent_s)
 
     async def _reroute(self, chain: Chain, lost: frozenset[str]) -> None:
         """Let the first backend server go on over another chain."""
--- a/src/railfold/_internal/forwarding/requests/exchange.py
+++ b/src/railfold/_internal/forwarding/requests/exchange.py
@@ -16,8 +16,8 @@
 )
 from railfold._internal.forwarding.messages import ClientRequest, ResponseHead
 from railfold._internal.forwarding.servers.http_client import (
+    ExchangeFailure,
     HttpConnection,
-    LostExchange,
     connect,
 )
 from railfold._internal.forwarding.servers.pool import ConnectionPool
@@ -182,13 +182,13 @@
         if not self._cancelled:
             self._listener.answer_ended()
 
-    def lost(self, reason: LostExchange) -> None:
+    def failed(self, reason: ExchangeFailure) -> None:
         """The answer was lost."""
         self._connection = None
         if self._cancelled:
             return
         match reason:
-            case LostExchange.CLOSED:
+            case ExchangeFailure.CLOSED:
                 self._listener.attempt_lost("the connection closed")
-            case LostExchange.MALFORMED:
+            case ExchangeFailure.MALFORMED:
                 self._listener.attempt_lost("what came isn't HTTP")
--- a/src/railfold/_internal/forwarding/router.py
+++ b/src/railfold/_internal/forwarding/router.py
@@ -63,10 +63,12 @@
 )
 from railfold._internal.forwarding.dialect import Dialect
 from railfold._internal.forwarding.requests.destination import Destination
+from railfold._internal.forwarding.servers.answer_header_reader import (
+    AnswerHeaderReader,
+)
 from railfold._internal.forwarding.servers.backoffs import ServerBackoffs
 from railfold._internal.forwarding.servers.pool import ConnectionPool
 from railfold._internal.forwarding.servers.rate_limits import RateLimits
-from railfold._internal.forwarding.servers.statements import ServerStatements
 from railfold._internal.observability.decision_log import DecisionLog
 from railfold._internal.observability.events import PipeShareCut
 from railfold._internal.observability.metrics import Metrics
@@ -138,13 +140,13 @@
     limits: RateLimits = field(init=False)
     backoffs: ServerBackoffs = field(init=False)
     eligibility: ServerEligibility = field(init=False)
-    statements: ServerStatements = field(init=False)
+    statements: AnswerHeaderReader = field(init=False)
 
     def __post_init__(self) -> None:
         """Build what is made of the other parts."""
         self.limits = RateLimits(self.dialect, self.metrics, self.log, self.rng)
         self.backoffs = ServerBackoffs(self.dialect, self.metrics, self.log, self.rng)
-        self.statements = ServerStatements(
+        self.statements = AnswerHeaderReader(
             self.dialect,
             self.directory,
             self.limits,
@@ -218,7 +220,9 @@
             case RateLimitedError(left_s=left_s):
                 return ReturnAtPermit(left_s)
             case ServersBackingOffError(left_s=left_s, service=service):
-                return ServersBackingOff(left_s, self.backoffs.others_serve(service))
+                return ServersBackingOff(
+                    left_s, self.backoffs.others_can_serve(service)
+                )
             case RoomShortError(served_share=served_share, left_s=left_s):
                 return RoomShort(served_share, left_s)
             case _:
--- a/src/railfold/_internal/forwarding/servers/backoffs.py
+++ b/src/railfold/_internal/forwarding/servers/backoffs.py
@@ -31,12 +31,12 @@
 __all__ = ["ServerBackoffs"]
 
 # The statuses with which a server refuses work for want of room.
-_SHEDDING = (429, 503)
+_LOAD_SHEDDING_STATUSES = (429, 503)
 
-_MAX_NOTICE_S = 3600.0
+_MAX_NOTIFIED_BACKOFF_S = 3600.0
 
 # So many of the servers that kept a request from being served are named in logs.
-_MAX_NAMED = 4
+_MAX_LOGGED_SERVERS = 4
 
 
 class ServerBackoffs:
@@ -57,23 +57,23 @@
         self._metrics = metrics
         self._log = log
         self._rng = rng
-        self._unreadable: set[str] = set()
-        self._name = ""
+        self._servers_with_unreadable_header: set[str] = set()
+        self._own_name = ""
         self._channel: PeerChannel | None = None
-        self._barred_entries = BlockedEntries()
-        self._announced_s: dict[str, float] = {}
+        self._blocked_entries = BlockedEntries()
+        self._notified_s: dict[str, float] = {}
 
-    def use(self, name: str, channel: PeerChannel) -> None:
+    def set_channel(self, own_name: str, channel: PeerChannel) -> None:
         """Exchange notices with other entries over this channel from now on.
 
         :param name: this entry's.
         """
-        self._name = name
+        self._own_name = own_name
         self._channel = channel
 
     # What servers answer
 
-    def record_response(self, server_id: str, head: ResponseHead, source: str) -> bool:
+    def record_answer(self, server_id: str, head: ResponseHead, source: str) -> bool:
         """Take the head of an answer; return whether it asks for a backoff.
 
         It is the server that answered which asks, also where it names another one as
@@ -81,18 +81,20 @@
 
         :param source: what was answered, for the log.
         """
-        if head.status not in _SHEDDING:
+        if head.status not in _LOAD_SHEDDING_STATUSES:
             return False
         match self._dialect.retry_after(head):
             case NoRetryAfter():
                 return False
             case UnreadableRetryAfter(text=text):
-                self._note_unreadable(server_id, text)
+                self._warn_unreadable(server_id, text)
                 return False
             case RetryAfter(delay_s=delay_s):
-                return self._start(server_id, delay_s, head.status, source)
+                return self._record_backoff(server_id, delay_s, head.status, source)
 
-    def _start(self, server_id: str, delay_s: float, status: int, source: str) -> bool:
+    def _record_backoff(
+        self, server_id: str, delay_s: float, status: int, source: str
+    ) -> bool:
         if delay_s <= 0.0:
             return False
         self._metrics.count("backoffs.requested")
@@ -105,10 +107,10 @@
             self._set_gauge()
         return True
 
-    def _note_unreadable(self, server_id: str, text: str) -> None:
+    def _warn_unreadable(self, server_id: str, text: str) -> None:
         self._metrics.count("backoffs.unreadable")
-        if server_id not in self._unreadable:
-            self._unreadable.add(server_id)
+        if server_id not in self._servers_with_unreadable_header:
+            self._servers_with_unreadable_header.add(server_id)
             logging.warning("%s sent a malformed Retry-After: %r", server_id, text)
 
     def record_served(self, server_id: str, request_id: str) -> None:
@@ -132,7 +134,7 @@
             self._metrics.count("backoffs.sends_during")
         self.requested.record_send(server_id, request_id, now_s)
 
-    def attempt_ended(self, server_id: str, request_id: str) -> None:
+    def record_attempt_end(self, server_id: str, request_id: str) -> None:
         """Take that a request at a server ended."""
         self.requested.record_attempt_end(server_id, request_id)
 
@@ -151,64 +153,64 @@
 
     # Refusals
 
-    def refusal(
-        self, service: str, bars: Mapping[str, BackoffReason], left_s: float
+    def refusal_error(
+        self, service: str, reasons: Mapping[str, BackoffReason], left_s: float
     ) -> ServersBackingOffError:
         """Return why a request is refused that these bars keep from all servers.
 
         :param left_s: until the first of them ends.
         """
         self._metrics.count("backoffs.refused")
-        self._announce(service, left_s)
+        self._notify_peers(service, left_s)
         now_s = _now_s()
-        named = [
-            f"{server_id} asked for {bar.until_s - now_s:.1f} s more"
-            if isinstance(bar, BackingOff)
+        descriptions = [
+            f"{server_id} asked for {reason.until_s - now_s:.1f} s more"
+            if isinstance(reason, BackingOff)
             else f"{server_id} is tried with another request"
-            for server_id, bar in sorted(bars.items())
+            for server_id, reason in sorted(reasons.items())
         ]
         return ServersBackingOffError(
             "all backend servers that could serve it asked for no requests",
             left_s=left_s,
             service=service,
-            why="; ".join(named[:_MAX_NAMED]),
+            why="; ".join(descriptions[:_MAX_LOGGED_SERVERS]),
             hint="come back after Retry-After",
         )
 
-    def _announce(self, service: str, left_s: float) -> None:
+    def _notify_peers(self, service: str, left_s: float) -> None:
         now_s = _now_s()
-        due_s = self._announced_s.get(service, float("-inf")) + NOTICE_INTERVAL_S
+        due_s = self._notified_s.get(service, float("-inf")) + NOTICE_INTERVAL_S
         if self._channel is None or now_s < due_s:
             return
-        self._announced_s[service] = now_s
-        left_ms = int(1000 * min(_MAX_NOTICE_S, left_s))
-        self._channel.tell_some(BackoffNotice(self._name, service, left_ms))
+        self._notified_s[service] = now_s
+        left_ms = int(1000 * min(_MAX_NOTIFIED_BACKOFF_S, left_s))
+        self._channel.tell_some(BackoffNotice(self._own_name, service, left_ms))
 
     def record_notice(self, message: BackoffNotice) -> None:
         """Take another entry's notice."""
         now_s = _now_s()
         until_s = now_s + message.left_ms / 1000.0
-        self._barred_entries.record_notice(
+        self._blocked_entries.record_notice(
             message.name, message.service, until_s, now_s
         )
 
-    def others_serve(self, service: str) -> bool:
+    def others_can_serve(self, service: str) -> bool:
         """Return whether most other entries can send to a server of a service."""
-        others = len(self._channel.peers) if self._channel is not None else 0
-        return self._barred_entries.others_can_serve(service, others, _now_s())
+        other_count = len(self._channel.peers) if self._channel is not None else 0
+        return self._blocked_entries.others_can_serve(service, other_count, _now_s())
 
     # Upkeep
 
     def upkeep(self, known_ids: set[str], now_s: float) -> None:
         """Log backoffs that have ended, and forget what is over."""
-        self._barred_entries.forget(now_s)
-        if not self.requested and not self._unreadable:
+        self._blocked_entries.forget(now_s)
+        if not self.requested and not self._servers_with_unreadable_header:
             return
         for server_id, backoff in self.requested.take_ended(now_s).items():
             cause = "its time has passed"
             self._log_end(server_id, backoff, "ended", cause, "the clock")
         self.requested.forget(known_ids, now_s)
-        self._unreadable &= known_ids
+        self._servers_with_unreadable_header &= known_ids
         self._set_gauge()
 
     def _log_end(
@@ -219,13 +221,13 @@
         cause: str,
         source: str,
     ) -> None:
-        lasted_s = round(backoff.until_s - backoff.started_s, 3)
+        duration_s = round(backoff.until_s - backoff.started_s, 3)
         event = ServerBackoffChanged(
             server_id,
             state,
             cause,
             source,
-            lasted_s,
+            duration_s,
             backoff.retry_after_count,
             backoff.sends_during,
         )
--- a/src/railfold/_internal/forwarding/servers/engine_calls.py
+++ b/src/railfold/_internal/forwarding/servers/engine_calls.py
@@ -35,7 +35,7 @@
 )
 from railfold._internal.observability.events import EngineChanged
 
-__all__ = ["EngineCalls", "is_another", "stages_of"]
+__all__ = ["EngineCalls", "is_other_incarnation", "stages_of"]
 
 # How long a stream waits for its first engine's word on whom it waits for; after that
 # the first engine itself is looked at. On an idle way a report takes a few
@@ -47,7 +47,7 @@
 
 _REROUTE_TIMEOUT_S = 0.3
 
-_BUSY = 503
+_SERVICE_UNAVAILABLE = 503
 
 
 class EngineCalls:
@@ -57,7 +57,7 @@
         self._router = router
         self._loop = asyncio.get_running_loop()
         # Told of a backend server whose address refuses connections.
-        self.on_refused: Callable[[str], None] = lambda server_id: None
+        self.on_connection_refused: Callable[[str], None] = lambda server_id: None
 
     async def report(self, stage: Stage) -> EngineReport:
         """Return an engine's report.
@@ -71,20 +71,20 @@
         )
         return dialect.decode_report(response.body)
 
-    async def alive(self, stage: Stage, timeout_s: float) -> bool:
+    async def is_alive(self, stage: Stage, timeout_s: float) -> bool:
         """Return whether the incarnation that a stage stands for answers and is well.
 
         One that isn't registered any more may serve on.
         """
         entry = self._router.directory.get(stage.host)
         if entry is None:
-            return await self.serves_on(stage, timeout_s)
+            return await self.still_serves(stage, timeout_s)
         call = self._probe_call(entry)
         try:
             response = await self._probe(stage, call, timeout_s)
         except EngineError:
             return False
-        return self._is_well(entry, response)
+        return self._is_healthy(entry, response)
 
     async def _probe(
         self, stage: Stage, call: EngineCall, timeout_s: float
@@ -106,7 +106,7 @@
             connection = await self._connect(stage.host, stage.address, timeout_s)
             return await self._call_on(stage.host, connection, call, timeout_s)
 
-    async def serves_on(self, stage: Stage, timeout_s: float) -> bool:
+    async def still_serves(self, stage: Stage, timeout_s: float) -> bool:
         """Ask an engine that isn't registered any more.
 
         One that leaves takes itself off the list and finishes what runs there for
@@ -121,10 +121,10 @@
             report = dialect.decode_report(response.body)
         except EngineError:
             return False
-        held = report.layers
-        if held is None or is_another(stage, report.started_at_ms):
+        layers = report.layers
+        if layers is None or is_other_incarnation(stage, report.started_at_ms):
             return False
-        return held.first <= stage.layers.first and stage.layers.last <= held.last
+        return layers.first <= stage.layers.first and stage.layers.last <= layers.last
 
     def _probe_call(self, entry: DirectoryEntry) -> EngineCall:
         if entry.registration.is_model_engine:
@@ -135,7 +135,7 @@
         headers = (("Host", entry.registration.address),)
         return EngineCall("GET", path, headers)
 
-    def _is_well(self, entry: DirectoryEntry, response: Response) -> bool:
+    def _is_healthy(self, entry: DirectoryEntry, response: Response) -> bool:
         started_at_ms = self._router.dialect.decode_started_at_ms(response.body)
         if entry.is_other_incarnation(started_at_ms):
             return False  # Its successor answers, which knows nothing of its work.
@@ -144,10 +144,10 @@
         return (
             entry.registration.is_model_engine
             or response.head.status < 500
-            or (response.head.status == _BUSY and not entry.draining)
+            or (response.head.status == _SERVICE_UNAVAILABLE and not entry.draining)
         )
 
-    async def ask_slowness(self, entry: DirectoryEntry) -> None:
+    async def update_slowness(self, entry: DirectoryEntry) -> None:
         """Ask an engine how slow it is, and note it."""
         try:
             report = await self.report(*stages_of([entry]))
@@ -169,7 +169,7 @@
         entry: DirectoryEntry,
         call: EngineCall,
         timeout_s: float,
-        check: Callable[[], None] | None = None,
+        check_before_send: Callable[[], None] | None = None,
     ) -> Response:
         """Make one call to a backend server.
 
@@ -178,7 +178,9 @@
         :raises EngineUnavailableError: no answer came in time.
         """
         address = entry.registration.address
-        return await self._call_at(entry.server_id, address, call, timeout_s, check)
+        return await self._call_at(
+            entry.server_id, address, call, timeout_s, check_before_send
+        )
 
     async def _call_at(
         self,
@@ -186,15 +188,15 @@
         address: str,
         call: EngineCall,
         timeout_s: float,
-        check: Callable[[], None] | None = None,
+        check_before_send: Callable[[], None] | None = None,
     ) -> Response:
         pool = self._router.pool
         connection = pool.take(server_id, self._loop.time())
         if connection is None:
             connection = await self._connect(server_id, address, timeout_s)
-        if check is not None:
+        if check_before_send is not None:
             try:
-                check()
+                check_before_send()
             except EngineError:
                 pool.give_back(server_id, connection, self._loop.time())
                 raise
@@ -207,7 +209,7 @@
             return await connect(parse_address(address), timeout_s)
         except EngineUnavailableError as error:
             if isinstance(error.__cause__, ConnectionRefusedError):
-                self.on_refused(server_id)
+                self.on_connection_refused(server_id)
             raise
 
     async def _call_on(
@@ -251,7 +253,7 @@
     return [entry.stage(entry.registration.layers or _NO_LAYERS) for entry in entries]
 
 
-def is_another(stage: Stage, started_at_ms: int | None) -> bool:
+def is_other_incarnation(stage: Stage, started_at_ms: int | None) -> bool:
     """Return whether somebody who started then is surely not a chain's stage."""
-    known = stage.incarnation != UNKNOWN_INCARNATION
-    return known and started_at_ms not in (None, stage.incarnation)
+    has_known_incarnation = stage.incarnation != UNKNOWN_INCARNATION
+    return has_known_incarnation and started_at_ms not in (None, stage.incarnation)
--- a/src/railfold/_internal/forwarding/servers/http_client.py
+++ b/src/railfold/_internal/forwarding/servers/http_client.py
@@ -22,24 +22,24 @@
 from railfold._internal.waiting import answer_within
 
 __all__ = [
+    "ExchangeFailure",
     "ExchangeSink",
     "HttpConnection",
-    "LostExchange",
     "Response",
     "connect",
     "fetch",
 ]
 
-_CONTINUE_LIMIT = 200
+_FIRST_FINAL_STATUS = 200
 
 # Bounds an answer that arrives a few bytes at a time.
-_LONGEST_TRANSFER_S = 10.0
+_MAX_TRANSFER_S = 10.0
 
 _NO_CONTENT = 204
 _NOT_MODIFIED = 304
 
 
-class LostExchange(Enum):
+class ExchangeFailure(Enum):
     """How an exchange ended without a whole answer."""
 
     CLOSED = auto()  # The server closed the connection or it was reset.
@@ -61,7 +61,7 @@
     def end(self) -> None:
         """The answer is whole."""
 
-    def lost(self, reason: LostExchange) -> None:
+    def failed(self, reason: ExchangeFailure) -> None:
         """The answer will not become whole."""
 
 
@@ -74,12 +74,12 @@
         self._sink: ExchangeSink | None = None
         self._status = b""
         self._headers: list[Header] = []
-        self._skipping = False
-        self._message_open = False
-        self._ends_with_connection = False
+        self._skipping_message = False
+        self._message_incomplete = False
+        self._ends_at_eof = False
         self._no_body = False
-        self._done = False
-        self._poisoned = False
+        self._answer_complete = False
+        self._unusable = False
         self._keep_alive = True
         self._paused = False
         self.idle_since_s = 0.0
@@ -88,7 +88,7 @@
     @property
     def closed(self) -> bool:
         """Whether the connection can't be used any more."""
-        return self._poisoned or self._transport is None
+        return self._unusable or self._transport is None
 
     @property
     def busy(self) -> bool:
@@ -108,7 +108,7 @@
             raise EngineUnavailableError("the connection can't take a request")
         self._sink = sink
         self._no_body = method == "HEAD"
-        self._done = False
+        self._answer_complete = False
         lines = [f"{method} {target} HTTP/1.1"]
         lines += [f"{name}: {value}" for name, value in headers]
         if body or method not in ("GET", "HEAD"):
@@ -131,7 +131,7 @@
     def abort(self) -> None:
         """Close at once; an answer under way isn't reported any more."""
         self._sink = None
-        self._poisoned = True
+        self._unusable = True
         if self._transport is not None:
             self._transport.abort()
 
@@ -153,30 +153,30 @@
             if isinstance(error, httptools.HttpParserCallbackError):
                 # Whoever takes the answer failed, not the server that sent it.
                 logging.exception("an answer couldn't be taken")
-            self._lose(LostExchange.MALFORMED)
+            self._fail(ExchangeFailure.MALFORMED)
             return
-        if self._done:
+        if self._answer_complete:
             self._finish()
 
     def eof_received(self) -> bool:
         """The server sends no more; close."""
-        if self._sink is not None and self._ends_with_connection:
-            self._poisoned = True
+        if self._sink is not None and self._ends_at_eof:
+            self._unusable = True
             self._finish()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Report an answer that won't become whole."""
         self._transport = None
-        self._lose(LostExchange.CLOSED)
+        self._fail(ExchangeFailure.CLOSED)
 
     # httptools
 
     def on_message_begin(self) -> None:
         """Begin an answer; a second one in the same exchange isn't ours."""
-        if self._done:
-            self._poisoned = True
-        self._message_open = True
+        if self._answer_complete:
+            self._unusable = True
+        self._message_incomplete = True
         self._headers = []
         self._status = b""
 
@@ -190,27 +190,27 @@
 
     def on_headers_complete(self) -> None:
         """Give the head to the sink."""
-        if self._done or self._sink is None:
+        if self._answer_complete or self._sink is None:
             return
         status = self._parser.get_status_code()
-        if status < _CONTINUE_LIMIT:
-            self._skipping = True
+        if status < _FIRST_FINAL_STATUS:
+            self._skipping_message = True
             return
         head = ResponseHead(
             status, self._status.decode("latin-1"), tuple(self._headers)
         )
-        self._note_framing(head)
-        self._skipping = not self._sink.head(head)
-        if self._skipping:
-            self._poisoned = True
+        self._record_framing(head)
+        self._skipping_message = not self._sink.head(head)
+        if self._skipping_message:
+            self._unusable = True
         elif self._no_body:
-            self._done = True
-            self._poisoned = True
+            self._answer_complete = True
+            self._unusable = True
 
-    def _note_framing(self, head: ResponseHead) -> None:
-        framed = bool(head.get("Content-Length") or head.get("Transfer-Encoding"))
-        bodiless = head.status in (_NO_CONTENT, _NOT_MODIFIED)
-        self._ends_with_connection = not framed and not bodiless
+    def _record_framing(self, head: ResponseHead) -> None:
+        has_framing = bool(head.get("Content-Length") or head.get("Transfer-Encoding"))
+        has_no_body = head.status in (_NO_CONTENT, _NOT_MODIFIED)
+        self._ends_at_eof = not has_framing and not has_no_body
         self._keep_alive = self._parser.should_keep_alive()
         if "close" in head.get("Connection").lower():
             self._keep_alive = False
@@ -218,37 +218,41 @@
 
     def on_body(self, body: bytes) -> None:
         """Give bytes of the body to the sink."""
-        if self._sink is not None and not self._skipping and not self._done:
+        if (
+            self._sink is not None
+            and not self._skipping_message
+            and not self._answer_complete
+        ):
             self._sink.body(body)
 
     def on_message_complete(self) -> None:
         """Note that the answer is whole, unless it isn't the one due."""
-        self._message_open = False
-        if self._skipping:
-            self._skipping = False
+        self._message_incomplete = False
+        if self._skipping_message:
+            self._skipping_message = False
             return
-        self._done = True
+        self._answer_complete = True
 
     def _finish(self) -> None:
         sink, self._sink = self._sink, None
         self.resume_reading()
         transport = self._transport
         unsent = transport is not None and transport.get_write_buffer_size() > 0
-        if self._message_open or unsent or not self._keep_alive:
+        if self._message_incomplete or unsent or not self._keep_alive:
             # Bytes behind the answer, or a request that wasn't read to its end.
-            self._poisoned = True
-        if self._poisoned and transport is not None:
+            self._unusable = True
+        if self._unusable and transport is not None:
             transport.abort()
         if sink is not None:
             sink.end()
 
-    def _lose(self, reason: LostExchange) -> None:
+    def _fail(self, reason: ExchangeFailure) -> None:
         sink, self._sink = self._sink, None
-        self._poisoned = True
+        self._unusable = True
         if self._transport is not None:
             self._transport.abort()
         if sink is not None:
-            sink.lost(reason)
+            sink.failed(reason)
 
 
 def _keep_alive_s(value: str) -> float | None:
@@ -289,32 +293,32 @@
     transfer_s: float = 0.0
 
 
-class _Collector:
+class _ResponseCollector:
     """Gathers one whole answer."""
 
     def __init__(self, future: asyncio.Future[Response]) -> None:
         self.received_bytes = 0
         self._future = future
         self._head: ResponseHead | None = None
-        self._head_s = 0.0
-        self._parts: list[bytes] = []
+        self._head_received_s = 0.0
+        self._chunks: list[bytes] = []
 
     def head(self, head: ResponseHead) -> bool:
         self._head = head
-        self._head_s = asyncio.get_running_loop().time()
+        self._head_received_s = asyncio.get_running_loop().time()
         return True
 
     def body(self, data: bytes) -> None:
         self.received_bytes += len(data)
-        self._parts.append(data)
+        self._chunks.append(data)
 
     def end(self) -> None:
         if self._head is not None and not self._future.done():
-            transfer_s = asyncio.get_running_loop().time() - self._head_s
-            body = b"".join(self._parts)
+            transfer_s = asyncio.get_running_loop().time() - self._head_received_s
+            body = b"".join(self._chunks)
             self._future.set_result(Response(self._head, body, transfer_s))
 
-    def lost(self, reason: LostExchange) -> None:
+    def failed(self, reason: ExchangeFailure) -> None:
         if not self._future.done():
             self._future.set_exception(
                 EngineUnavailableError(
@@ -330,7 +334,7 @@
     headers: Sequence[Header],
     body: bytes,
     timeout_s: float,
-    stall_s: float | None = None,
+    stall_timeout_s: float | None = None,
 ) -> Response:
     """Send a request and return its whole answer; aborts when cancelled.
 
@@ -341,29 +345,29 @@
     """
     loop = asyncio.get_running_loop()
     future: asyncio.Future[Response] = loop.create_future()
-    collector = _Collector(future)
-    began_s = loop.time()
+    collector = _ResponseCollector(future)
+    started_s = loop.time()
     try:
         connection.send(method, target, headers, body, collector)
-        if stall_s is None:
+        if stall_timeout_s is None:
             return await answer_within(future, timeout_s)
-        return await _transferred(collector, future, timeout_s, stall_s)
+        return await _wait_for_transfer(collector, future, timeout_s, stall_timeout_s)
     except TimeoutError as error:
         raise EngineUnavailableError(
             "an answer didn't come in time",
             why=f"{collector.received_bytes} bytes of it came in "
-            f"{loop.time() - began_s:.1f} s",
+            f"{loop.time() - started_s:.1f} s",
         ) from error
     finally:
         if connection.busy:
             connection.abort()
 
 
-async def _transferred(
-    collector: _Collector,
+async def _wait_for_transfer(
+    collector: _ResponseCollector,
     future: asyncio.Future[Response],
     timeout_s: float,
-    stall_s: float,
+    stall_timeout_s: float,
 ) -> Response:
     """Return an answer that goes on arriving.
 
@@ -371,7 +375,7 @@
     """
     loop = asyncio.get_running_loop()
     wait_s = timeout_s
-    end_s = loop.time() + timeout_s + _LONGEST_TRANSFER_S
+    end_s = loop.time() + timeout_s + _MAX_TRANSFER_S
     while True:
         received_bytes = collector.received_bytes
         try:
@@ -380,4 +384,4 @@
         except TimeoutError:
             if collector.received_bytes == received_bytes or loop.time() >= end_s:
                 raise
-        wait_s = stall_s
+        wait_s = stall_timeout_s
--- a/src/railfold/_internal/forwarding/servers/layer_orders.py
+++ b/src/railfold/_internal/forwarding/servers/layer_orders.py
@@ -31,15 +31,15 @@
 
 # A registration is read this often while its engine loads: half of the time between
 # two looks at the placement, which give the places of ended loads away.
-_READ_S = 0.1
+_POLL_INTERVAL_S = 0.1
 
 # For how long an engine that says that it carries an order out is left alone, twice as
 # long each time: it loads a few layers, or waits for requests that end.
-_CARRYING_S = 1.0
-_CARRYING_MOST_S = 4.0
+_MIN_EXECUTION_WAIT_S = 1.0
+_MAX_EXECUTION_WAIT_S = 4.0
 
 # An order is for one incarnation: what its successor says proves nothing of it.
-_ANOTHER_ANSWERED = OrderUnsettled("the engine has started again")
+_ENGINE_RESTARTED = OrderUnsettled("the engine has started again")
 
 
 class LayerOrders:
@@ -52,73 +52,76 @@
         self._leadership = leadership
         self._calls = calls
         self._loop = asyncio.get_running_loop()
-        self._under_way: set[str] = set()
+        self._in_progress: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         # The last order that each engine began, and until when one is taken to be
         # still carrying an order out.
-        self._begun: dict[str, LayerRange] = {}
-        self._carrying_until_s: dict[str, float] = {}
-        self._carrying_s: dict[str, float] = {}
+        self._begun_layers: dict[str, LayerRange] = {}
+        self._executing_until_s: dict[str, float] = {}
+        self._execution_wait_s: dict[str, float] = {}
 
     @property
-    def under_way(self) -> Set[str]:
+    def in_progress(self) -> Set[str]:
         """Engines whose order is being sent, or that are loading."""
-        return self._under_way
+        return self._in_progress
 
-    def is_carrying(self, server_id: str, now_s: float) -> bool:
+    def is_executing(self, server_id: str, now_s: float) -> bool:
         """Return whether an engine said lately that it carries an order out."""
-        return now_s < self._carrying_until_s.get(server_id, 0.0)
+        return now_s < self._executing_until_s.get(server_id, 0.0)
 
     def has_other_order(self, server_id: str, layers: LayerRange, now_s: float) -> bool:
         """Return whether it is to hold other layers than these by that order."""
         return (
-            self.is_carrying(server_id, now_s) and self._begun.get(server_id) != layers
+            self.is_executing(server_id, now_s)
+            and self._begun_layers.get(server_id) != layers
         )
 
     def forget(self, server_id: str) -> None:
         """Forget an engine that is gone."""
-        self._begun.pop(server_id, None)
-        self._carrying_until_s.pop(server_id, None)
-        self._carrying_s.pop(server_id, None)
+        self._begun_layers.pop(server_id, None)
+        self._executing_until_s.pop(server_id, None)
+        self._execution_wait_s.pop(server_id, None)
 
-    def give(self, entry: DirectoryEntry, order: LoadOrder, load_s: float) -> None:
+    def start_order(
+        self, entry: DirectoryEntry, order: LoadOrder, load_s: float
+    ) -> None:
         """Begin to give an order.
 
         :param load_s: how long its load takes, undisturbed; it keeps its place among
             the loads for no longer.
         """
-        self._under_way.add(entry.server_id)
-        task = self._loop.create_task(self._follow(entry, order, load_s))
+        self._in_progress.add(entry.server_id)
+        task = self._loop.create_task(self._run_order(entry, order, load_s))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _follow(
+    async def _run_order(
         self, entry: DirectoryEntry, order: LoadOrder, load_s: float
     ) -> None:
         """Send an order, and keep its place among the loads to its end."""
         try:
             outcome = await self._send(entry, order)
-            self._note(entry, order, outcome)
+            self._log_order(entry, order, outcome)
             match outcome:
                 case OrderBegun():
-                    self._begun[entry.server_id] = order.layers
-                    self._carrying_s.pop(entry.server_id, None)
-                    await self._wait_loaded(entry, order.layers, load_s)
+                    self._begun_layers[entry.server_id] = order.layers
+                    self._execution_wait_s.pop(entry.server_id, None)
+                    await self._wait_until_loaded(entry, order.layers, load_s)
                 case OrderFenced():
                     self._leadership.fenced(order.fencing)
                 case OrderRefused() | OrderUnsettled():
                     pass  # The level is looked at again when the order is due.
         finally:
-            self._under_way.discard(entry.server_id)
+            self._in_progress.discard(entry.server_id)
 
-    def _note(
+    def _log_order(
         self, entry: DirectoryEntry, order: LoadOrder, outcome: OrderOutcome
     ) -> None:
-        held = entry.registration.layers
+        held_layers = entry.registration.layers
         event = LayersOrdered(
             entry.server_id,
             str(order.layers),
-            str(held) if held else "none",
+            str(held_layers) if held_layers else "none",
             order.fencing,
             _outcome_text(outcome),
         )
@@ -133,10 +136,10 @@
             )
             report = dialect.decode_report(response.body)
             if entry.is_other_incarnation(report.started_at_ms):
-                return _ANOTHER_ANSWERED
+                return _ENGINE_RESTARTED
             if report.busy:
                 # Another order would begin its work anew.
-                self._note_carrying(entry.server_id)
+                self._record_executing(entry.server_id)
                 return OrderRefused("it still carries an order out")
             call = dialect.place_call(order.layers, order.fencing, report.order_count)
             response = await self._calls.call(
@@ -147,14 +150,18 @@
         except EngineError as error:
             return OrderUnsettled(str(error))
         if entry.is_other_incarnation(dialect.decode_started_at_ms(response.body)):
-            return _ANOTHER_ANSWERED
+            return _ENGINE_RESTARTED
         return dialect.order_outcome(response.head)
 
-    def _note_carrying(self, server_id: str) -> None:
-        known_s = self._carrying_s.get(server_id)
-        span_s = _CARRYING_S if known_s is None else min(2 * known_s, _CARRYING_MOST_S)
-        self._carrying_s[server_id] = span_s
-        self._carrying_until_s[server_id] = self._loop.time() + span_s
+    def _record_executing(self, server_id: str) -> None:
+        last_wait_s = self._execution_wait_s.get(server_id)
+        wait_s = (
+            _MIN_EXECUTION_WAIT_S
+            if last_wait_s is None
+            else min(2 * last_wait_s, _MAX_EXECUTION_WAIT_S)
+        )
+        self._execution_wait_s[server_id] = wait_s
+        self._executing_until_s[server_id] = self._loop.time() + wait_s
 
     def _require_lease(self, order: LoadOrder) -> None:
         """Look at the lease once more, right before the order leaves.
@@ -165,14 +172,14 @@
         if self._leadership.fencing(self._loop.time()) != order.fencing:
             raise LeaseLostError("the lease was lost before the order was sent")
 
-    async def _wait_loaded(
+    async def _wait_until_loaded(
         self, entry: DirectoryEntry, layers: LayerRange, load_s: float
     ) -> None:
         """Hold the place among the loads while the engine loads."""
-        due_s = self._loop.time() + load_s
+        deadline_s = self._loop.time() + load_s
         # The registration is read by another child.
-        while self._loop.time() < due_s and entry.registration.layers != layers:  # noqa: ASYNC110
-            await asyncio.sleep(_READ_S)
+        while self._loop.time() < deadline_s and entry.registration.layers != layers:  # noqa: ASYNC110
+            await asyncio.sleep(_POLL_INTERVAL_S)
 
 
 def _outcome_text(outcome: OrderOutcome) -> str:
--- a/src/railfold/_internal/forwarding/servers/liveness.py
+++ b/src/railfold/_internal/forwarding/servers/liveness.py
@@ -14,15 +14,15 @@
 from collections.abc import Awaitable, Callable, Iterable, Mapping
 from dataclasses import dataclass
 
-__all__ = ["LONGEST_WAIT_S", "LivenessCheck", "Verdict"]
+__all__ = ["MAX_WAIT_S", "LivenessCheck", "Verdict"]
 
 # A live engine on an idle path answers its report within a few milliseconds; a
 # connection takes one round trip more.
-_ANSWER_S = 0.05
+_MIN_NEAR_TIMEOUT_S = 0.05
 
 # The same while nobody in the suspects' failure domain is heard: the way there may be
 # slow, which a witness elsewhere doesn't tell (test_a_far_witness_leaves_more_time).
-_FAR_ANSWER_S = 0.25
+_MIN_FAR_TIMEOUT_S = 0.25
 
 # What the first answer took tells how long a round trip takes now. Over a kept
 # connection it is one; one that has to be opened first takes two, and the queue on the
@@ -32,15 +32,15 @@
 
 # The wait goes on in parts, so that a hold-up of the event loop shows whenever it
 # comes. Decoding a configuration of 0.6 MB holds a small host up for 56 to 82 ms.
-_PART_S = 0.0125
-_LOOP_LATE_S = 0.03
+_WAIT_SLICE_S = 0.0125
+_MAX_LOOP_DELAY_S = 0.03
 
 # An answer that was read in the same turn of the event loop as a time-out needs a few
 # turns more.
 _SETTLE_S = 0.002
 
 # When nobody answers for so long, this host can't serve, whatever the cause is.
-LONGEST_WAIT_S = 1.0
+MAX_WAIT_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,20 +52,20 @@
     :param unheard: which of them are silent as everybody else is.
     """
 
-    answered: int
+    healthy_count: int
     lost: frozenset[str] = frozenset()
-    unheard: frozenset[str] = frozenset()
+    undecided: frozenset[str] = frozenset()
 
 
 @dataclass(frozen=True, slots=True)
-class _Answer:
+class _ProbeResult:
     """A sign of life, or a refusal, which somebody on the way there sent."""
 
-    at_s: float
-    well: bool
+    received_s: float
+    healthy: bool
 
 
-_Asking = asyncio.Task[_Answer]
+_ProbeTask = asyncio.Task[_ProbeResult]
 
 
 class LivenessCheck:
@@ -75,89 +75,104 @@
         long as it likes, and is cancelled when no longer needed.
     """
 
-    def __init__(self, ask: Callable[[str], Awaitable[bool]]) -> None:
-        self._ask = ask
+    def __init__(self, probe: Callable[[str], Awaitable[bool]]) -> None:
+        self._probe = probe
         self._loop = asyncio.get_running_loop()
 
     async def run(
-        self, suspects: Iterable[str], near: Iterable[str], far: Iterable[str]
+        self,
+        suspects: Iterable[str],
+        near_witnesses: Iterable[str],
+        far_witnesses: Iterable[str],
     ) -> Verdict:
         """Ask all of them, and judge the suspects.
 
         :param near: witnesses in the suspects' failure domain.
         :param far: witnesses elsewhere.
         """
-        asked = {server_id: self._start(server_id) for server_id in suspects}
-        nearby = [*asked.values(), *map(self._start, near)]
-        elsewhere = [self._start(server_id) for server_id in far]
+        suspect_probes = {
+            server_id: self._start_probe(server_id) for server_id in suspects
+        }
+        near_probes = [
+            *suspect_probes.values(),
+            *map(self._start_probe, near_witnesses),
+        ]
+        far_probes = [self._start_probe(server_id) for server_id in far_witnesses]
         try:
-            return await self._judge(asked, nearby, elsewhere)
+            return await self._decide(suspect_probes, near_probes, far_probes)
         finally:
-            for task in (*nearby, *elsewhere):
+            for task in (*near_probes, *far_probes):
                 task.cancel()
 
-    def _start(self, server_id: str) -> _Asking:
-        return self._loop.create_task(self._answer(server_id))
+    def _start_probe(self, server_id: str) -> _ProbeTask:
+        return self._loop.create_task(self._run_probe(server_id))
 
-    async def _answer(self, server_id: str) -> _Answer:
-        well = await self._ask(server_id)
-        return _Answer(self._loop.time(), well)
+    async def _run_probe(self, server_id: str) -> _ProbeResult:
+        healthy = await self._probe(server_id)
+        return _ProbeResult(self._loop.time(), healthy)
 
-    async def _judge(
+    async def _decide(
         self,
-        asked: Mapping[str, _Asking],
-        nearby: list[_Asking],
-        elsewhere: list[_Asking],
+        suspect_probes: Mapping[str, _ProbeTask],
+        near_probes: list[_ProbeTask],
+        far_probes: list[_ProbeTask],
     ) -> Verdict:
-        started_s = asked_s = self._loop.time()
+        started_s = waiting_since_s = self._loop.time()
         while True:
-            missing = frozenset(host for host, task in asked.items() if not _well(task))
-            answered = len(asked) - len(missing)
-            if not missing:
-                return Verdict(answered)
-            waited_s = self._loop.time() - asked_s
-            pending = [task for task in (*nearby, *elsewhere) if not task.done()]
-            if all(asked[host].done() for host in missing):
-                return Verdict(answered, lost=missing)
-            if waited_s >= self._patience_s(nearby, elsewhere, started_s):
-                return Verdict(answered, lost=missing)
-            if self._loop.time() - started_s >= LONGEST_WAIT_S:
-                return Verdict(answered, unheard=missing)
-            if await self._wait(pending):
-                asked_s = self._loop.time()
-
-    def _patience_s(
-        self, nearby: list[_Asking], elsewhere: list[_Asking], started_s: float
+            not_healthy = frozenset(
+                host for host, task in suspect_probes.items() if not _is_healthy(task)
+            )
+            healthy_count = len(suspect_probes) - len(not_healthy)
+            if not not_healthy:
+                return Verdict(healthy_count)
+            waited_s = self._loop.time() - waiting_since_s
+            pending = [task for task in (*near_probes, *far_probes) if not task.done()]
+            if all(suspect_probes[host].done() for host in not_healthy):
+                return Verdict(healthy_count, lost=not_healthy)
+            if waited_s >= self._suspect_timeout_s(near_probes, far_probes, started_s):
+                return Verdict(healthy_count, lost=not_healthy)
+            if self._loop.time() - started_s >= MAX_WAIT_S:
+                return Verdict(healthy_count, undecided=not_healthy)
+            if await self._wait_for_probe(pending):
+                waiting_since_s = self._loop.time()
+
+    def _suspect_timeout_s(
+        self,
+        near_probes: list[_ProbeTask],
+        far_probes: list[_ProbeTask],
+        started_s: float,
     ) -> float:
         """Return how long a silent suspect is given, by who else was heard.
 
         For ever if nobody was: the look itself ends then, without a verdict. A bound a
         little beyond its end would be reached by an event loop that runs late.
         """
-        near_s = _first_answer_s(nearby)
-        if near_s is not None:
-            return max(_ANSWER_S, _ROUND_TRIPS * (near_s - started_s))
-        far_s = _first_answer_s(elsewhere)
-        if far_s is not None:
-            return max(_FAR_ANSWER_S, _ROUND_TRIPS * (far_s - started_s))
+        near_answer_s = _first_answer_s(near_probes)
+        if near_answer_s is not None:
+            return max(_MIN_NEAR_TIMEOUT_S, _ROUND_TRIPS * (near_answer_s - started_s))
+        far_answer_s = _first_answer_s(far_probes)
+        if far_answer_s is not None:
+            return max(_MIN_FAR_TIMEOUT_S, _ROUND_TRIPS * (far_answer_s - started_s))
         return math.inf
 
-    async def _wait(self, pending: list[_Asking]) -> bool:
+    async def _wait_for_probe(self, pending: list[_ProbeTask]) -> bool:
         """Wait a little for an answer; return whether this process was held up."""
-        until_s = self._loop.time() + _PART_S
+        slice_end_s = self._loop.time() + _WAIT_SLICE_S
         done, _ = await asyncio.wait(
-            pending, timeout=_PART_S, return_when=asyncio.FIRST_COMPLETED
+            pending, timeout=_WAIT_SLICE_S, return_when=asyncio.FIRST_COMPLETED
         )
         if not done:
             # What the loop has just read is on its way through its tasks.
             await asyncio.sleep(_SETTLE_S)
-        return self._loop.time() - until_s > _LOOP_LATE_S
+        return self._loop.time() - slice_end_s > _MAX_LOOP_DELAY_S
 
 
-def _well(task: _Asking) -> bool:
-    return task.done() and task.result().well
+def _is_healthy(task: _ProbeTask) -> bool:
+    return task.done() and task.result().healthy
 
 
-def _first_answer_s(tasks: Iterable[_Asking]) -> float | None:
+def _first_answer_s(tasks: Iterable[_ProbeTask]) -> float | None:
     """Return when the first of some answered, or refused, if one did."""
-    return min((task.result().at_s for task in tasks if task.done()), default=None)
+    return min(
+        (task.result().received_s for task in tasks if task.done()), default=None
+    )
--- a/src/railfold/_internal/forwarding/servers/kept_connection.py
+++ b/src/railfold/_internal/forwarding/servers/persistent_connection.py
@@ -15,7 +15,7 @@
     fetch,
 )
 
-__all__ = ["KeptConnection"]
+__all__ = ["PersistentConnection"]
 
 _CONNECT_TIMEOUT_S = 0.6
 
@@ -23,7 +23,7 @@
 _MAX_IDLE_S = 5.0
 
 
-class KeptConnection:
+class PersistentConnection:
     """Makes one call at a time.
 
     After an answer was lost the connection is closed: what still came over it
@@ -41,7 +41,7 @@
         headers: Sequence[Header],
         body: bytes,
         timeout_s: float,
-        stall_s: float | None = None,
+        stall_timeout_s: float | None = None,
     ) -> Response:
         """Make a call; return its answer.
 
@@ -49,9 +49,9 @@
         :raises EngineUnavailableError: no whole answer came in time.
         """
         try:
-            connection = await self._take()
+            connection = await self._get_connection()
             response = await fetch(
-                connection, method, target, headers, body, timeout_s, stall_s
+                connection, method, target, headers, body, timeout_s, stall_timeout_s
             )
         except EngineUnavailableError:
             self._connection = None
@@ -59,12 +59,12 @@
         connection.idle_since_s = asyncio.get_running_loop().time()
         return response
 
-    async def _take(self) -> HttpConnection:
+    async def _get_connection(self) -> HttpConnection:
         now_s = asyncio.get_running_loop().time()
         connection = self._connection
         if connection is not None:
-            usable = not connection.closed and not connection.busy
-            if usable and now_s - connection.idle_since_s < _MAX_IDLE_S:
+            is_usable = not connection.closed and not connection.busy
+            if is_usable and now_s - connection.idle_since_s < _MAX_IDLE_S:
                 return connection
             connection.abort()
         self._connection = await connect(self.address, _CONNECT_TIMEOUT_S)
--- a/src/railfold/_internal/forwarding/servers/placement.py
+++ b/src/railfold/_internal/forwarding/servers/placement.py
@@ -48,18 +48,18 @@
 from railfold._internal.forwarding.store.leadership import LEASE_S
 from railfold._internal.observability.events import LayersPlanned
 
-__all__ = ["PlacementKeeper"]
+__all__ = ["PlacementController"]
 
-_LOOK_S = 0.2
+_INTERVAL_S = 0.2
 
 # An engine registers new layers once they are loaded; what it answered with a
 # lag of up to 0.8 s on the first sites.
-_READ_BACK_S = 1.2
+_REGISTRATION_DELAY_S = 1.2
 
 # A plan for engines that are all empty waits until none has appeared for this
 # long: one that is made too early leaves engines without layers of their own.
-_SETTLED_S = 1.0
-_SETTLED_MOST_S = 4.0
+_SETTLE_S = 1.0
+_MAX_SETTLE_S = 4.0
 
 # When an installation starts for the first time its engines come up one by one,
 # the last of them 6.5 s after the first on the first sites, and clients come
@@ -71,22 +71,22 @@
 
 # An engine that is suspect for this long is given up, and its layers placed
 # elsewhere; a shorter silence isn't worth a load.
-_GIVEN_UP_S = 0.3
+_SUSPECT_GRACE_S = 0.3
 
 # What a domain should be able to serve, over its share of what arrives: enough to
 # take up a third of another domain's share, and the users' bursts of 1.5 to 1.7.
-_HEADROOM = 1.6
+_HEADROOM_FACTOR = 1.6
 
 # Rates are rounded up to powers of this, so that a plan isn't asked for anew whenever
 # a request more or less arrives.
-_RATE_STEP = 1.25
+_RATE_ROUNDING_FACTOR = 1.25
 
 # What a plan for a group of engines depends on.
-_Question = tuple[EngineModel, tuple[EnginePlacement, ...], "_Wanted"]
+_PlanInput = tuple[EngineModel, tuple[EnginePlacement, ...], "_Demand"]
 
 
 @dataclass(frozen=True, slots=True)
-class _Wanted:
+class _Demand:
     """What clients want of a group of engines.
 
     :param needed_rps: requests a second.
@@ -101,7 +101,7 @@
 _GroupKey = tuple[str, int]
 
 # What the throughput of a group depends on, and the throughput.
-_KnownSupply = tuple[tuple[EngineModel, tuple[EnginePlacement, ...], float], float]
+_KnownThroughput = tuple[tuple[EngineModel, tuple[EnginePlacement, ...], float], float]
 
 
 @dataclass(frozen=True, slots=True)
@@ -117,7 +117,7 @@
         return (self.failure_domain, self.number)
 
 
-class PlacementKeeper:
+class PlacementController:
     """Keeps every model's layers placed."""
 
     def __init__(
@@ -135,55 +135,57 @@
         self._loop = asyncio.get_running_loop()
         self._reconcilers: dict[str, Reconciler] = {}
         self._targets: dict[str, LayerRange] = {}
-        self._left_as_is: dict[_GroupKey, _Question] = {}
-        self._supplies: dict[_GroupKey, _KnownSupply] = {}
-        self._known: set[str] = set()
+        self._inputs_without_changes: dict[_GroupKey, _PlanInput] = {}
+        self._throughputs: dict[_GroupKey, _KnownThroughput] = {}
+        self._known_ids: set[str] = set()
         self._started_s = self._loop.time()
-        self._changed_s = self._loop.time()
+        self._last_new_engine_s = self._loop.time()
 
     async def run(self, ready: asyncio.Event) -> None:
         """Look at the placement until cancelled."""
         ready.set()
         while True:
-            await self._look()
-            await asyncio.sleep(_LOOK_S)
+            await self._update()
+            await asyncio.sleep(_INTERVAL_S)
 
-    async def _look(self) -> None:
+    async def _update(self) -> None:
         now_s = self._loop.time()
         table = self._router.table
-        self._note_appearances(now_s)
+        self._track_engines(now_s)
         if table is None or self._leadership.fencing(now_s) is None:
             self._targets.clear()  # Another may plan meanwhile.
-            self._left_as_is.clear()
-            self._supplies.clear()
+            self._inputs_without_changes.clear()
+            self._throughputs.clear()
             return
         for spec in table.model_services():
             if spec.model is not None:
-                objective_s = _loosest_objective_s(table, spec.name)
+                objective_s = _longest_objective_s(table, spec.name)
                 await self._place(spec, spec.model, objective_s, now_s)
 
-    def _note_appearances(self, now_s: float) -> None:
+    def _track_engines(self, now_s: float) -> None:
         known = {
             e.server_id
             for e in self._router.directory
             if e.registration.is_model_engine
         }
-        if known - self._known:
-            self._changed_s = now_s
-        self._known = known
-        for gone in set(self._reconcilers) - known:
-            del self._reconcilers[gone]
-            self._targets.pop(gone, None)
-            self._orders.forget(gone)
+        if known - self._known_ids:
+            self._last_new_engine_s = now_s
+        self._known_ids = known
+        for departed_id in set(self._reconcilers) - known:
+            del self._reconcilers[departed_id]
+            self._targets.pop(departed_id, None)
+            self._orders.forget(departed_id)
 
     async def _place(
         self, spec: ServiceSpec, model: EngineModel, objective_s: float, now_s: float
     ) -> None:
         entries = [e for e in self._router.directory.servers_of(spec.name)]
-        usable = [e for e in entries if self._usable(e, model, now_s)]
-        if not any(e.registration.layers for e in usable) and not self._settled(now_s):
+        usable = [e for e in entries if self._is_usable(e, model, now_s)]
+        if not any(e.registration.layers for e in usable) and not self._is_settled(
+            now_s
+        ):
             return
-        free = [e for e in usable if not self._carries_order(e, now_s)]
+        free = [e for e in usable if not self._executes_unknown_order(e, now_s)]
         groups = [
             _Group(members[0].registration.failure_domain, number, tuple(members))
             for domain_members in _by_domain(free, model)
@@ -192,105 +194,112 @@
             )
         ]
         arriving_rps = self._router.arriving_rps(spec.name)
-        needed_rps = _rounded(_HEADROOM * arriving_rps)
-        part_rps = arriving_rps / max(1, len(groups))
-        served_rps = [self._served_rps(g, model, objective_s) for g in groups]
+        needed_rps = _round_up_rate(_HEADROOM_FACTOR * arriving_rps)
+        group_arriving_rps = arriving_rps / max(1, len(groups))
+        served_rps = [self._group_throughput_rps(g, model, objective_s) for g in groups]
         for index in planning_order(served_rps):
             group = groups[index]
             group_rps = group_demands_rps(served_rps, needed_rps)[index]
-            wanted = _Wanted(group_rps, objective_s)
-            plan = self._group_plan(group, model, wanted, part_rps)
+            demand = _Demand(group_rps, objective_s)
+            plan = self._group_plan(group, model, demand, group_arriving_rps)
             self._targets.update(plan)
             if plan:
-                served_rps[index] = self._served_rps(group, model, objective_s)
+                served_rps[index] = self._group_throughput_rps(
+                    group, model, objective_s
+                )
                 # Whatever is due runs in between: a plan takes some 10 ms, and there
                 # may be many at once.
                 await asyncio.sleep(0)
         self._router.metrics.gauge("placement.served_rps", sum(served_rps))
         self._router.metrics.gauge("placement.needed_rps", needed_rps)
-        self._give(usable, model, self._loop.time())
+        self._give_orders(usable, model, self._loop.time())
 
-    def _usable(self, entry: DirectoryEntry, model: EngineModel, now_s: float) -> bool:
+    def _is_usable(
+        self, entry: DirectoryEntry, model: EngineModel, now_s: float
+    ) -> bool:
         if entry.draining:
             return False
-        held = entry.registration.layers
-        if held is not None and not model.has_layers(held):
+        held_layers = entry.registration.layers
+        if held_layers is not None and not model.has_layers(held_layers):
             return False  # It is of another model, or doesn't know what it holds.
         since_s = entry.suspect_since_s
-        return since_s is None or now_s - since_s < _GIVEN_UP_S
+        return since_s is None or now_s - since_s < _SUSPECT_GRACE_S
 
-    def _settled(self, now_s: float) -> bool:
+    def _is_settled(self, now_s: float) -> bool:
         if self._first_start:
             return now_s - self._started_s >= _FIRST_START_S
-        if now_s - self._changed_s >= _SETTLED_S:
+        if now_s - self._last_new_engine_s >= _SETTLE_S:
             return True
-        return now_s - self._started_s >= _SETTLED_MOST_S
+        return now_s - self._started_s >= _MAX_SETTLE_S
 
-    def _carries_order(self, entry: DirectoryEntry, now_s: float) -> bool:
+    def _executes_unknown_order(self, entry: DirectoryEntry, now_s: float) -> bool:
         """Return whether an engine without layers is carrying out another's order.
 
         Whoever gave it isn't known, nor to what end; a plan can't count on the engine.
         """
         if entry.registration.layers is not None or entry.server_id in self._targets:
             return False
-        return self._orders.is_carrying(entry.server_id, now_s)
+        return self._orders.is_executing(entry.server_id, now_s)
 
-    def _served_rps(
+    def _group_throughput_rps(
         self, group: _Group, model: EngineModel, objective_s: float
     ) -> float:
-        rooms = tuple(self._room(entry, model) for entry in group.members)
-        question = (model, rooms, objective_s)
-        known = self._supplies.get(group.key)
-        if known is not None and known[0] == question:
+        engines = tuple(self._engine_placement(entry, model) for entry in group.members)
+        plan_input = (model, engines, objective_s)
+        known = self._throughputs.get(group.key)
+        if known is not None and known[0] == plan_input:
             return known[1]
-        supply = estimate_throughput(rooms, model, objective_s)
-        self._supplies[group.key] = (question, supply.throughput_rps)
-        return supply.throughput_rps
+        estimate = estimate_throughput(engines, model, objective_s)
+        self._throughputs[group.key] = (plan_input, estimate.throughput_rps)
+        return estimate.throughput_rps
 
     def _group_plan(
-        self, group: _Group, model: EngineModel, wanted: _Wanted, arriving_rps: float
+        self, group: _Group, model: EngineModel, demand: _Demand, arriving_rps: float
     ) -> dict[str, LayerRange]:
-        rooms = tuple(self._room(entry, model) for entry in group.members)
-        if all_engines_busy(rooms, model, arriving_rps):
-            rooms = tuple(replace(r, busy=r.held_layers is not None) for r in rooms)
+        engines = tuple(self._engine_placement(entry, model) for entry in group.members)
+        if all_engines_busy(engines, model, arriving_rps):
+            engines = tuple(replace(r, busy=r.held_layers is not None) for r in engines)
         # Most looks find what the one before found, and a plan takes some 10 ms.
-        question = (model, rooms, wanted)
-        if self._left_as_is.get(group.key) == question:
+        plan_input = (model, engines, demand)
+        if self._inputs_without_changes.get(group.key) == plan_input:
             return {}
-        plan = plan_layers(rooms, model, wanted.needed_rps, wanted.objective_s)
+        plan = plan_layers(engines, model, demand.needed_rps, demand.objective_s)
         if plan:
-            self._left_as_is.pop(group.key, None)
-            self._log_plan(group.failure_domain, rooms, model, wanted, plan)
+            self._inputs_without_changes.pop(group.key, None)
+            self._log_plan(group.failure_domain, engines, model, demand, plan)
         else:
-            self._left_as_is[group.key] = question
+            self._inputs_without_changes[group.key] = plan_input
         return plan
 
     def _log_plan(
         self,
         domain: str,
-        rooms: tuple[EnginePlacement, ...],
+        engines: tuple[EnginePlacement, ...],
         model: EngineModel,
-        wanted: _Wanted,
+        demand: _Demand,
         plan: dict[str, LayerRange],
     ) -> None:
         self._router.metrics.count("layers.planned")
         after = [
-            replace(r, held_layers=plan.get(r.server_id, r.held_layers)) for r in rooms
+            replace(r, held_layers=plan.get(r.server_id, r.held_layers))
+            for r in engines
         ]
-        now = estimate_throughput(rooms, model, wanted.objective_s)
-        then = estimate_throughput(after, model, wanted.objective_s)
+        current = estimate_throughput(engines, model, demand.objective_s)
+        planned = estimate_throughput(after, model, demand.objective_s)
         event = LayersPlanned(
             domain,
-            round(now.throughput_rps, 1),
-            round(then.throughput_rps, 1),
-            round(wanted.needed_rps, 1),
+            round(current.throughput_rps, 1),
+            round(planned.throughput_rps, 1),
+            round(demand.needed_rps, 1),
             self._router.fleet_arrivals.announcing_entries,
-            [str(chain) for chain in then.chains],
+            [str(chain) for chain in planned.chains],
             {server_id: str(layers) for server_id, layers in plan.items()},
         )
         self._router.log.write(event)
 
-    def _room(self, entry: DirectoryEntry, model: EngineModel) -> EnginePlacement:
+    def _engine_placement(
+        self, entry: DirectoryEntry, model: EngineModel
+    ) -> EnginePlacement:
         """Return an engine as plans see it.
 
         What was planned counts as held: a plan is carried out over many looks, and
@@ -305,23 +314,25 @@
             busy=self._router.fleet_load.own_load(entry.server_id).tokens > 0,
         )
 
-    def _give(
+    def _give_orders(
         self,
         entries: list[DirectoryEntry],
         model: EngineModel,
         now_s: float,
     ) -> None:
         by_id = {e.server_id: e for e in entries}
-        self._drop_reached(by_id)
+        self._drop_reached_targets(by_id)
         for server_id in self._by_urgency(entries, model):
-            if len(self._orders.under_way) >= model.loads_at_once:
+            if len(self._orders.in_progress) >= model.loads_at_once:
                 return
             if self._orders.has_other_order(server_id, self._targets[server_id], now_s):
                 del self._targets[server_id]  # Planned anew, around the engine.
-            elif server_id not in self._orders.under_way:
-                self._decide(by_id[server_id], self._targets[server_id], model, now_s)
+            elif server_id not in self._orders.in_progress:
+                self._order_if_due(
+                    by_id[server_id], self._targets[server_id], model, now_s
+                )
 
-    def _drop_reached(self, by_id: Mapping[str, DirectoryEntry]) -> None:
+    def _drop_reached_targets(self, by_id: Mapping[str, DirectoryEntry]) -> None:
         for server_id, target in list(self._targets.items()):
             entry = by_id.get(server_id)
             if entry is not None and entry.registration.layers == target:
@@ -333,18 +344,20 @@
         model: EngineModel,
     ) -> list[str]:
         """Return engines to order: those of the most complete domains first."""
-        missing: dict[str, int] = {}
+        uncovered_counts: dict[str, int] = {}
         for members in _by_domain(entries, model):
             gaps = uncovered_ranges(
                 (e.registration.layers for e in members), model.layer_count
             )
             domain = members[0].registration.failure_domain
-            missing[domain] = sum(len(gap) for gap in gaps)
+            uncovered_counts[domain] = sum(len(gap) for gap in gaps)
         domains = {e.server_id: e.registration.failure_domain for e in entries}
         known = [server_id for server_id in self._targets if server_id in domains]
-        return sorted(known, key=lambda s: (missing.get(domains[s], 0), domains[s], s))
+        return sorted(
+            known, key=lambda s: (uncovered_counts.get(domains[s], 0), domains[s], s)
+        )
 
-    def _decide(
+    def _order_if_due(
         self,
         entry: DirectoryEntry,
         layers: LayerRange,
@@ -354,10 +367,10 @@
         fencing = self._leadership.fencing(now_s)
         if fencing is None:
             return
-        held = entry.registration.layers
-        load_s = self._load_s(held, layers, model, now_s)
+        held_layers = entry.registration.layers
+        load_s = self._load_s(held_layers, layers, model, now_s)
         reconciler = self._reconciler(entry.server_id, model)
-        loaded = (model.name, "", held) if held is not None else None
+        loaded = (model.name, "", held_layers) if held_layers is not None else None
         decision = reconciler.decide(
             (LoadOrder(model.name, "", layers, fencing), 0),
             loaded=loaded,
@@ -368,8 +381,8 @@
         )
         match decision:
             case GiveOrder(order=order):
-                reconciler.ordered(now_s, load_s + _READ_BACK_S)
-                self._orders.give(entry, order, load_s)
+                reconciler.ordered(now_s, load_s + _REGISTRATION_DELAY_S)
+                self._orders.start_order(entry, order, load_s)
             case (
                 LevelReached()
                 | WaitForLease()
@@ -385,14 +398,16 @@
 
     def _load_s(
         self,
-        held: LayerRange | None,
+        held_layers: LayerRange | None,
         layers: LayerRange,
         model: EngineModel,
         now_s: float,
     ) -> float:
         """Return how long an engine takes to load what it doesn't hold, undisturbed."""
-        load_s = model.load_s * count_layers_to_load(held, layers) / model.layer_count
-        early = now_s - self._started_s < _FIRST_START_S + _SETTLED_MOST_S
+        load_s = (
+            model.load_s * count_layers_to_load(held_layers, layers) / model.layer_count
+        )
+        early = now_s - self._started_s < _FIRST_START_S + _MAX_SETTLE_S
         if self._first_start and early:
             return load_s * _FIRST_START_LOAD_SHARE
         return load_s
@@ -405,7 +420,7 @@
     return group_by_domain(known, lambda e: e.registration.failure_domain)
 
 
-def _loosest_objective_s(table: RoutingTable, service: str) -> float:
+def _longest_objective_s(table: RoutingTable, service: str) -> float:
     """Return the longest objective of the routes to a service."""
     objectives_s = [
         route.objective_s
@@ -415,6 +430,9 @@
     return max(objectives_s, default=math.inf)
 
 
-def _rounded(per_s: float) -> float:
+def _round_up_rate(per_s: float) -> float:
     """Return the next power of the step from a rate, at least one request a second."""
-    return float(_RATE_STEP ** math.ceil(math.log(max(1.0, per_s), _RATE_STEP)))
+    return float(
+        _RATE_ROUNDING_FACTOR
+        ** math.ceil(math.log(max(1.0, per_s), _RATE_ROUNDING_FACTOR))
+    )
--- a/src/railfold/_internal/forwarding/servers/pool.py
+++ b/src/railfold/_internal/forwarding/servers/pool.py
@@ -9,11 +9,11 @@
 __all__ = ["ConnectionPool"]
 
 # A server that announces nothing keeps an idle connection at least this long.
-_IDLE_LIMIT_S = 4.0
+_DEFAULT_MAX_IDLE_S = 4.0
 
 # A server closes an idle connection at the time it announced; a request must
 # not meet that moment.
-_ANNOUNCED_SHARE = 0.6
+_KEEP_ALIVE_SHARE = 0.6
 
 
 class ConnectionPool:
@@ -23,7 +23,7 @@
         self._idle: dict[str, deque[HttpConnection]] = {}
 
     def take(
-        self, server_id: str, now_s: float, max_idle_s: float = _IDLE_LIMIT_S
+        self, server_id: str, now_s: float, max_idle_s: float = _DEFAULT_MAX_IDLE_S
     ) -> HttpConnection | None:
         """Return a connection that can be used, if there is one."""
         idle = self._idle.get(server_id)
@@ -32,7 +32,7 @@
             idle_s = now_s - connection.idle_since_s
             if connection.closed:
                 continue
-            if idle_s > min(max_idle_s, _limit_s(connection)):
+            if idle_s > min(max_idle_s, _max_idle_s(connection)):
                 idle.append(connection)
                 return None  # All others are older still.
             return connection
@@ -44,7 +44,7 @@
         if not idle:
             return False
         newest = idle[-1]
-        return not newest.closed and now_s - newest.idle_since_s <= _limit_s(newest)
+        return not newest.closed and now_s - newest.idle_since_s <= _max_idle_s(newest)
 
     def give_back(
         self, server_id: str, connection: HttpConnection, now_s: float
@@ -65,7 +65,7 @@
         for server_id in list(self._idle):
             idle = self._idle[server_id]
             while idle and (
-                idle[0].closed or now_s - idle[0].idle_since_s > _limit_s(idle[0])
+                idle[0].closed or now_s - idle[0].idle_since_s > _max_idle_s(idle[0])
             ):
                 idle.popleft().abort()
             if not idle:
@@ -77,7 +77,7 @@
             self.drop(server_id)
 
 
-def _limit_s(connection: HttpConnection) -> float:
+def _max_idle_s(connection: HttpConnection) -> float:
     if connection.keep_alive_s is None:
-        return _IDLE_LIMIT_S
-    return connection.keep_alive_s * _ANNOUNCED_SHARE
+        return _DEFAULT_MAX_IDLE_S
+    return connection.keep_alive_s * _KEEP_ALIVE_SHARE
--- a/src/railfold/_internal/forwarding/servers/rate_limits.py
+++ b/src/railfold/_internal/forwarding/servers/rate_limits.py
@@ -43,17 +43,17 @@
 __all__ = ["RateLimits"]
 
 # Entries answer within milliseconds; who waits longer loses more than the permit gains.
-_ANSWER_S = 0.06
+_ISSUER_TIMEOUT_S = 0.06
 
 # A limit that holds is told again so often, which keeps it from lapsing at entries that
 # send nothing to the server.
-_ANNOUNCE_INTERVAL_S = 1.0
+_NOTICE_INTERVAL_S = 1.0
 
 # Of the servers that bound a refused request so many are named in logs.
-_MAX_NAMED = 4
+_MAX_LOGGED_SERVERS = 4
 
-_OWN_WORD = "the server"
-_PEERS_WORD = "another entry"
+_SERVER_SOURCE = "the server"
+_PEER_SOURCE = "another entry"
 
 
 class RateLimits:
@@ -66,7 +66,7 @@
         log: DecisionLog,
         rng: random.Random,
     ) -> None:
-        self._name = ""
+        self._own_name = ""
         self._dialect = dialect
         self._metrics = metrics
         self._log = log
@@ -74,27 +74,27 @@
         self._limits = AdvertisedLimits()
         self._sharing = PermitSharing(rng)
         self._channel: PeerChannel | None = None
-        self._announced_s: dict[str, float] = {}
-        self._answers: dict[int, asyncio.Future[PermitOutcome]] = {}
+        self._notified_s: dict[str, float] = {}
+        self._pending_replies: dict[int, asyncio.Future[PermitOutcome]] = {}
         # How many entries there are by the store's count.
-        self.members = 1
+        self.entry_count = 1
 
-    def use(self, name: str, channel: PeerChannel) -> None:
+    def set_channel(self, own_name: str, channel: PeerChannel) -> None:
         """Share limits with other entries over this channel from now on.
 
         :param name: this entry's.
         """
-        self._name = name
+        self._own_name = own_name
         self._channel = channel
 
     @property
-    def _fleet(self) -> KnownEntries:
+    def _known_entries(self) -> KnownEntries:
         others = tuple(self._channel.peers) if self._channel is not None else ()
-        return KnownEntries(self._name, others, self.members)
+        return KnownEntries(self._own_name, others, self.entry_count)
 
     # What servers say
 
-    def record_response(
+    def record_answer(
         self, server_id: str, kind: AnswerKind, head: ResponseHead, sent_s: float
     ) -> None:
         """Take the head of an answer to a request that was sent at ``sent_s``.
@@ -102,31 +102,31 @@
         A refusal for want of the layers, or of the incarnation, may be another
         server's: that it names no limit says nothing.
         """
-        word = self._dialect.rate_limit(head)
+        header = self._dialect.rate_limit(head)
         misplaced = isinstance(kind, NotExecuted) and kind.misplaced
-        if isinstance(word, NoRateLimit) and (misplaced or not self._limits):
+        if isinstance(header, NoRateLimit) and (misplaced or not self._limits):
             return
         now_s = _now_s()
-        change = self._limits.observe(server_id, word, sent_s, now_s)
-        self._note(server_id, change, _OWN_WORD)
-        due_s = self._announced_s.get(server_id, float("-inf")) + _ANNOUNCE_INTERVAL_S
-        holds = self._limits.limit_per_s(server_id) is not None
-        is_news = isinstance(change, RateLimitAdvertised | NoRateLimit)
-        if is_news or (holds and now_s >= due_s):
-            self._announce(server_id, now_s)
-
-    def record_call_response(self, server_id: str, head: ResponseHead) -> None:
+        change = self._limits.observe(server_id, header, sent_s, now_s)
+        self._log_change(server_id, change, _SERVER_SOURCE)
+        due_s = self._notified_s.get(server_id, float("-inf")) + _NOTICE_INTERVAL_S
+        is_limited = self._limits.limit_per_s(server_id) is not None
+        is_new = isinstance(change, RateLimitAdvertised | NoRateLimit)
+        if is_new or (is_limited and now_s >= due_s):
+            self._send_notice(server_id, now_s)
+
+    def record_call_answer(self, server_id: str, head: ResponseHead) -> None:
         """Take the head of an answer to a call of this entry's own.
 
         Servers needn't name a limit there: that one names none says nothing.
         """
-        word = self._dialect.rate_limit(head)
-        if not isinstance(word, NoRateLimit):
-            change = self._limits.observe(server_id, word, _now_s(), _now_s())
-            self._note(server_id, change, _OWN_WORD)
+        header = self._dialect.rate_limit(head)
+        if not isinstance(header, NoRateLimit):
+            change = self._limits.observe(server_id, header, _now_s(), _now_s())
+            self._log_change(server_id, change, _SERVER_SOURCE)
 
-    def _announce(self, server_id: str, now_s: float) -> None:
-        self._announced_s[server_id] = now_s
+    def _send_notice(self, server_id: str, now_s: float) -> None:
+        self._notified_s[server_id] = now_s
         if self._channel is not None:
             self._channel.tell(self._notice(server_id, now_s))
 
@@ -138,15 +138,17 @@
     def record_notice(self, message: RateLimitNotice) -> None:
         """Another entry tells what a server said."""
         now_s = _now_s()
-        given_s = now_s - message.age_ms / 1000.0
+        advertised_s = now_s - message.age_ms / 1000.0
         server_id = message.server_id
-        change = self._limits.observe_peer(server_id, message.per_s, given_s)
-        self._announced_s[server_id] = max(
-            given_s, self._announced_s.get(server_id, given_s)
+        change = self._limits.observe_peer(server_id, message.per_s, advertised_s)
+        self._notified_s[server_id] = max(
+            advertised_s, self._notified_s.get(server_id, advertised_s)
         )
-        self._note(server_id, change, _PEERS_WORD)
+        self._log_change(server_id, change, _PEER_SOURCE)
 
-    def _note(self, server_id: str, change: LimitChange | None, source: str) -> None:
+    def _log_change(
+        self, server_id: str, change: LimitChange | None, source: str
+    ) -> None:
         match change:
             case None:
                 return
@@ -169,7 +171,7 @@
             cause,
             per_s,
             source,
-            self.members,
+            self.entry_count,
             self._own_per_s(server_id),
         )
         self._log.write(event)
@@ -181,10 +183,12 @@
         per_s = self._limits.limit_per_s(server_id)
         if per_s is None:
             return 0.0
-        fleet = self._fleet
-        holders = self._sharing.issuers(server_id, per_s, fleet, _now_s())
+        entries = self._known_entries
+        issuers = self._sharing.issuers(server_id, per_s, entries, _now_s())
         return (
-            round(holders.permits_per_s, 3) if fleet.own_name in holders.names else 0.0
+            round(issuers.permits_per_s, 3)
+            if entries.own_name in issuers.names
+            else 0.0
         )
 
     def upkeep(self, known_ids: set[str], now_s: float) -> None:
@@ -192,19 +196,19 @@
         if not self._limits:
             return
         for server_id, change in self._limits.lapse_unconfirmed(
-            now_s, self.members
+            now_s, self.entry_count
         ).items():
-            self._note(server_id, change, _OWN_WORD)
+            self._log_change(server_id, change, _SERVER_SOURCE)
         self._limits.forget(known_ids, now_s)
         self._sharing.forget(set(self._limits.in_force))
-        self._announced_s = {
-            s: at_s for s, at_s in self._announced_s.items() if s in known_ids
+        self._notified_s = {
+            s: at_s for s, at_s in self._notified_s.items() if s in known_ids
         }
         self._metrics.gauge("rate_limits.in_force", len(self._limits.in_force))
 
     # Where requests may go
 
-    def limited(self, server_ids: Iterable[str]) -> list[str]:
+    def limited_servers(self, server_ids: Iterable[str]) -> list[str]:
         """Return those servers whose limits are in force."""
         return [s for s in server_ids if self._limits.limit_per_s(s) is not None]
 
@@ -220,19 +224,23 @@
         per_s = self._limits.limit_per_s(server_id)
         if per_s is None:
             return 0.0
-        return self._sharing.wait_s(server_id, per_s, self._fleet, _now_s())
+        return self._sharing.wait_s(server_id, per_s, self._known_entries, _now_s())
 
-    def refusal(self, server_ids: Iterable[str], left_s: float) -> RateLimitedError:
+    def refusal_error(
+        self, server_ids: Iterable[str], left_s: float
+    ) -> RateLimitedError:
         """Return why a request is refused that could only go to these servers."""
         self._metrics.count("rate_limits.refused")
-        named = sorted(
-            f"{s} takes {self._limits.limit_per_s(s):g} a second, permits here {own:g}"
-            for s, own in ((s, self._own_per_s(s)) for s in self.limited(server_ids))
+        descriptions = sorted(
+            f"{s} takes {self._limits.limit_per_s(s):g} a second, permits here {rate:g}"
+            for s, rate in (
+                (s, self._own_per_s(s)) for s in self.limited_servers(server_ids)
+            )
         )
         return RateLimitedError(
             "backend servers that could serve it take no more requests now",
             left_s=left_s,
-            why="; ".join(named[:_MAX_NAMED]),
+            why="; ".join(descriptions[:_MAX_LOGGED_SERVERS]),
             hint="come back after Retry-After",
         )
 
@@ -243,7 +251,7 @@
     ) -> PermitOutcome:
         """Get a permit of each server with a limit, and wait until they hold."""
         ready_s = _now_s()
-        for server_id in self.limited(server_ids):
+        for server_id in self.limited_servers(server_ids):
             outcome = await self._acquire_one(server_id, max_wait_s)
             if isinstance(outcome, PermitDenied):
                 return outcome
@@ -261,48 +269,48 @@
             per_s = self._limits.limit_per_s(server_id)
             if per_s is None:
                 return PermitGranted()
-            fleet = self._fleet
-            step = self._sharing.request_permit(
-                server_id, per_s, fleet, _now_s(), max_wait_s
+            entries = self._known_entries
+            decision = self._sharing.request_permit(
+                server_id, per_s, entries, _now_s(), max_wait_s
             )
-            match step:
+            match decision:
                 case AskIssuer(name=name) if name not in asked:
                     asked.add(name)
-                    outcome = await self._ask(server_id, name, max_wait_s)
+                    outcome = await self._ask_issuer(server_id, name, max_wait_s)
                     if isinstance(outcome, PermitGranted):
                         return outcome
                 case AskIssuer():
-                    wait_s = self._sharing.wait_s(server_id, per_s, fleet, _now_s())
+                    wait_s = self._sharing.wait_s(server_id, per_s, entries, _now_s())
                     return PermitDenied(wait_s)
                 case PermitGranted() | PermitDenied():
-                    return step
+                    return decision
 
-    async def _ask(
+    async def _ask_issuer(
         self, server_id: str, name: str, max_wait_s: float
     ) -> PermitOutcome | None:
         """Ask a holder; nothing comes if it doesn't answer."""
         assert self._channel is not None
         question = secrets.randbits(32)
-        answer: asyncio.Future[PermitOutcome]
-        answer = asyncio.get_running_loop().create_future()
-        self._answers[question] = answer
+        reply_future: asyncio.Future[PermitOutcome]
+        reply_future = asyncio.get_running_loop().create_future()
+        self._pending_replies[question] = reply_future
         self._metrics.count("rate_limits.permits_asked")
         limit = self._notice(server_id, _now_s())
-        message = PermitRequest(self._name, question, limit, int(max_wait_s * 1000))
+        message = PermitRequest(self._own_name, question, limit, int(max_wait_s * 1000))
         self._channel.tell_one(name, message)
         try:
-            outcome = await asyncio.wait_for(answer, _ANSWER_S)
+            outcome = await asyncio.wait_for(reply_future, _ISSUER_TIMEOUT_S)
         except TimeoutError:
             self._metrics.count("rate_limits.permits_unanswered")
             self._sharing.record_no_answer(server_id, name, _now_s())
             return None
         finally:
-            del self._answers[question]
+            del self._pending_replies[question]
         if isinstance(outcome, PermitDenied):
             self._sharing.record_denial(server_id, name, outcome.wait_s, _now_s())
         return outcome
 
-    def permit_asked(self, message: PermitRequest) -> None:
+    def answer_permit_request(self, message: PermitRequest) -> None:
         """Another entry asks this one for a permit."""
         self.record_notice(message.limit)
         server_id = message.limit.server_id
@@ -313,21 +321,21 @@
         if per_s is not None:
             max_wait_s = message.max_wait_ms / 1000.0
             outcome = self._sharing.answer_peer(
-                server_id, per_s, self._fleet, _now_s(), max_wait_s
+                server_id, per_s, self._known_entries, _now_s(), max_wait_s
             )
         granted = isinstance(outcome, PermitGranted)
         wait_ms = int(outcome.wait_s * 1000)
-        reply = PermitReply(self._name, message.question, granted, wait_ms)
+        reply = PermitReply(self._own_name, message.question, granted, wait_ms)
         self._channel.tell_one(message.name, reply)
 
-    def permit_replied(self, message: PermitReply) -> None:
+    def record_permit_reply(self, message: PermitReply) -> None:
         """A holder answers."""
-        answer = self._answers.get(message.question)
-        if answer is None or answer.done():
+        reply_future = self._pending_replies.get(message.question)
+        if reply_future is None or reply_future.done():
             return
         wait_s = message.wait_ms / 1000.0
         outcome = PermitGranted(wait_s) if message.granted else PermitDenied(wait_s)
-        answer.set_result(outcome)
+        reply_future.set_result(outcome)
 
 
 def _now_s() -> float:
--- a/src/railfold/_internal/forwarding/servers/unknown_headers.py
+++ b/src/railfold/_internal/forwarding/servers/unknown_headers.py
@@ -12,26 +12,29 @@
 
 from railfold._internal.observability.metrics import Metrics
 
-__all__ = ["UnknownHeaders"]
+__all__ = ["UnknownHeaderReporter"]
 
 # Servers that make names up must not fill logs or memory.
-_NAMES_KEPT = 32
+_MAX_REPORTED_NAMES = 32
 
 
-class UnknownHeaders:
+class UnknownHeaderReporter:
     """Tells once of each name."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
-        self._told: set[str] = set()
+        self._reported_names: set[str] = set()
 
-    def note(self, server_id: str, names: Iterable[str]) -> None:
+    def report(self, server_id: str, names: Iterable[str]) -> None:
         """Take the unknown names of an answer."""
         for name in names:
             self._metrics.count("answers.unknown_headers")
-            if name in self._told or len(self._told) >= _NAMES_KEPT:
+            if (
+                name in self._reported_names
+                or len(self._reported_names) >= _MAX_REPORTED_NAMES
+            ):
                 continue
-            self._told.add(name)
+            self._reported_names.add(name)
             logging.warning(
                 "%s answers with a header that isn't known: %r", server_id, name
             )
--- a/src/railfold/_internal/platform/store.py
+++ b/src/railfold/_internal/platform/store.py
@@ -25,7 +25,9 @@
 from railfold._internal.forwarding.adapter import KeyedValue
 from railfold._internal.forwarding.messages import Header
 from railfold._internal.forwarding.servers.http_client import Response
-from railfold._internal.forwarding.servers.kept_connection import KeptConnection
+from railfold._internal.forwarding.servers.persistent_connection import (
+    PersistentConnection,
+)
 from railfold._internal.store.records import LogPage, LogRecord
 
 __all__ = ["DutyLease", "GroupLease", "KeyedLog"]
@@ -100,7 +102,7 @@
     """Makes one call at a time, over a connection of its own."""
 
     def __init__(self, address: Address) -> None:
-        self._connection = KeptConnection(address)
+        self._connection = PersistentConnection(address)
 
     async def call(
         self,
--- a/tests/forwarding/test_failures.py
+++ b/tests/forwarding/test_failures.py
@@ -269,7 +269,7 @@
     for engine in empty_deployment.engines:
         engine.fence = 1 << 30
     await until(lambda: any(e.given for e in empty_deployment.engines), 8.0)
-    await asyncio.sleep(4 * placement._LOOK_S)
+    await asyncio.sleep(4 * placement._INTERVAL_S)
     refused = sum(len(e.given) for e in empty_deployment.engines)
     await asyncio.sleep(1.0)
     assert sum(len(e.given) for e in empty_deployment.engines) == refused
--- a/tests/forwarding/test_incarnations.py
+++ b/tests/forwarding/test_incarnations.py
@@ -64,7 +64,7 @@
     server: Engine = getattr(dated, kind)[0]
     server.born = SECOND_START  # Its registration isn't read yet.
     before = entry_of(dated, server)
-    dated.entry._prober.doubt(before.server_id)
+    dated.entry._prober.record_broken_answer(before.server_id)
     await until(lambda: before.suspect_since_s is not None)
 
 
@@ -108,7 +108,7 @@
     engine = dated.engines[0]
     entry = entry_of(dated, engine)
     engine.born, engine.pace = SECOND_START, 8.0
-    await dated.entry._prober.calls.ask_slowness(entry)
+    await dated.entry._prober.calls.update_slowness(entry)
     assert entry.slowness == 1.0
 
 
@@ -133,6 +133,6 @@
     directory = dated.entry.router.directory
     await until(lambda: directory.get_by_registered_id(engine.server_id) is None)
     prober = dated.entry._prober
-    assert await prober.calls.serves_on(stage, 0.5)
+    assert await prober.calls.still_serves(stage, 0.5)
     engine.born = SECOND_START
-    assert not await prober.calls.serves_on(stage, 0.5)
+    assert not await prober.calls.still_serves(stage, 0.5)
--- a/tests/forwarding/test_own_lateness.py
+++ b/tests/forwarding/test_own_lateness.py
@@ -87,7 +87,7 @@
     connection, engine = await begin_stream(deployment, events=200)
     for other in deployment.engines:
         other.report_delay_s = 0.15
-    deployment.entry._prober.doubt(engine.server_id)
+    deployment.entry._prober.record_broken_answer(engine.server_id)
     await asyncio.sleep(0.5)
     assert suspects(deployment) == []
     assert runs(deployment, "s-1") == 1
@@ -116,12 +116,12 @@
     entry = directory.get(first.server_id)
     assert entry is not None
     take_off_the_list(deployment, first)
-    assert await prober.calls.serves_on(stage, 0.5)
+    assert await prober.calls.still_serves(stage, 0.5)
     first.layers = (4, 8)
-    assert not await prober.calls.serves_on(stage, 0.5)
+    assert not await prober.calls.still_serves(stage, 0.5)
     first.layers = (0, 4)
     directory.register(replace(entry.registration, registered_id="i-successor"))
-    assert not await prober.calls.serves_on(stage, 0.5)
+    assert not await prober.calls.still_serves(stage, 0.5)
     connection.close()
 
 
@@ -185,7 +185,7 @@
     # A kept connection that was idle for long may close as a probe is sent on it.
     engine = deployment.engines[0]
     engine.reports_to_drop = 1
-    deployment.entry._prober.doubt(engine.server_id)
+    deployment.entry._prober.record_broken_answer(engine.server_id)
     await asyncio.sleep(0.2)
     assert engine.reports_to_drop == 0
     assert deployment.entry.metrics.counters["servers.suspected"] == 0
--- a/tests/forwarding/test_server_backoff.py
+++ b/tests/forwarding/test_server_backoff.py
@@ -167,7 +167,7 @@
     assert entry is not None
     calls = deployment.entry._prober.calls
     (stage,) = stages_of([entry])
-    assert await calls.alive(stage, 0.5)
+    assert await calls.is_alive(stage, 0.5)
     assert deployment.entry.router.backoffs.left_s(server.server_id) > 2.0
     for number in range(8):
         assert (await deployment.ask(SAFE, f"c-{number}")).status == 200
--- a/tests/forwarding/test_suspicion.py
+++ b/tests/forwarding/test_suspicion.py
@@ -65,7 +65,7 @@
 ) -> None:
     connection, first = await begin_stream(deployment, events=150)
     first.report_delay_s = 10.0
-    deployment.entry._prober.doubt(first.server_id)
+    deployment.entry._prober.record_broken_answer(first.server_id)
     await asyncio.sleep(0.4)
     assert suspects(deployment) == []
     assert runs(deployment, "s-1") == 1
@@ -102,7 +102,7 @@
         engine.report_delay_s = 0.3
     stalled = Silence(0.1, chain.hosts, stalled=True)
     prober = deployment.entry._prober
-    await prober._probe_suspects(chain, stalled, "s-1", moved=False)
+    await prober._probe_suspects(chain, stalled, "s-1", rerouted=False)
     await asyncio.sleep(0.1)
     assert runs(deployment, "s-1") == 1
     connection.close()
@@ -189,7 +189,7 @@
     await until(lambda: used.runs["p-1"] == 1)
     await asyncio.sleep(0.1)
     used.mode = "dead"
-    deployment.entry._prober.doubt(used.server_id)
+    deployment.entry._prober.record_broken_answer(used.server_id)
     await until(lambda: used.server_id in suspects(deployment))
     other.state = "ready"
     other.register()
@@ -261,10 +261,12 @@
 
     async def look_after(delay_s: float) -> Verdict:
         await asyncio.sleep(delay_s)
-        return await prober._look_at([stage])
+        return await prober._check_liveness([stage])
 
     # A look goes on in parts of 12.5 ms: these end at moments all over such a part.
     looks = [look_after(0.0015 * n) for n in range(10)]
     verdicts = await asyncio.gather(*looks)
     assert {verdict.lost for verdict in verdicts} == {frozenset()}
-    assert {verdict.unheard for verdict in verdicts} == {frozenset({engine.server_id})}
+    assert {verdict.undecided for verdict in verdicts} == {
+        frozenset({engine.server_id})
+    }
--- a/tests/unit/test_answer_headers.py
+++ b/tests/unit/test_answer_headers.py
@@ -9,7 +9,7 @@
 from absl import logging
 
 from railfold._internal.forwarding.messages import ResponseHead
-from railfold._internal.forwarding.servers.unknown_headers import UnknownHeaders
+from railfold._internal.forwarding.servers.unknown_headers import UnknownHeaderReporter
 from railfold._internal.observability.metrics import Metrics
 from railfold._internal.platform.answer_headers import READ, UNREAD
 from railfold._internal.platform.dialect import PlatformDialect
@@ -44,10 +44,10 @@
     found = PlatformDialect().unknown_headers(head)
     assert found == ["server-pause"]
     metrics = Metrics()
-    headers = UnknownHeaders(metrics)
+    headers = UnknownHeaderReporter(metrics)
     with caplog.at_level(logging.WARNING, logger="absl"):
-        headers.note("i-1", found)
-        headers.note("i-2", found)
+        headers.report("i-1", found)
+        headers.report("i-2", found)
     assert caplog.text.count("server-pause") == 1
     assert metrics.counters["answers.unknown_headers"] == 2
 
@@ -55,7 +55,7 @@
 def test_names_that_are_made_up_dont_fill_the_logs(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    headers = UnknownHeaders(Metrics())
+    headers = UnknownHeaderReporter(Metrics())
     for number in range(1000):
-        headers.note("i-1", [f"server-{number}"])
+        headers.report("i-1", [f"server-{number}"])
     assert len(caplog.records) <= 32
--- a/tests/unit/test_layer_orders.py
+++ b/tests/unit/test_layer_orders.py
@@ -26,7 +26,11 @@
     placed: list[LayerRange] = field(default_factory=list)
 
     async def call(
-        self, entry: object, call: object, timeout_s: float, check: Any = None
+        self,
+        entry: object,
+        call: object,
+        timeout_s: float,
+        check_before_send: Any = None,
     ) -> SimpleNamespace:
         if isinstance(call, LayerRange):
             self.placed.append(call)
@@ -67,8 +71,8 @@
         registration=SimpleNamespace(layers=None),
         is_other_incarnation=lambda started_at_ms: False,
     )
-    orders.give(cast("Any", entry), LoadOrder("m", "", layers, 1), 0.0)
-    while orders.under_way:  # noqa: ASYNC110
+    orders.start_order(cast("Any", entry), LoadOrder("m", "", layers, 1), 0.0)
+    while orders.in_progress:  # noqa: ASYNC110
         await asyncio.sleep(0)
 
 
@@ -79,9 +83,9 @@
     await given(orders, WANTED)
     now_s = asyncio.get_running_loop().time()
     assert engine.placed == []
-    assert orders.is_carrying("e1", now_s)
+    assert orders.is_executing("e1", now_s)
     assert orders.has_other_order("e1", WANTED, now_s)
-    assert not orders.is_carrying("e1", now_s + 5.0)
+    assert not orders.is_executing("e1", now_s + 5.0)
 
 
 @pytest.mark.asyncio
@@ -92,8 +96,8 @@
     await given(orders, WANTED)
     now_s = asyncio.get_running_loop().time()
     assert engine.placed == [WANTED]
-    assert orders.is_carrying("e1", now_s)
+    assert orders.is_executing("e1", now_s)
     assert not orders.has_other_order("e1", WANTED, now_s)
     assert orders.has_other_order("e1", OTHER, now_s)
     orders.forget("e1")
-    assert not orders.is_carrying("e1", now_s)
+    assert not orders.is_executing("e1", now_s)
--- a/tests/unit/test_liveness.py
+++ b/tests/unit/test_liveness.py
@@ -103,7 +103,7 @@
 
 async def test_when_nobody_is_heard_nobody_is_lost() -> None:
     verdict, took_s = await look({"a": DEAD, "b": DEAD}, {"v": DEAD}, {"w": DEAD})
-    assert verdict == Verdict(0, unheard=frozenset({"a", "b"}))
+    assert verdict == Verdict(0, undecided=frozenset({"a", "b"}))
     assert took_s == pytest.approx(1.0, abs=0.05)
 
 
