--- a/src/railfold/_internal/forwarding/servers/__init__.py
+++ b/src/railfold/_internal/forwarding/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Backend servers: connections, health, limits, and the layers they hold."""
+"""Connections, health checks, limits and layer placement of backend servers."""
--- a/src/railfold/_internal/forwarding/servers/answer_header_reader.py
+++ b/src/railfold/_internal/forwarding/servers/answer_header_reader.py
@@ -1,7 +1,7 @@
-"""What backend servers say of themselves in the heads of their answers.
+"""Processing of what backend servers state about themselves in headers of answers.
 
-The one place that reads them, so that answers to requests and to an entry's own calls
-count alike.
+Answers to clients' requests and answers to the entry's own calls are processed here, so
+that both have the same effect.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class AnswerHeaderReader:
-    """Reads rate limits, backoffs and leaving."""
+    """Processes rate limits, backoffs and departures that servers' answers announce."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         self._channel: PeerChannel | None = None
 
     def set_channel(self, channel: PeerChannel) -> None:
-        """Tell other entries of leaving servers over this channel from now on."""
+        """Set the channel over which other entries are notified of departures."""
         self._channel = channel
 
     def record_answer(
@@ -57,9 +57,10 @@
         request_id: str,
         sent_s: float,
     ) -> bool:
-        """Take the head of an answer to a request; return if it asks for a backoff.
+        """Process the head of an answer to a request.
 
         :param sent_s: when the request was sent.
+        :returns: whether the answer requests a backoff.
         """
         self._limits.record_answer(server_id, kind, head, sent_s)
         backed_off = self._backoffs.record_answer(server_id, head, "a request")
@@ -72,7 +73,7 @@
         return backed_off
 
     def record_call_answer(self, server_id: str, head: ResponseHead) -> None:
-        """Take the head of an answer to a call of this entry's own."""
+        """Process the head of an answer to a call that this entry made for itself."""
         self._limits.record_call_answer(server_id, head)
         self._backoffs.record_answer(server_id, head, "a call")
         self._record_leaving(server_id, head)
@@ -84,7 +85,10 @@
             self._channel.tell(LeavingNotice(server_id))
 
     def record_leaving_notice(self, message: LeavingNotice) -> None:
-        """Take another entry's notice; it may be of a server that isn't known yet."""
+        """Process another entry's notice that a server leaves.
+
+        The server may not be known to this entry yet.
+        """
         self._mark_leaving(message.server_id, _PEER_CAUSE)
 
     def _mark_leaving(self, server_id: str, cause: str) -> bool:
--- a/src/railfold/_internal/forwarding/servers/backoffs.py
+++ b/src/railfold/_internal/forwarding/servers/backoffs.py
@@ -1,4 +1,9 @@
-"""Backoffs that backend servers ask this entry for."""
+"""Backoffs that backend servers request from this entry by Retry-After.
+
+Processes the answers of servers and the notices of other entries, writes log events and
+metrics, and builds the errors of refused requests.
+:mod:`railfold._internal.decisions.load_shedding` decides which servers may be sent to.
+"""
 
 from __future__ import annotations
 
@@ -30,19 +35,20 @@
 
 __all__ = ["ServerBackoffs"]
 
-# The statuses with which a server refuses work for want of room.
+# Statuses with which a server sheds load.
 _LOAD_SHEDDING_STATUSES = (429, 503)
 
+# Longest backoff that is stated in a notice to other entries.
 _MAX_NOTIFIED_BACKOFF_S = 3600.0
 
-# So many of the servers that kept a request from being served are named in logs.
+# Number of servers that the error of a refused request names.
 _MAX_LOGGED_SERVERS = 4
 
 
 class ServerBackoffs:
-    """What servers asked for.
+    """Backoffs of all backend servers at this entry.
 
-    :param requested: the state, which decides whether a server may be sent to.
+    ``requested`` is their state, which decides whether a server may be sent to.
     """
 
     def __init__(
@@ -64,22 +70,22 @@
         self._notified_s: dict[str, float] = {}
 
     def set_channel(self, own_name: str, channel: PeerChannel) -> None:
-        """Exchange notices with other entries over this channel from now on.
+        """Set the channel over which notices are exchanged with other entries.
 
-        :param name: this entry's.
+        :param own_name: name of this entry.
         """
         self._own_name = own_name
         self._channel = channel
 
-    # What servers answer
+    # Answers of servers
 
     def record_answer(self, server_id: str, head: ResponseHead, source: str) -> bool:
-        """Take the head of an answer; return whether it asks for a backoff.
+        """Process the head of an answer; return whether it requests a backoff.
 
-        It is the server that answered which asks, also where it names another one as
-        the cause of its refusal.
+        The backoff applies to the server that answered, even if the answer names
+        another server as the cause of the refusal.
 
-        :param source: what was answered, for the log.
+        :param source: the kind of request that was answered, for the log.
         """
         if head.status not in _LOAD_SHEDDING_STATUSES:
             return False
@@ -114,18 +120,18 @@
             logging.warning("%s sent a malformed Retry-After: %r", server_id, text)
 
     def record_served(self, server_id: str, request_id: str) -> None:
-        """Take that a server worked on a request."""
+        """Record that a server served a request."""
         if not self.requested.record_served(server_id, request_id, _now_s()):
             return
         backoff = self.requested.get(server_id)
         if backoff is not None:
-            cause = "it served a request after its time"
+            cause = "it served a request after the backoff"
             self._log_end(server_id, backoff, "recovered", cause, "a request")
 
-    # Requests under way
+    # Requests in flight
 
     def record_send(self, server_id: str, request_id: str) -> None:
-        """Take that a request is sent to a server now."""
+        """Record that a request is being sent to a server."""
         if not self.requested:
             return
         now_s = _now_s()
@@ -135,18 +141,22 @@
         self.requested.record_send(server_id, request_id, now_s)
 
     def record_attempt_end(self, server_id: str, request_id: str) -> None:
-        """Take that a request at a server ended."""
+        """Record the end of a request that was sent to a server."""
         self.requested.record_attempt_end(server_id, request_id)
 
     def is_starting_slowly(self, server_id: str, now_s: float) -> bool:
-        """Draw whether a server that has just recovered is left out once."""
+        """Return whether the slow start of a recovered server excludes it this time.
+
+        The decision is random: the server's traffic share is the probability that it
+        isn't excluded.
+        """
         if not self.requested:
             return False
         share = self.requested.traffic_share(server_id, now_s)
         return share < 1.0 and self._rng.random() >= share
 
     def left_s(self, server_id: str) -> float:
-        """Return for how long a server still wants nothing."""
+        """Return the remaining time of a server's backoff, 0.0 without a backoff."""
         now_s = _now_s()
         backoff = self.requested.get(server_id)
         return max(0.0, backoff.until_s - now_s) if backoff is not None else 0.0
@@ -156,9 +166,13 @@
     def refusal_error(
         self, service: str, reasons: Mapping[str, BackoffReason], left_s: float
     ) -> ServersBackingOffError:
-        """Return why a request is refused that these bars keep from all servers.
+        """Return the error of a request that can't be sent to any server.
 
-        :param left_s: until the first of them ends.
+        Notifies other entries that this one is blocked.
+
+        :param reasons: why each server that could serve the request gets none now, by
+            server id.
+        :param left_s: time until the first of these reasons ends.
         """
         self._metrics.count("backoffs.refused")
         self._notify_peers(service, left_s)
@@ -166,7 +180,7 @@
         descriptions = [
             f"{server_id} asked for {reason.until_s - now_s:.1f} s more"
             if isinstance(reason, BackingOff)
-            else f"{server_id} is tried with another request"
+            else f"{server_id} is being tried with another request"
             for server_id, reason in sorted(reasons.items())
         ]
         return ServersBackingOffError(
@@ -187,7 +201,7 @@
         self._channel.tell_some(BackoffNotice(self._own_name, service, left_ms))
 
     def record_notice(self, message: BackoffNotice) -> None:
-        """Take another entry's notice."""
+        """Record another entry's notice that it can't send to a service."""
         now_s = _now_s()
         until_s = now_s + message.left_ms / 1000.0
         self._blocked_entries.record_notice(
@@ -195,19 +209,22 @@
         )
 
     def others_can_serve(self, service: str) -> bool:
-        """Return whether most other entries can send to a server of a service."""
+        """Return whether a refused client should retry at another entry at once."""
         other_count = len(self._channel.peers) if self._channel is not None else 0
         return self._blocked_entries.others_can_serve(service, other_count, _now_s())
 
-    # Upkeep
+    # Maintenance
 
     def upkeep(self, known_ids: set[str], now_s: float) -> None:
-        """Log backoffs that have ended, and forget what is over."""
+        """Log the ends of backoffs, and forget state that has no effect any more.
+
+        :param known_ids: ids of the servers whose state is kept.
+        """
         self._blocked_entries.forget(now_s)
         if not self.requested and not self._servers_with_unreadable_header:
             return
         for server_id, backoff in self.requested.take_ended(now_s).items():
-            cause = "its time has passed"
+            cause = "the backoff has expired"
             self._log_end(server_id, backoff, "ended", cause, "the clock")
         self.requested.forget(known_ids, now_s)
         self._servers_with_unreadable_header &= known_ids
--- a/src/railfold/_internal/forwarding/servers/engine_calls.py
+++ b/src/railfold/_internal/forwarding/servers/engine_calls.py
@@ -1,8 +1,8 @@
-"""Calls to backend servers' own interfaces, and what their answers say of them.
+"""Calls that an entry makes for itself to backend servers.
 
-Calls go over the connections that requests use too. An answer counts for the
-incarnation that it is from: a server that was started again knows nothing of the one
-before it.
+These are requests for reports, health checks and orders. They share the connection pool
+with clients' requests. An answer is used only for the incarnation that sent it: a
+server that has restarted knows nothing about the work of its previous incarnation.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
 
 __all__ = ["EngineCalls", "is_other_incarnation", "stages_of"]
 
-# How long a stream waits for its first engine's word on whom it waits for; after that
-# the first engine itself is looked at. On an idle way a report takes a few
-# milliseconds.
+# Time that an engine has to send its report. A silent stream asks its first engine
+# which backend server it waits for, and after this time checks the first engine itself.
+# On an idle network path a report takes a few milliseconds.
 _REPORT_TIMEOUT_S = 0.05
 
-# Of a plain service.
+# Layers of a server of a plain service, which runs no model.
 _NO_LAYERS = LayerRange(0, 0)
 
 _REROUTE_TIMEOUT_S = 0.3
@@ -51,18 +51,19 @@
 
 
 class EngineCalls:
-    """Asks backend servers, and gives orders to engines."""
+    """Makes calls to backend servers."""
 
     def __init__(self, router: Router) -> None:
         self._router = router
         self._loop = asyncio.get_running_loop()
-        # Told of a backend server whose address refuses connections.
+        # Called with the id of each server whose address refuses a connection.
         self.on_connection_refused: Callable[[str], None] = lambda server_id: None
 
     async def report(self, stage: Stage) -> EngineReport:
         """Return an engine's report.
 
-        :raises EngineError: it doesn't answer at once, or with no report.
+        :raises EngineError: the engine doesn't answer within ``_REPORT_TIMEOUT_S``, or
+            its answer isn't a report.
         """
         dialect = self._router.dialect
         self._router.metrics.count("probes")
@@ -72,9 +73,9 @@
         return dialect.decode_report(response.body)
 
     async def is_alive(self, stage: Stage, timeout_s: float) -> bool:
-        """Return whether the incarnation that a stage stands for answers and is well.
+        """Return whether the incarnation in a stage answers and is healthy.
 
-        One that isn't registered any more may serve on.
+        An engine that isn't registered any more may still serve.
         """
         entry = self._router.directory.get(stage.host)
         if entry is None:
@@ -89,13 +90,14 @@
     async def _probe(
         self, stage: Stage, call: EngineCall, timeout_s: float
     ) -> Response:
-        """Ask once more over a new connection if the answer was cut off.
+        """Send a probe and return the answer.
 
-        A kept connection may close as the probe is sent, which says nothing of the
-        backend server.
+        If the connection breaks, retries once over a new connection: the server may
+        have closed an idle connection just as the probe was sent, which doesn't mean
+        that it is unhealthy.
 
-        :raises EngineUnavailableError: no answer came in time, or none over the new
-            connection either.
+        :raises EngineUnavailableError: no answer arrived in time, or the new connection
+            failed too.
         """
         self._router.metrics.count("probes")
         try:
@@ -107,11 +109,11 @@
             return await self._call_on(stage.host, connection, call, timeout_s)
 
     async def still_serves(self, stage: Stage, timeout_s: float) -> bool:
-        """Ask an engine that isn't registered any more.
+        """Return whether an engine that isn't registered any more still serves.
 
-        One that leaves takes itself off the list and finishes what runs there for
-        seconds. Another incarnation at its address is registered, or holds other
-        layers or none yet.
+        An engine that leaves removes its registration and then completes its running
+        requests, which takes seconds. If another incarnation answers at the address, it
+        is registered, or it holds other layers or none yet.
         """
         if self._router.directory.get_by_address(stage.address) is not None:
             return False
@@ -138,9 +140,9 @@
     def _is_healthy(self, entry: DirectoryEntry, response: Response) -> bool:
         started_at_ms = self._router.dialect.decode_started_at_ms(response.body)
         if entry.is_other_incarnation(started_at_ms):
-            return False  # Its successor answers, which knows nothing of its work.
-        # A plain service that is full refuses its health check like any other
-        # request, and yet lives.
+            return False  # The new incarnation knows nothing of the old one's work.
+        # A server of a plain service that is at capacity refuses its health check like
+        # any other request, although it is alive.
         return (
             entry.registration.is_model_engine
             or response.head.status < 500
@@ -148,12 +150,14 @@
         )
 
     async def update_slowness(self, entry: DirectoryEntry) -> None:
-        """Ask an engine how slow it is, and note it."""
+        """Request an engine's report and record the slowness stated in it."""
         try:
             report = await self.report(*stages_of([entry]))
         except EngineError as error:
-            # Whether it lives is found out by what waits for it.
-            logging.debug("%s doesn't say how slow it is: %s", entry.server_id, error)
+            # Requests that wait for the engine check whether it is alive.
+            logging.debug(
+                "%s sent no report on its slowness: %s", entry.server_id, error
+            )
             return
         if entry.is_other_incarnation(report.started_at_ms):
             return
@@ -171,11 +175,11 @@
         timeout_s: float,
         check_before_send: Callable[[], None] | None = None,
     ) -> Response:
-        """Make one call to a backend server.
+        """Make a call to a backend server and return its answer.
 
-        :param check: called right before it is sent, once there is a connection: what
-            it raises leaves it unsent.
-        :raises EngineUnavailableError: no answer came in time.
+        :param check_before_send: called once there is a connection, right before the
+            call is sent. If it raises an error, the call isn't sent.
+        :raises EngineUnavailableError: no answer arrived in time.
         """
         address = entry.registration.address
         return await self._call_at(
@@ -227,10 +231,13 @@
         return response
 
     async def reroute(self, request_id: str, chain: Chain) -> str:
-        """Order a running request onto another chain; return why not, if so."""
+        """Order the first server of a chain to move a running request to this chain.
+
+        :returns: why the order failed; empty if the server executes it.
+        """
         entry = self._router.directory.get(chain.stages[0].host)
         if entry is None:
-            return "its first backend server is gone"
+            return "its first backend server isn't registered any more"
         call = self._router.dialect.reroute_call(request_id, chain)
         try:
             response = await self.call(entry, call, _REROUTE_TIMEOUT_S)
@@ -238,7 +245,7 @@
             return error.what
         started_at_ms = self._router.dialect.decode_started_at_ms(response.body)
         if entry.is_other_incarnation(started_at_ms):
-            return "its first backend server has started again"
+            return "its first backend server has restarted"
         match self._router.dialect.order_outcome(response.head):
             case OrderBegun():
                 return ""
@@ -249,11 +256,14 @@
 
 
 def stages_of(entries: Iterable[DirectoryEntry]) -> list[Stage]:
-    """Return backend servers as stages of a chain."""
+    """Return one chain stage for each backend server, with the layers it holds."""
     return [entry.stage(entry.registration.layers or _NO_LAYERS) for entry in entries]
 
 
 def is_other_incarnation(stage: Stage, started_at_ms: int | None) -> bool:
-    """Return whether somebody who started then is surely not a chain's stage."""
+    """Return whether a server that started then is surely not a stage's incarnation.
+
+    Returns False if one of the start times isn't known.
+    """
     has_known_incarnation = stage.incarnation != UNKNOWN_INCARNATION
     return has_known_incarnation and started_at_ms not in (None, stage.incarnation)
--- a/src/railfold/_internal/forwarding/servers/http_client.py
+++ b/src/railfold/_internal/forwarding/servers/http_client.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 towards backend servers and the store: one exchange at a time.
+"""HTTP/1.1 client for backend servers and the store, based on httptools.
 
-A connection never sends a request twice, and tells exactly how an answer ended.
-Bytes that come when none are due poison a connection: it is closed, not used
-again. Parsing is httptools'.
+A connection carries one exchange of a request and its answer at a time. It never sends
+a request twice, and reports whether an answer was complete. A connection that receives
+bytes outside of an exchange is closed and not used again.
 """
 
 from __future__ import annotations
@@ -30,9 +30,10 @@
     "fetch",
 ]
 
+# Answers with a lower status are interim: the final answer follows.
 _FIRST_FINAL_STATUS = 200
 
-# Bounds an answer that arrives a few bytes at a time.
+# Bounds the time that an answer may take if it arrives a few bytes at a time.
 _MAX_TRANSFER_S = 10.0
 
 _NO_CONTENT = 204
@@ -40,33 +41,37 @@
 
 
 class ExchangeFailure(Enum):
-    """How an exchange ended without a whole answer."""
+    """Why an exchange ended without a complete answer."""
 
-    CLOSED = auto()  # The server closed the connection or it was reset.
-    MALFORMED = auto()  # What came isn't an HTTP answer.
+    CLOSED = auto()  # The server closed or reset the connection.
+    MALFORMED = auto()  # The bytes received aren't a valid HTTP answer.
 
 
 class ExchangeSink(Protocol):
-    """Takes one answer as it arrives."""
+    """Receives one answer while it arrives."""
 
     def head(self, head: ResponseHead) -> bool:
-        """Take the head; return whether it answers this exchange.
+        """Receive the head; return whether the answer belongs to this exchange.
 
-        One that doesn't is skipped, and the connection isn't used again.
+        If it doesn't, the answer is skipped and the connection isn't used again.
         """
 
     def body(self, data: bytes) -> None:
-        """Take bytes of the body."""
+        """Receive the next bytes of the body."""
 
     def end(self) -> None:
-        """The answer is whole."""
+        """Handle the end of a complete answer."""
 
     def failed(self, reason: ExchangeFailure) -> None:
-        """The answer will not become whole."""
+        """Handle the end of an exchange whose answer will stay incomplete."""
 
 
 class HttpConnection(asyncio.Protocol):
-    """One connection to a server."""
+    """One connection to a server.
+
+    It is the protocol of an asyncio transport, and the callback object of the httptools
+    parser.
+    """
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
@@ -92,7 +97,7 @@
 
     @property
     def busy(self) -> bool:
-        """Whether an exchange is under way."""
+        """Whether an exchange is in progress."""
         return self._sink is not None
 
     def send(
@@ -103,7 +108,10 @@
         body: bytes,
         sink: ExchangeSink,
     ) -> None:
-        """Send one request; its answer goes to ``sink``."""
+        """Send one request and pass its answer to ``sink``.
+
+        :raises EngineUnavailableError: the connection is closed or busy.
+        """
         if self._transport is None or self.busy:
             raise EngineUnavailableError("the connection can't take a request")
         self._sink = sink
@@ -117,19 +125,19 @@
         self._transport.write(head + body)
 
     def pause_reading(self) -> None:
-        """Leave what comes to the kernel, so that the server waits."""
+        """Stop reading, so that flow control makes the server wait."""
         if self._transport is not None and not self._transport.is_closing():
             self._paused = True
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Take what comes again."""
+        """Resume reading after :meth:`pause_reading`."""
         if self._paused and self._transport is not None:
             self._transport.resume_reading()
         self._paused = False
 
     def abort(self) -> None:
-        """Close at once; an answer under way isn't reported any more."""
+        """Close at once, without reporting an incomplete answer to the sink."""
         self._sink = None
         self._unusable = True
         if self._transport is not None:
@@ -138,42 +146,45 @@
     # asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport of the new connection."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Parse bytes."""
+        """Parse received bytes."""
         if self._sink is None:
-            self.abort()  # Nothing is due.
+            self.abort()  # No answer is expected.
             return
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
             if isinstance(error, httptools.HttpParserCallbackError):
-                # Whoever takes the answer failed, not the server that sent it.
-                logging.exception("an answer couldn't be taken")
+                # The sink failed, and not the server's answer.
+                logging.exception("the handler of an HTTP answer failed")
             self._fail(ExchangeFailure.MALFORMED)
             return
         if self._answer_complete:
             self._finish()
 
     def eof_received(self) -> bool:
-        """The server sends no more; close."""
+        """End an answer without a length; return False to close the connection."""
         if self._sink is not None and self._ends_at_eof:
             self._unusable = True
             self._finish()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report an answer that won't become whole."""
+        """Report an incomplete answer to the sink."""
         self._transport = None
         self._fail(ExchangeFailure.CLOSED)
 
     # httptools
 
     def on_message_begin(self) -> None:
-        """Begin an answer; a second one in the same exchange isn't ours."""
+        """Prepare for an answer.
+
+        A second answer in one exchange makes the connection unusable.
+        """
         if self._answer_complete:
             self._unusable = True
         self._message_incomplete = True
@@ -181,15 +192,15 @@
         self._status = b""
 
     def on_status(self, status: bytes) -> None:
-        """Take the reason phrase."""
+        """Append a part of the reason phrase."""
         self._status += status
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Append a header."""
         self._headers.append((name.decode("latin-1"), value.decode("latin-1")))
 
     def on_headers_complete(self) -> None:
-        """Give the head to the sink."""
+        """Pass the head of a final answer to the sink."""
         if self._answer_complete or self._sink is None:
             return
         status = self._parser.get_status_code()
@@ -217,7 +228,7 @@
         self.keep_alive_s = _keep_alive_s(head.get("Keep-Alive"))
 
     def on_body(self, body: bytes) -> None:
-        """Give bytes of the body to the sink."""
+        """Pass bytes of the body to the sink."""
         if (
             self._sink is not None
             and not self._skipping_message
@@ -226,7 +237,7 @@
             self._sink.body(body)
 
     def on_message_complete(self) -> None:
-        """Note that the answer is whole, unless it isn't the one due."""
+        """Record the end of the answer, unless the answer is skipped."""
         self._message_incomplete = False
         if self._skipping_message:
             self._skipping_message = False
@@ -239,7 +250,8 @@
         transport = self._transport
         unsent = transport is not None and transport.get_write_buffer_size() > 0
         if self._message_incomplete or unsent or not self._keep_alive:
-            # Bytes behind the answer, or a request that wasn't read to its end.
+            # The server sent bytes beyond the answer, answered before it had read the
+            # whole request, or asked to close the connection.
             self._unusable = True
         if self._unusable and transport is not None:
             transport.abort()
@@ -256,7 +268,7 @@
 
 
 def _keep_alive_s(value: str) -> float | None:
-    """Return how long the server keeps an idle connection, if it says so."""
+    """Return the timeout in a Keep-Alive header in seconds, if it names one."""
     for part in value.split(","):
         name, _, number = part.strip().partition("=")
         if name.lower() == "timeout" and number.strip().isdigit():
@@ -267,7 +279,8 @@
 async def connect(address: Address, timeout_s: float) -> HttpConnection:
     """Open a connection.
 
-    :raises EngineUnavailableError: it didn't come up in time; nothing was sent.
+    :raises EngineUnavailableError: the connection wasn't established within
+        ``timeout_s``; nothing was sent.
     """
     loop = asyncio.get_running_loop()
     try:
@@ -276,16 +289,16 @@
         )
     except (OSError, TimeoutError) as error:
         raise EngineUnavailableError(
-            f"no connection to {address}", why=str(error) or "it took too long"
+            f"no connection to {address}", why=str(error) or "the attempt timed out"
         ) from error
     return connection
 
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A whole answer.
+    """A complete answer.
 
-    :param transfer_s: how long it took from its head to its last byte.
+    :param transfer_s: time from the arrival of the head to that of the last byte.
     """
 
     head: ResponseHead
@@ -294,7 +307,7 @@
 
 
 class _ResponseCollector:
-    """Gathers one whole answer."""
+    """Sink that sets a future to the complete answer, or to an error."""
 
     def __init__(self, future: asyncio.Future[Response]) -> None:
         self.received_bytes = 0
@@ -336,12 +349,16 @@
     timeout_s: float,
     stall_timeout_s: float | None = None,
 ) -> Response:
-    """Send a request and return its whole answer; aborts when cancelled.
+    """Send a request and return its complete answer.
+
+    Closes the connection if no complete answer arrives or the call is cancelled.
 
-    :param stall_s: an answer that has begun within ``timeout_s`` is waited for as
-        long as some of it arrives within each such time, up to a bound.
-    :raises EngineUnavailableError: no whole answer came in time; the request
-        may have been carried out.
+    :param timeout_s: time within which the whole answer has to arrive; if
+        ``stall_timeout_s`` is given, within which its first bytes have to arrive.
+    :param stall_timeout_s: longest pause between later bytes of the answer. The total
+        transfer time is bounded as well.
+    :raises EngineUnavailableError: no complete answer arrived in time. The server may
+        have executed the request nevertheless.
     """
     loop = asyncio.get_running_loop()
     future: asyncio.Future[Response] = loop.create_future()
@@ -354,7 +371,7 @@
         return await _wait_for_transfer(collector, future, timeout_s, stall_timeout_s)
     except TimeoutError as error:
         raise EngineUnavailableError(
-            "an answer didn't come in time",
+            "no complete answer arrived in time",
             why=f"{collector.received_bytes} bytes of it came in "
             f"{loop.time() - started_s:.1f} s",
         ) from error
@@ -369,9 +386,10 @@
     timeout_s: float,
     stall_timeout_s: float,
 ) -> Response:
-    """Return an answer that goes on arriving.
+    """Return an answer for which the wait goes on while bytes arrive.
 
-    :raises TimeoutError: it doesn't begin, stalls or takes too long.
+    :raises TimeoutError: the answer doesn't begin within ``timeout_s``, pauses for
+        ``stall_timeout_s``, or takes too long in total.
     """
     loop = asyncio.get_running_loop()
     wait_s = timeout_s
@@ -379,7 +397,7 @@
     while True:
         received_bytes = collector.received_bytes
         try:
-            # A wait that runs out doesn't end the transfer.
+            # The shield keeps a timeout from cancelling the transfer.
             return await answer_within(asyncio.shield(future), wait_s)
         except TimeoutError:
             if collector.received_bytes == received_bytes or loop.time() >= end_s:
--- a/src/railfold/_internal/forwarding/servers/layer_orders.py
+++ b/src/railfold/_internal/forwarding/servers/layer_orders.py
@@ -1,7 +1,7 @@
-"""Giving engines orders to hold layers, and reading back what became of them.
+"""Orders to engines to load layers, and tracking of their execution.
 
-An order names how many orders the engine has taken before, so that one that arrives
-after a newer one is refused.
+An order states how many orders the engine has begun before. So the engine refuses an
+order that arrives after a newer one.
 """
 
 from __future__ import annotations
@@ -29,21 +29,24 @@
 
 _ORDER_TIMEOUT_S = 0.5
 
-# A registration is read this often while its engine loads: half of the time between
-# two looks at the placement, which give the places of ended loads away.
+# Interval at which an engine's registration is checked while it loads layers. It is
+# half of the interval at which the placement is updated, which starts new loads when
+# others have ended.
 _POLL_INTERVAL_S = 0.1
 
-# For how long an engine that says that it carries an order out is left alone, twice as
-# long each time: it loads a few layers, or waits for requests that end.
+# Time for which an engine gets no order after it reported that it is executing one,
+# while it loads a few layers or waits for running requests to end. The time doubles
+# with each such report, up to the maximum.
 _MIN_EXECUTION_WAIT_S = 1.0
 _MAX_EXECUTION_WAIT_S = 4.0
 
-# An order is for one incarnation: what its successor says proves nothing of it.
+# Outcome if another incarnation answers: its answer doesn't tell whether the
+# incarnation that the order is meant for executes it.
 _ENGINE_RESTARTED = OrderUnsettled("the engine has started again")
 
 
 class LayerOrders:
-    """Orders under way, one at an engine."""
+    """Orders in progress, at most one for each engine."""
 
     def __init__(
         self, router: Router, leadership: Leadership, calls: EngineCalls
@@ -54,30 +57,31 @@
         self._loop = asyncio.get_running_loop()
         self._in_progress: set[str] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        # The last order that each engine began, and until when one is taken to be
-        # still carrying an order out.
+        # The layers of the last order that each engine began.
         self._begun_layers: dict[str, LayerRange] = {}
+        # Until when each engine is assumed to be executing an order, and for how long
+        # that was assumed after its last report.
         self._executing_until_s: dict[str, float] = {}
         self._execution_wait_s: dict[str, float] = {}
 
     @property
     def in_progress(self) -> Set[str]:
-        """Engines whose order is being sent, or that are loading."""
+        """Ids of the engines whose order is being sent, or that are loading layers."""
         return self._in_progress
 
     def is_executing(self, server_id: str, now_s: float) -> bool:
-        """Return whether an engine said lately that it carries an order out."""
+        """Return whether an engine recently reported that it is executing an order."""
         return now_s < self._executing_until_s.get(server_id, 0.0)
 
     def has_other_order(self, server_id: str, layers: LayerRange, now_s: float) -> bool:
-        """Return whether it is to hold other layers than these by that order."""
+        """Return whether an engine is executing an order for other layers."""
         return (
             self.is_executing(server_id, now_s)
             and self._begun_layers.get(server_id) != layers
         )
 
     def forget(self, server_id: str) -> None:
-        """Forget an engine that is gone."""
+        """Forget an engine that isn't registered any more."""
         self._begun_layers.pop(server_id, None)
         self._executing_until_s.pop(server_id, None)
         self._execution_wait_s.pop(server_id, None)
@@ -85,10 +89,11 @@
     def start_order(
         self, entry: DirectoryEntry, order: LoadOrder, load_s: float
     ) -> None:
-        """Begin to give an order.
+        """Start to send an order to an engine.
 
-        :param load_s: how long its load takes, undisturbed; it keeps its place among
-            the loads for no longer.
+        :param load_s: how long the engine takes to load the layers if nothing slows it
+            down. The order counts as in progress for at most this time after the engine
+            has begun it.
         """
         self._in_progress.add(entry.server_id)
         task = self._loop.create_task(self._run_order(entry, order, load_s))
@@ -98,7 +103,7 @@
     async def _run_order(
         self, entry: DirectoryEntry, order: LoadOrder, load_s: float
     ) -> None:
-        """Send an order, and keep its place among the loads to its end."""
+        """Send an order, and wait until the engine has loaded the layers."""
         try:
             outcome = await self._send(entry, order)
             self._log_order(entry, order, outcome)
@@ -110,7 +115,7 @@
                 case OrderFenced():
                     self._leadership.fenced(order.fencing)
                 case OrderRefused() | OrderUnsettled():
-                    pass  # The level is looked at again when the order is due.
+                    pass  # The reconciler gives the order again when it is due.
         finally:
             self._in_progress.discard(entry.server_id)
 
@@ -138,9 +143,9 @@
             if entry.is_other_incarnation(report.started_at_ms):
                 return _ENGINE_RESTARTED
             if report.busy:
-                # Another order would begin its work anew.
+                # A new order would make the engine start over.
                 self._record_executing(entry.server_id)
-                return OrderRefused("it still carries an order out")
+                return OrderRefused("it is still executing an order")
             call = dialect.place_call(order.layers, order.fencing, report.order_count)
             response = await self._calls.call(
                 entry, call, _ORDER_TIMEOUT_S, lambda: self._require_lease(order)
@@ -164,10 +169,12 @@
         self._executing_until_s[server_id] = self._loop.time() + wait_s
 
     def _require_lease(self, order: LoadOrder) -> None:
-        """Look at the lease once more, right before the order leaves.
+        """Check the lease once more, right before the order is sent.
 
         Reading the report and opening a connection take time, and the host may have
-        been suspended meanwhile: another may place layers by now.
+        been suspended meanwhile. Another entry may then hold the lease.
+
+        :raises LeaseLostError: this entry doesn't hold the lease any more.
         """
         if self._leadership.fencing(self._loop.time()) != order.fencing:
             raise LeaseLostError("the lease was lost before the order was sent")
@@ -175,9 +182,9 @@
     async def _wait_until_loaded(
         self, entry: DirectoryEntry, layers: LayerRange, load_s: float
     ) -> None:
-        """Hold the place among the loads while the engine loads."""
+        """Wait until the engine registers the layers, for at most ``load_s``."""
         deadline_s = self._loop.time() + load_s
-        # The registration is read by another child.
+        # Another child updates the registration, without an event to wait for.
         while self._loop.time() < deadline_s and entry.registration.layers != layers:  # noqa: ASYNC110
             await asyncio.sleep(_POLL_INTERVAL_S)
 
--- a/src/railfold/_internal/forwarding/servers/liveness.py
+++ b/src/railfold/_internal/forwarding/servers/liveness.py
@@ -1,10 +1,11 @@
-"""Telling a dead backend server from a host that can't hear it.
-
-Silence alone proves nothing: this host's own link may be full, or its event loop held
-up, so that answers which were sent in time wait unread: a host with little bandwidth
-that reads a large configuration gets all answers late, for half a second. So other
-backend servers are asked at the same time, as witnesses: one that stays silent is lost
-only once somebody else was heard, and this process ran on time since.
+"""Liveness checks that tell a dead backend server from a delay at this host.
+
+A missing answer alone doesn't prove that a server is dead. The link of this host may be
+congested or its event loop delayed, so that answers which were sent in time aren't
+read. For example, a host with little bandwidth that reads a large configuration gets
+all answers late for half a second. Therefore other backend servers are probed at the
+same time, as witnesses. A silent server counts as lost only if another server has
+answered and this process has run without delay since.
 """
 
 from __future__ import annotations
@@ -16,40 +17,43 @@
 
 __all__ = ["MAX_WAIT_S", "LivenessCheck", "Verdict"]
 
-# A live engine on an idle path answers its report within a few milliseconds; a
-# connection takes one round trip more.
+# Minimum time that a suspect has to answer if a witness in its failure domain answered.
+# A live engine on an idle network path answers within a few milliseconds; opening a
+# connection takes one more round trip.
 _MIN_NEAR_TIMEOUT_S = 0.05
 
-# The same while nobody in the suspects' failure domain is heard: the way there may be
-# slow, which a witness elsewhere doesn't tell (test_a_far_witness_leaves_more_time).
+# The same if only a witness in another failure domain answered. The path to the
+# suspects' failure domain may be slow, which such a witness doesn't show.
 _MIN_FAR_TIMEOUT_S = 0.25
 
-# What the first answer took tells how long a round trip takes now. Over a kept
-# connection it is one; one that has to be opened first takes two, and the queue on the
-# way may grow meanwhile: a fixed time after the first answer lets live engines count as
-# lost.
+# Multiple of the time of the first answer that a suspect has to answer. The first
+# answer takes one round trip over an open connection. An answer over a new connection
+# takes two, and queues on the path may grow meanwhile. With a fixed time after the
+# first answer, live engines would count as lost.
 _ROUND_TRIPS = 3.0
 
-# The wait goes on in parts, so that a hold-up of the event loop shows whenever it
-# comes. Decoding a configuration of 0.6 MB holds a small host up for 56 to 82 ms.
+# The wait consists of short slices, so that a delay of the event loop is detected at
+# any time. A slice that ends later than this shows a delay. Decoding a configuration of
+# 0.6 MB blocks the event loop of a small host for 56 to 82 ms.
 _WAIT_SLICE_S = 0.0125
 _MAX_LOOP_DELAY_S = 0.03
 
-# An answer that was read in the same turn of the event loop as a time-out needs a few
-# turns more.
+# Time after a slice in which answers are processed that were read in the same iteration
+# of the event loop as its end. They need a few more iterations.
 _SETTLE_S = 0.002
 
-# When nobody answers for so long, this host can't serve, whatever the cause is.
+# Longest duration of a check. If no server answers for so long, this host can't serve
+# requests, whatever the cause is.
 MAX_WAIT_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What came of asking.
+    """Result of a liveness check.
 
-    :param answered: how many of those that were asked are well.
-    :param lost: which of them are lost.
-    :param unheard: which of them are silent as everybody else is.
+    :param healthy_count: number of suspects that are healthy.
+    :param lost: ids of the suspects that are lost.
+    :param undecided: ids of the suspects that didn't answer while no witness did.
     """
 
     healthy_count: int
@@ -59,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _ProbeResult:
-    """A sign of life, or a refusal, which somebody on the way there sent."""
+    """Answer to a probe, or a refusal by any host on the path to the server."""
 
     received_s: float
     healthy: bool
@@ -69,10 +73,10 @@
 
 
 class LivenessCheck:
-    """One look at some backend servers.
+    """Checks of whether suspected backend servers are alive.
 
-    :param ask: asks one, by its id, and returns whether it is well. It may take as
-        long as it likes, and is cancelled when no longer needed.
+    :param probe: probes a server, given its id, and returns whether it is healthy. It
+        needs no timeout: it is cancelled when its result isn't needed any more.
     """
 
     def __init__(self, probe: Callable[[str], Awaitable[bool]]) -> None:
@@ -85,10 +89,10 @@
         near_witnesses: Iterable[str],
         far_witnesses: Iterable[str],
     ) -> Verdict:
-        """Ask all of them, and judge the suspects.
+        """Probe all suspects and witnesses, and return the verdict on the suspects.
 
-        :param near: witnesses in the suspects' failure domain.
-        :param far: witnesses elsewhere.
+        :param near_witnesses: ids of servers in the suspects' failure domains.
+        :param far_witnesses: ids of servers in other failure domains.
         """
         suspect_probes = {
             server_id: self._start_probe(server_id) for server_id in suspects
@@ -142,10 +146,12 @@
         far_probes: list[_ProbeTask],
         started_s: float,
     ) -> float:
-        """Return how long a silent suspect is given, by who else was heard.
+        """Return how long a silent suspect has to answer.
 
-        For ever if nobody was: the look itself ends then, without a verdict. A bound a
-        little beyond its end would be reached by an event loop that runs late.
+        The result depends on which servers have answered. It is infinite if none has,
+        since the check then ends after ``MAX_WAIT_S`` with the suspects undecided. A
+        bound a little above ``MAX_WAIT_S`` could be reached first if the event loop is
+        delayed.
         """
         near_answer_s = _first_answer_s(near_probes)
         if near_answer_s is not None:
@@ -156,13 +162,13 @@
         return math.inf
 
     async def _wait_for_probe(self, pending: list[_ProbeTask]) -> bool:
-        """Wait a little for an answer; return whether this process was held up."""
+        """Wait one slice for an answer; return whether the event loop was delayed."""
         slice_end_s = self._loop.time() + _WAIT_SLICE_S
         done, _ = await asyncio.wait(
             pending, timeout=_WAIT_SLICE_S, return_when=asyncio.FIRST_COMPLETED
         )
         if not done:
-            # What the loop has just read is on its way through its tasks.
+            # Let the tasks process answers that the event loop has just read.
             await asyncio.sleep(_SETTLE_S)
         return self._loop.time() - slice_end_s > _MAX_LOOP_DELAY_S
 
@@ -172,7 +178,7 @@
 
 
 def _first_answer_s(tasks: Iterable[_ProbeTask]) -> float | None:
-    """Return when the first of some answered, or refused, if one did."""
+    """Return when the first answer or refusal arrived, if any did."""
     return min(
         (task.result().received_s for task in tasks if task.done()), default=None
     )
--- a/src/railfold/_internal/forwarding/servers/persistent_connection.py
+++ b/src/railfold/_internal/forwarding/servers/persistent_connection.py
@@ -1,4 +1,4 @@
-"""One kept connection to a service, for calls that are made one after the other."""
+"""A persistent connection to a service, for sequential calls."""
 
 from __future__ import annotations
 
@@ -19,15 +19,16 @@
 
 _CONNECT_TIMEOUT_S = 0.6
 
-# Servers close connections that rest; a call must not meet that moment.
+# Servers close idle connections. A call that is sent at the moment of closing gets no
+# answer, so connections are replaced earlier.
 _MAX_IDLE_S = 5.0
 
 
 class PersistentConnection:
-    """Makes one call at a time.
+    """Makes calls to one address, one at a time, and reconnects when needed.
 
-    After an answer was lost the connection is closed: what still came over it
-    would belong to the lost call.
+    The connection is discarded after a call without a complete answer, since later
+    bytes on it would belong to that call.
     """
 
     def __init__(self, address: Address) -> None:
@@ -43,10 +44,10 @@
         timeout_s: float,
         stall_timeout_s: float | None = None,
     ) -> Response:
-        """Make a call; return its answer.
+        """Make a call and return its answer.
 
-        :param stall_s: as in :func:`fetch`.
-        :raises EngineUnavailableError: no whole answer came in time.
+        :param stall_timeout_s: as in :func:`fetch`.
+        :raises EngineUnavailableError: no complete answer arrived in time.
         """
         try:
             connection = await self._get_connection()
--- a/src/railfold/_internal/forwarding/servers/placement.py
+++ b/src/railfold/_internal/forwarding/servers/placement.py
@@ -1,8 +1,8 @@
-"""Child that keeps the layers of models placed on engines.
+"""Placement of the layers of models on engines.
 
-Only the holder of the lease gives orders. What each engine registered decides,
-not which orders were given: an order without an answer may be carried out late,
-and is met by looking again.
+Only the entry that holds the lease gives orders. Decisions are based on the layers that
+engines register, and not on the orders that were given: an engine may execute an order
+late whose answer was lost. The placement is therefore updated periodically.
 """
 
 from __future__ import annotations
@@ -50,63 +50,68 @@
 
 __all__ = ["PlacementController"]
 
+# Interval between updates of the placement.
 _INTERVAL_S = 0.2
 
-# An engine registers new layers once they are loaded; what it answered with a
-# lag of up to 0.8 s on the first sites.
+# Time after the end of a load for the engine's registration to arrive here. An engine
+# registers its layers once they are loaded; on the first sites the registration arrived
+# up to 0.8 s later.
 _REGISTRATION_DELAY_S = 1.2
 
-# A plan for engines that are all empty waits until none has appeared for this
-# long: one that is made too early leaves engines without layers of their own.
+# If all engines are empty, planning waits until no new engine has registered for
+# ``_SETTLE_S``, but at most for ``_MAX_SETTLE_S`` after this process started. A plan
+# that is made too early leaves later engines without layers.
 _SETTLE_S = 1.0
 _MAX_SETTLE_S = 4.0
 
-# When an installation starts for the first time its engines come up one by one,
-# the last of them 6.5 s after the first on the first sites, and clients come
-# 12 s after.
+# The same wait at the first start of an installation. Its engines start one after the
+# other: on the first sites the last engine registered 6.5 s after the first, and
+# clients followed after 12 s.
 _FIRST_START_S = 7.0
 
-# Loads before the first request take a tenth of their time.
+# Share of the usual load time that a load takes before the first request arrives.
 _FIRST_START_LOAD_SHARE = 0.1
 
-# An engine that is suspect for this long is given up, and its layers placed
-# elsewhere; a shorter silence isn't worth a load.
+# Time after which a suspect engine is left out of plans, so that its layers are placed
+# on other engines. A load isn't worth its cost for a shorter outage.
 _SUSPECT_GRACE_S = 0.3
 
-# What a domain should be able to serve, over its share of what arrives: enough to
-# take up a third of another domain's share, and the users' bursts of 1.5 to 1.7.
+# Ratio of the capacity that a domain needs to its share of the arrival rate. It lets
+# the domain take over a third of another domain's share, and absorb the bursts of the
+# users, which reach 1.5 to 1.7 times the mean rate.
 _HEADROOM_FACTOR = 1.6
 
-# Rates are rounded up to powers of this, so that a plan isn't asked for anew whenever
-# a request more or less arrives.
+# Rates are rounded up to powers of this factor, so that a small change of the arrival
+# rate doesn't cause a new plan.
 _RATE_ROUNDING_FACTOR = 1.25
 
-# What a plan for a group of engines depends on.
+# Everything that the plan for a group of engines depends on.
 _PlanInput = tuple[EngineModel, tuple[EnginePlacement, ...], "_Demand"]
 
 
 @dataclass(frozen=True, slots=True)
 class _Demand:
-    """What clients want of a group of engines.
+    """Demand on a group of engines.
 
-    :param needed_rps: requests a second.
-    :param objective_s: the longest time to a first event that any route allows.
+    :param needed_rps: requests a second that the group should be able to serve.
+    :param objective_s: longest time to the first event that any route allows.
     """
 
     needed_rps: float
     objective_s: float
 
 
-# Failure domain and number of a group of engines.
+# Failure domain of a group of engines, and its number among the domain's groups.
 _GroupKey = tuple[str, int]
 
-# What the throughput of a group depends on, and the throughput.
+# Everything that the throughput of a group depends on, and the throughput in requests a
+# second.
 _KnownThroughput = tuple[tuple[EngineModel, tuple[EnginePlacement, ...], float], float]
 
 
 @dataclass(frozen=True, slots=True)
 class _Group:
-    """Engines of a failure domain whose layers are placed together."""
+    """Engines of a failure domain whose layers are planned together."""
 
     failure_domain: str
     number: int
@@ -114,11 +119,15 @@
 
     @property
     def key(self) -> _GroupKey:
+        """Key that identifies the group."""
         return (self.failure_domain, self.number)
 
 
 class PlacementController:
-    """Keeps every model's layers placed."""
+    """Plans the layers of all models and orders engines to load them.
+
+    :param first_start: whether the installation starts for the first time.
+    """
 
     def __init__(
         self,
@@ -142,7 +151,7 @@
         self._last_new_engine_s = self._loop.time()
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Look at the placement until cancelled."""
+        """Update the placement periodically until cancelled."""
         ready.set()
         while True:
             await self._update()
@@ -153,7 +162,7 @@
         table = self._router.table
         self._track_engines(now_s)
         if table is None or self._leadership.fencing(now_s) is None:
-            self._targets.clear()  # Another may plan meanwhile.
+            self._targets.clear()  # Another entry may plan now.
             self._inputs_without_changes.clear()
             self._throughputs.clear()
             return
@@ -207,8 +216,8 @@
                 served_rps[index] = self._group_throughput_rps(
                     group, model, objective_s
                 )
-                # Whatever is due runs in between: a plan takes some 10 ms, and there
-                # may be many at once.
+                # Let other tasks run in between: a plan takes about 10 ms, and many may
+                # be made in a row.
                 await asyncio.sleep(0)
         self._router.metrics.gauge("placement.served_rps", sum(served_rps))
         self._router.metrics.gauge("placement.needed_rps", needed_rps)
@@ -221,7 +230,7 @@
             return False
         held_layers = entry.registration.layers
         if held_layers is not None and not model.has_layers(held_layers):
-            return False  # It is of another model, or doesn't know what it holds.
+            return False  # It holds another model, or registers invalid layers.
         since_s = entry.suspect_since_s
         return since_s is None or now_s - since_s < _SUSPECT_GRACE_S
 
@@ -233,9 +242,9 @@
         return now_s - self._started_s >= _MAX_SETTLE_S
 
     def _executes_unknown_order(self, entry: DirectoryEntry, now_s: float) -> bool:
-        """Return whether an engine without layers is carrying out another's order.
+        """Return whether an engine without layers executes an order of another entry.
 
-        Whoever gave it isn't known, nor to what end; a plan can't count on the engine.
+        The order's layers aren't known, so that plans can't include the engine.
         """
         if entry.registration.layers is not None or entry.server_id in self._targets:
             return False
@@ -258,8 +267,11 @@
     ) -> dict[str, LayerRange]:
         engines = tuple(self._engine_placement(entry, model) for entry in group.members)
         if all_engines_busy(engines, model, arriving_rps):
-            engines = tuple(replace(r, busy=r.held_layers is not None) for r in engines)
-        # Most looks find what the one before found, and a plan takes some 10 ms.
+            engines = tuple(
+                replace(engine, busy=engine.held_layers is not None)
+                for engine in engines
+            )
+        # In most updates nothing has changed, and a plan takes about 10 ms.
         plan_input = (model, engines, demand)
         if self._inputs_without_changes.get(group.key) == plan_input:
             return {}
@@ -281,8 +293,8 @@
     ) -> None:
         self._router.metrics.count("layers.planned")
         after = [
-            replace(r, held_layers=plan.get(r.server_id, r.held_layers))
-            for r in engines
+            replace(engine, held_layers=plan.get(engine.server_id, engine.held_layers))
+            for engine in engines
         ]
         current = estimate_throughput(engines, model, demand.objective_s)
         planned = estimate_throughput(after, model, demand.objective_s)
@@ -300,10 +312,10 @@
     def _engine_placement(
         self, entry: DirectoryEntry, model: EngineModel
     ) -> EnginePlacement:
-        """Return an engine as plans see it.
+        """Return an engine with its layers and state, as the input of a plan.
 
-        What was planned counts as held: a plan is carried out over many looks, and
-        only changed where an engine was lost.
+        Planned layers count as held. A plan is executed over many updates, and is
+        changed only where an engine was lost.
         """
         kind = model.accelerators[entry.registration.accelerator]
         return EnginePlacement(
@@ -326,7 +338,7 @@
             if len(self._orders.in_progress) >= model.loads_at_once:
                 return
             if self._orders.has_other_order(server_id, self._targets[server_id], now_s):
-                del self._targets[server_id]  # Planned anew, around the engine.
+                del self._targets[server_id]  # Plan again without the engine.
             elif server_id not in self._orders.in_progress:
                 self._order_if_due(
                     by_id[server_id], self._targets[server_id], model, now_s
@@ -343,7 +355,10 @@
         entries: list[DirectoryEntry],
         model: EngineModel,
     ) -> list[str]:
-        """Return engines to order: those of the most complete domains first."""
+        """Return the ids of the engines with planned layers, most urgent first.
+
+        Engines of the domains with the fewest uncovered layers come first.
+        """
         uncovered_counts: dict[str, int] = {}
         for members in _by_domain(entries, model):
             gaps = uncovered_ranges(
@@ -403,7 +418,7 @@
         model: EngineModel,
         now_s: float,
     ) -> float:
-        """Return how long an engine takes to load what it doesn't hold, undisturbed."""
+        """Return how long an engine takes to load layers it doesn't hold yet."""
         load_s = (
             model.load_s * count_layers_to_load(held_layers, layers) / model.layer_count
         )
@@ -421,7 +436,10 @@
 
 
 def _longest_objective_s(table: RoutingTable, service: str) -> float:
-    """Return the longest objective of the routes to a service."""
+    """Return the longest latency objective of the routes to a service, in seconds.
+
+    The result is infinite if the service has no route.
+    """
     objectives_s = [
         route.objective_s
         for route in table.routes
@@ -431,7 +449,7 @@
 
 
 def _round_up_rate(per_s: float) -> float:
-    """Return the next power of the step from a rate, at least one request a second."""
+    """Return a rate rounded up to a power of the factor, at least 1.0."""
     return float(
         _RATE_ROUNDING_FACTOR
         ** math.ceil(math.log(max(1.0, per_s), _RATE_ROUNDING_FACTOR))
--- a/src/railfold/_internal/forwarding/servers/pool.py
+++ b/src/railfold/_internal/forwarding/servers/pool.py
@@ -1,4 +1,4 @@
-"""Kept connections to backend servers."""
+"""Pool of idle connections to backend servers."""
 
 from __future__ import annotations
 
@@ -8,16 +8,19 @@
 
 __all__ = ["ConnectionPool"]
 
-# A server that announces nothing keeps an idle connection at least this long.
+# Servers that send no Keep-Alive header keep idle connections at least this long.
 _DEFAULT_MAX_IDLE_S = 4.0
 
-# A server closes an idle connection at the time it announced; a request must
-# not meet that moment.
+# Share of the timeout in a Keep-Alive header for which a connection is used. The server
+# closes it at the end of the timeout; a request sent at that moment would fail.
 _KEEP_ALIVE_SHARE = 0.6
 
 
 class ConnectionPool:
-    """Idle connections by backend server, newest first."""
+    """Idle connections of each backend server.
+
+    The connection that was used last is used first.
+    """
 
     def __init__(self) -> None:
         self._idle: dict[str, deque[HttpConnection]] = {}
@@ -25,7 +28,10 @@
     def take(
         self, server_id: str, now_s: float, max_idle_s: float = _DEFAULT_MAX_IDLE_S
     ) -> HttpConnection | None:
-        """Return a connection that can be used, if there is one."""
+        """Remove and return a usable connection to a server, if there is one.
+
+        :param max_idle_s: longest time that the connection may have been idle.
+        """
         idle = self._idle.get(server_id)
         while idle:
             connection = idle.pop()
@@ -34,12 +40,12 @@
                 continue
             if idle_s > min(max_idle_s, _max_idle_s(connection)):
                 idle.append(connection)
-                return None  # All others are older still.
+                return None  # All others have been idle for longer.
             return connection
         return None
 
     def has_idle(self, server_id: str, now_s: float) -> bool:
-        """Return whether there is a connection that can be used."""
+        """Return whether there is a usable connection to a server."""
         idle = self._idle.get(server_id)
         if not idle:
             return False
@@ -49,7 +55,7 @@
     def give_back(
         self, server_id: str, connection: HttpConnection, now_s: float
     ) -> None:
-        """Keep a connection for later, if it can be used again."""
+        """Return a connection to the pool if it can be used again."""
         if connection.closed or connection.busy:
             return
         connection.idle_since_s = now_s
@@ -61,7 +67,7 @@
             connection.abort()
 
     def prune(self, now_s: float) -> None:
-        """Close connections that have been idle for too long."""
+        """Close the connections of all servers that have been idle for too long."""
         for server_id in list(self._idle):
             idle = self._idle[server_id]
             while idle and (
@@ -72,7 +78,7 @@
                 del self._idle[server_id]
 
     def close(self) -> None:
-        """Close all."""
+        """Close all idle connections."""
         for server_id in list(self._idle):
             self.drop(server_id)
 
--- a/src/railfold/_internal/forwarding/servers/probes.py
+++ b/src/railfold/_internal/forwarding/servers/probes.py
@@ -1,8 +1,8 @@
-"""Finding out which backend servers live, and keeping work from those that don't.
+"""Detection of lost backend servers, based on failed requests and probes.
 
-What requests see comes first: a connection that is refused, a stream that falls
-silent, answers that fail. A probe then tells a dead backend server from a slow
-one, and finds a suspect one well again.
+Failures of clients' requests raise a suspicion: a refused connection, a silent stream
+or failed answers. A probe then tells a dead backend server from a slow one, and later
+detects that a suspect server has recovered.
 """
 
 from __future__ import annotations
@@ -36,34 +36,40 @@
 
 __all__ = ["ServerProber"]
 
-# A probe of a look outlasts the look, which gives it up: one that timed out by itself
-# would read as a refusal, and with nobody heard all would count as lost.
+# Timeout of a probe within a liveness check. It is longer than the check, which cancels
+# its probes: a timed-out probe would count as a refusal, and all silent servers as lost
+# although no server answered.
 _LIVENESS_PROBE_TIMEOUT_S = 2 * MAX_WAIT_S
 
-# How long a suspect backend server is given when it is asked again; nothing waits.
+# Timeout of the probes that check whether a suspect server has recovered. No request
+# waits for them.
 _RECHECK_TIMEOUT_S = 0.5
 
-# How long an engine that is named as the one at fault is given alone. After that it is
-# looked at with witnesses; new requests keep away from it for 0.25 s by the refusal.
+# Timeout of the single probe of an engine that another server's refusal names as being
+# at fault. If it doesn't answer, a liveness check with witnesses follows. New requests
+# avoid the engine for 0.25 s because of the refusal.
 _AT_FAULT_TIMEOUT_S = 0.05
 
-# An engine that says that it doesn't hold the layers asked of it was started again, or
-# gave them up, and refuses all that is sent there, each time at the cost of a retry. It
-# is left out until it registers anew, which takes a heartbeat and a read of the
-# registrations. It isn't suspect: its layers would be placed elsewhere, although it may
-# have just loaded them.
+# Time for which new requests avoid an engine that doesn't hold the layers of a request.
+# It has restarted or dropped them, and refuses all requests for them, each of which
+# costs a retry. The time is enough for a new registration, which takes a heartbeat and
+# a read of the registrations. The engine isn't marked as suspect, since its layers
+# would then be placed elsewhere, although it may have just loaded them.
 _MISPLACED_AVOID_S = 3.0
 
-# How many others are asked beside suspects, in their failure domains and elsewhere,
-# as witnesses that this host can hear: one may be dead too.
+# Number of witnesses that are probed together with suspects, in the suspects' failure
+# domains and again in others. An answer of a witness proves that this host receives
+# answers. There is more than one, since a witness may be dead as well.
 _MAX_WITNESSES = 2
 
-# How often a suspect backend server is probed: first, and at most.
+# First and longest interval between probes of a suspect server. The interval doubles
+# after each probe that fails.
 _MIN_RECHECK_INTERVAL_S = 0.15
 _MAX_RECHECK_INTERVAL_S = 1.5
 
-# A backend server that fails this many of its last answers gets no more work
-# for a while, as long as most others of its service are in use.
+# A backend server is ejected if this many of its last answers were failures. It then
+# gets no requests for a while. At most this share of a service's servers may be
+# unroutable after an ejection.
 _OUTCOME_WINDOW = 8
 _FAILURES_TO_EJECT = 5
 _EJECTION_S = 2.0
@@ -71,9 +77,9 @@
 
 
 class ServerProber:
-    """Probes backend servers and marks those that are lost.
+    """Probes backend servers, and marks those that are lost as suspect.
 
-    :param calls: asks them.
+    :param calls: makes the calls to the servers.
     """
 
     def __init__(self, router: Router, calls: EngineCalls) -> None:
@@ -82,22 +88,22 @@
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
         self.probe_backoff = ProbeBackoff()
-        # Called with each backend server that was found well.
+        # Called with the id of each server that is found to be healthy.
         self.on_healthy: Callable[[str], None] = lambda server_id: None
         self._checking: set[str] = set()
         self._outcomes: dict[str, deque[bool]] = {}
 
-    # What requests saw
+    # Outcomes of requests
 
     def record_broken_answer(self, server_id: str) -> None:
-        """It broke off an answer: probe it at once."""
+        """Probe a server that broke off an answer, and report it if it is lost."""
         self._start_check(server_id, self._report_lost)
 
     def record_unreachable(self, server_id: str) -> None:
-        """Nothing could be sent to it: probe it at once.
+        """Probe a server to which a request couldn't be sent.
 
-        What runs there goes on in any case: a plain service that is full resets new
-        connections.
+        Its running requests continue in any case: a server of a plain service that is
+        at capacity resets new connections.
         """
         self._start_check(server_id, self._mark_all_suspect)
 
@@ -108,7 +114,7 @@
             self._spawn(self._check_one(server_id, on_lost))
 
     def _mark_suspect(self, server_id: str, cause: str) -> None:
-        """Give it no new work until a probe finds it well."""
+        """Send a server no new requests until a probe finds it healthy."""
         if not self._router.directory.mark_suspect(server_id, self._loop.time()):
             return
         self._router.metrics.count("servers.suspected")
@@ -124,11 +130,13 @@
         *,
         backed_off: bool,
     ) -> None:
-        """It refused a request; another may be at fault, by its address.
+        """Record that a server refused a request, which may be another server's fault.
 
-        :param load: what the request would have added to what is held there.
-        :param backed_off: whether it said for how long it wants no requests, so that no
-            pause has to be guessed.
+        :param refusal: the refusal, with the address of the server at fault.
+        :param request_tokens: load, in tokens, that the request would have added to a
+            server.
+        :param backed_off: whether the refusing server requested a backoff. No other
+            pause is applied to it then.
         """
         if not refusal.address:
             entry = self._router.directory.get(server_id)
@@ -157,12 +165,12 @@
             self._router.record_rejection(entry)
 
     def record_served(self, server_id: str) -> None:
-        """It served a request."""
+        """Record that a server served a request."""
         self.on_healthy(server_id)
         self._record_outcome(server_id, served=True)
 
     def record_failure(self, server_id: str) -> None:
-        """It failed a request that it took."""
+        """Record that a server accepted a request and failed."""
         self._record_outcome(server_id, served=False)
 
     def _record_outcome(self, server_id: str, *, served: bool) -> None:
@@ -189,11 +197,11 @@
     # Probes
 
     def probe_suspects(self, chain: Chain, silence: Silence, request_id: str) -> None:
-        """Ask the backend servers that a silent stream may wait for.
+        """Probe the backend servers that a silent stream may be waiting for.
 
-        Streams of a chain that surely stands still don't wait for the answers if
-        it has hardly a backend server that another one could replace: they have
-        to begin elsewhere anyway.
+        If the chain is stalled and fewer than half of the suspects can be replaced by
+        other engines, its streams are moved at once. They don't wait for the probes,
+        since they have to start again on another chain anyway.
         """
         reroute_now = silence.stalled and not self._router.replaceable(silence.suspects)
         if self.probe_backoff.allow_probe(chain.hosts[0], self._loop.time()):
@@ -215,7 +223,7 @@
     def query_first_engine(
         self, chain: Chain, request_id: str, silent_s: float
     ) -> None:
-        """Ask the first backend server of a silent stream whom it waits for."""
+        """Probe the servers that the first engine of a silent stream waits for."""
         if self.probe_backoff.allow_probe(chain.hosts[0], self._loop.time()):
             self._spawn(self._query_first_engine(chain, request_id, silent_s))
 
@@ -241,7 +249,11 @@
     async def _probe_chain(
         self, chain: Chain, hosts: tuple[str, ...], request_id: str, silent_s: float
     ) -> bool:
-        """Probe some of a chain's backend servers; return whether one is lost."""
+        """Probe some of a chain's backend servers; return whether any is lost.
+
+        :param hosts: ids of the servers to probe.
+        :param silent_s: how long the stream has been silent, for the log.
+        """
         started_s = self._loop.time()
         verdict = await self._check_liveness(
             [s for s in chain.stages if s.host in hosts]
@@ -264,11 +276,12 @@
         return bool(verdict.lost)
 
     async def _check_liveness(self, suspects: list[Stage]) -> Verdict:
-        """Find out which of some backend servers are lost.
+        """Return which of the suspects are lost.
 
-        One that a stream has moved through meanwhile isn't, whatever came of asking.
+        Servers of streams that received an event meanwhile are alive, whatever the
+        result of the probes.
 
-        :param suspects: not all need to be registered any more.
+        :param suspects: stages of the suspects, which may not be registered any more.
         """
         started_s = self._loop.time()
         near, far = self._witnesses({stage.host for stage in suspects})
@@ -289,7 +302,10 @@
         )
 
     def _witnesses(self, suspects: Set[str]) -> tuple[list[Stage], list[Stage]]:
-        """Return others that should answer: in the suspects' domains, and elsewhere."""
+        """Return witnesses: healthy engines in the suspects' domains, and in others.
+
+        :param suspects: ids of the suspects.
+        """
         directory = self._router.directory
         domains = {
             entry.registration.failure_domain
@@ -324,9 +340,9 @@
     ) -> None:
         entry = self._router.directory.get(server_id)
         if entry is None:
-            return  # Nothing new goes there.
+            return  # It gets no new requests anyway.
         if self._check_delay_s(entry) > 0.0:
-            return  # Nor does it before its backoff ends.
+            return  # It gets no requests before the end of its backoff.
         self._checking.add(server_id)
         try:
             verdict = await self._check_liveness(stages_of([entry]))
@@ -337,10 +353,10 @@
             self._checking.discard(server_id)
 
     async def _check_at_fault(self, entry: DirectoryEntry) -> None:
-        """Find out whether an engine behind the first one of a chain lives.
+        """Probe an engine that another server's refusal names as being at fault.
 
-        Most that refuse are full. Asking one alone is enough, unless it doesn't answer:
-        with witnesses each refusal would cost five connections.
+        Most such engines are at capacity and answer. Witnesses are probed only if the
+        engine doesn't answer: with them, each refusal would cost five connections.
         """
         server_id = entry.server_id
         (stage,) = stages_of([entry])
@@ -371,9 +387,10 @@
         self._router.log.write(EngineChanged(server_id, "well", "it answers a probe"))
 
     def _check_delay_s(self, entry: DirectoryEntry) -> float:
-        """Return for how long a server gets no health check.
+        """Return for how long a server gets no health check, in seconds.
 
-        A plain server's waits for a slot like a request, which it asked not to get.
+        A server of a plain service gets none during a backoff, since its health checks
+        take slots like requests.
         """
         if entry.registration.is_model_engine:
             return 0.0
--- a/src/railfold/_internal/forwarding/servers/rate_limits.py
+++ b/src/railfold/_internal/forwarding/servers/rate_limits.py
@@ -1,7 +1,8 @@
-"""Keeping the rates that backend servers take, together with the other entries.
+"""Rate limits of backend servers, which all entries keep together.
 
-What servers say is heard here, told to the others, and decides which servers requests
-may go to now. Permits of other entries are asked for over the channel between them.
+Reads the limits that servers advertise in their answers, notifies the other entries of
+them, and gets a permit for each request to a server with a limit. The permit comes from
+this entry itself, or from another entry over the peer channel.
 """
 
 from __future__ import annotations
@@ -42,22 +43,24 @@
 
 __all__ = ["RateLimits"]
 
-# Entries answer within milliseconds; who waits longer loses more than the permit gains.
+# Time that an issuer has to answer. Entries answer within milliseconds; after a longer
+# wait, the permit isn't worth the delay of the request.
 _ISSUER_TIMEOUT_S = 0.06
 
-# A limit that holds is told again so often, which keeps it from lapsing at entries that
-# send nothing to the server.
+# Interval at which other entries are notified of a limit that is still in force. It
+# keeps the limit from lapsing at entries that send nothing to the server.
 _NOTICE_INTERVAL_S = 1.0
 
-# Of the servers that bound a refused request so many are named in logs.
+# Number of servers that the error of a refused request names.
 _MAX_LOGGED_SERVERS = 4
 
+# Values of the log field ``source``: where this entry got the limit from.
 _SERVER_SOURCE = "the server"
 _PEER_SOURCE = "another entry"
 
 
 class RateLimits:
-    """The limits of all servers, and this entry's permits."""
+    """The rate limits of all backend servers, and the permits of this entry."""
 
     def __init__(
         self,
@@ -76,13 +79,13 @@
         self._channel: PeerChannel | None = None
         self._notified_s: dict[str, float] = {}
         self._pending_replies: dict[int, asyncio.Future[PermitOutcome]] = {}
-        # How many entries there are by the store's count.
+        # Number of all entries, as counted by the store.
         self.entry_count = 1
 
     def set_channel(self, own_name: str, channel: PeerChannel) -> None:
-        """Share limits with other entries over this channel from now on.
+        """Set the channel for limits and permits that are shared with other entries.
 
-        :param name: this entry's.
+        :param own_name: name of this entry.
         """
         self._own_name = own_name
         self._channel = channel
@@ -92,15 +95,15 @@
         others = tuple(self._channel.peers) if self._channel is not None else ()
         return KnownEntries(self._own_name, others, self.entry_count)
 
-    # What servers say
+    # Limits that servers advertise
 
     def record_answer(
         self, server_id: str, kind: AnswerKind, head: ResponseHead, sent_s: float
     ) -> None:
-        """Take the head of an answer to a request that was sent at ``sent_s``.
+        """Process the head of an answer to a request that was sent at ``sent_s``.
 
-        A refusal for want of the layers, or of the incarnation, may be another
-        server's: that it names no limit says nothing.
+        A refusal because the layers or the incarnation don't match may come from
+        another server. Without a limit in it, it doesn't end the known limit.
         """
         header = self._dialect.rate_limit(head)
         misplaced = isinstance(kind, NotExecuted) and kind.misplaced
@@ -116,9 +119,10 @@
             self._send_notice(server_id, now_s)
 
     def record_call_answer(self, server_id: str, head: ResponseHead) -> None:
-        """Take the head of an answer to a call of this entry's own.
+        """Process the head of an answer to a call that this entry made for itself.
 
-        Servers needn't name a limit there: that one names none says nothing.
+        Servers needn't state their limit in such answers. An answer without a limit
+        doesn't end the known limit.
         """
         header = self._dialect.rate_limit(head)
         if not isinstance(header, NoRateLimit):
@@ -136,7 +140,7 @@
         return RateLimitNotice(server_id, per_s, age_ms)
 
     def record_notice(self, message: RateLimitNotice) -> None:
-        """Another entry tells what a server said."""
+        """Process another entry's notice of the limit that a server advertises."""
         now_s = _now_s()
         advertised_s = now_s - message.age_ms / 1000.0
         server_id = message.server_id
@@ -153,17 +157,17 @@
             case None:
                 return
             case RateLimitAdvertised():
-                state, cause = "named", "its answers name a limit"
+                state, cause = "named", "its answers advertise a limit"
             case NoRateLimit():
-                state, cause = "ended", "its answers name no limit any more"
+                state, cause = "ended", "its answers advertise no limit any more"
             case LimitLapsed(unconfirmed_s=unconfirmed_s):
                 state, cause = (
                     "lapsed",
-                    f"nobody confirmed it for {unconfirmed_s:.1f} s",
+                    f"it wasn't confirmed for {unconfirmed_s:.1f} s",
                 )
             case UnreadableRateLimit(text=text):
-                state, cause = "unreadable", f"its answers name {text!r}"
-                logging.warning("%s names a limit that is no rate: %r", server_id, text)
+                state, cause = "unreadable", f"its answers advertise {text!r}"
+                logging.warning("%s sent a malformed rate limit: %r", server_id, text)
         per_s = self._limits.limit_per_s(server_id)
         event = RateLimitChanged(
             server_id,
@@ -179,7 +183,7 @@
         self._metrics.gauge("rate_limits.in_force", len(self._limits.in_force))
 
     def _own_per_s(self, server_id: str) -> float:
-        """Return how many permits a second this entry hands out for a server."""
+        """Return how many permits a second this entry issues for a server."""
         per_s = self._limits.limit_per_s(server_id)
         if per_s is None:
             return 0.0
@@ -192,7 +196,10 @@
         )
 
     def upkeep(self, known_ids: set[str], now_s: float) -> None:
-        """Let go of what is over."""
+        """End limits that weren't confirmed for too long, and forget unneeded state.
+
+        :param known_ids: ids of the servers whose state is kept.
+        """
         if not self._limits:
             return
         for server_id, change in self._limits.lapse_unconfirmed(
@@ -206,21 +213,28 @@
         }
         self._metrics.gauge("rate_limits.in_force", len(self._limits.in_force))
 
-    # Where requests may go
+    # Choice of servers
 
     def limited_servers(self, server_ids: Iterable[str]) -> list[str]:
-        """Return those servers whose limits are in force."""
+        """Return those of the servers that have a limit in force."""
         return [s for s in server_ids if self._limits.limit_per_s(s) is not None]
 
     def is_starting_slowly(self, server_id: str, now_s: float) -> bool:
-        """Draw whether a server whose limit has just ended is left out once."""
+        """Return whether a server's slow start after a limit excludes it this time.
+
+        The decision is random: the server's traffic share is the probability that it
+        isn't excluded.
+        """
         if not self._limits:
             return False
         share = self._limits.traffic_share(server_id, now_s)
         return share < 1.0 and self._rng.random() >= share
 
     def wait_s(self, server_id: str) -> float:
-        """Return when a permit for a server may be had, in seconds from now."""
+        """Return in how many seconds a permit for a server may be available.
+
+        The result is 0.0 for a server without a limit.
+        """
         per_s = self._limits.limit_per_s(server_id)
         if per_s is None:
             return 0.0
@@ -229,7 +243,11 @@
     def refusal_error(
         self, server_ids: Iterable[str], left_s: float
     ) -> RateLimitedError:
-        """Return why a request is refused that could only go to these servers."""
+        """Return the error of a request that gets no permit.
+
+        :param server_ids: the servers that could serve the request.
+        :param left_s: time until a permit may be available.
+        """
         self._metrics.count("rate_limits.refused")
         descriptions = sorted(
             f"{s} takes {self._limits.limit_per_s(s):g} a second, permits here {rate:g}"
@@ -249,7 +267,11 @@
     async def acquire(
         self, server_ids: Iterable[str], max_wait_s: float
     ) -> PermitOutcome:
-        """Get a permit of each server with a limit, and wait until they hold."""
+        """Get a permit for each server with a limit, and wait until all are valid.
+
+        :param max_wait_s: how long to wait at most.
+        :returns: the first denial, if any permit was denied.
+        """
         ready_s = _now_s()
         for server_id in self.limited_servers(server_ids):
             outcome = await self._acquire_one(server_id, max_wait_s)
@@ -288,7 +310,10 @@
     async def _ask_issuer(
         self, server_id: str, name: str, max_wait_s: float
     ) -> PermitOutcome | None:
-        """Ask a holder; nothing comes if it doesn't answer."""
+        """Ask an issuer for a permit; return ``None`` if it doesn't answer.
+
+        :param name: name of the issuer.
+        """
         assert self._channel is not None
         question = secrets.randbits(32)
         reply_future: asyncio.Future[PermitOutcome]
@@ -311,7 +336,7 @@
         return outcome
 
     def answer_permit_request(self, message: PermitRequest) -> None:
-        """Another entry asks this one for a permit."""
+        """Answer another entry that asks this one for a permit."""
         self.record_notice(message.limit)
         server_id = message.limit.server_id
         per_s = self._limits.limit_per_s(server_id)
@@ -329,7 +354,7 @@
         self._channel.tell_one(message.name, reply)
 
     def record_permit_reply(self, message: PermitReply) -> None:
-        """A holder answers."""
+        """Pass an issuer's answer to the request that waits for it."""
         reply_future = self._pending_replies.get(message.question)
         if reply_future is None or reply_future.done():
             return
--- a/src/railfold/_internal/forwarding/servers/slow_engines.py
+++ b/src/railfold/_internal/forwarding/servers/slow_engines.py
@@ -1,8 +1,9 @@
-"""Child that finds out which engines are slow.
+"""Detection of slow engines.
 
-A slow engine goes on serving, and delays every token of every chain that it is part
-of. Pauses tell that a chain is slower than its engines should be; the engines then say
-which of them it is. New chains and the placement of layers reckon with it.
+A slow engine continues to serve, but delays every token of all chains that it is part
+of. Long pauses between events show that a chain is slower than expected; the reports of
+its engines then show which engine is slow. The choice of chains and the placement of
+layers take the slowness into account.
 """
 
 from __future__ import annotations
@@ -17,31 +18,32 @@
 
 __all__ = ["SlowEngineMonitor"]
 
-# A chain that turns slow is noticed up to this much later; each look goes over all
-# engines and chains that this entry knows.
+# Interval between checks of all engines and chains that this entry knows. A chain that
+# becomes slow is noticed after this time at the latest.
 _INTERVAL_S = 0.25
 
-# Pauses this many times longer than reckoned are looked into. The reckoning is within
-# a fifth on the users' engines.
+# Minimum ratio of a chain's pauses to the expected pauses at which its engines are
+# queried. On the users' engines, expected pauses are accurate to within a fifth.
 _SLOW_RATIO = 1.5
 
-# The same engine is asked no more often. A slow one is asked until it isn't any more;
-# one that says that it isn't, while its chain stays late, is asked half as often after
-# each time: the chain is late for another reason, as a full engine or a slow link.
+# Minimum and maximum interval between queries of an engine. A slow engine is queried at
+# the minimum interval until it isn't slow any more. If an engine reports that it isn't
+# slow while its chain still is, the interval doubles with each query: the chain has
+# another reason to be slow, such as an engine at capacity or a slow link.
 _MIN_QUERY_INTERVAL_S = 1.0
 _MAX_QUERY_INTERVAL_S = 16.0
 
 
 @dataclass(frozen=True, slots=True)
 class _Query:
-    """When an engine was asked, and for how long it isn't asked again."""
+    """Time of the last query of an engine, and the interval until the next one."""
 
     sent_s: float
     interval_s: float
 
 
 class SlowEngineMonitor:
-    """Asks the engines of slow chains, and slow engines, how slow they are."""
+    """Queries the slowness of slow engines and of all engines in slow chains."""
 
     def __init__(self, router: Router, calls: EngineCalls) -> None:
         self._router = router
@@ -50,7 +52,7 @@
         self._last_queries: dict[str, _Query] = {}
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Look until cancelled."""
+        """Query engines periodically until cancelled."""
         ready.set()
         while True:
             await asyncio.sleep(_INTERVAL_S)
@@ -86,6 +88,6 @@
         if not entry.registration.is_model_engine:
             return False
         if self._router.backoffs.left_s(entry.server_id) > 0.0:
-            return False  # It wants nothing that can wait.
+            return False  # A query can wait for the end of a backoff.
         last_query = self._last_queries.get(entry.server_id)
         return last_query is None or now_s - last_query.sent_s >= last_query.interval_s
--- a/src/railfold/_internal/forwarding/servers/unknown_headers.py
+++ b/src/railfold/_internal/forwarding/servers/unknown_headers.py
@@ -1,7 +1,7 @@
-"""Telling of headers in backend servers' answers that nothing here reads.
+"""Warnings about headers of backend servers that this version doesn't know.
 
-A server may state a bound under a name that this version doesn't know. Such a name gets
-one line, so that it is found in the logs before it is found in what goes wrong.
+A server may state a limit in a header that this version doesn't know and therefore
+doesn't keep. A warning lets operators notice this before the limit is exceeded.
 """
 
 from __future__ import annotations
@@ -14,19 +14,23 @@
 
 __all__ = ["UnknownHeaderReporter"]
 
-# Servers that make names up must not fill logs or memory.
+# Number of header names that are reported. Bounds log lines and memory if servers send
+# arbitrary names.
 _MAX_REPORTED_NAMES = 32
 
 
 class UnknownHeaderReporter:
-    """Tells once of each name."""
+    """Logs each unknown header name once and counts all occurrences."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
         self._reported_names: set[str] = set()
 
     def report(self, server_id: str, names: Iterable[str]) -> None:
-        """Take the unknown names of an answer."""
+        """Report the unknown headers of a server's answer.
+
+        :param names: names of these headers.
+        """
         for name in names:
             self._metrics.count("answers.unknown_headers")
             if (
@@ -36,5 +40,5 @@
                 continue
             self._reported_names.add(name)
             logging.warning(
-                "%s answers with a header that isn't known: %r", server_id, name
+                "%s sent an answer with an unknown header: %r", server_id, name
             )
