--- a/tests/forwarding/test_rate_limits.py
+++ b/tests/forwarding/test_rate_limits.py
@@ -1,15 +1,10 @@
-"""A backend server that says how many requests a second it takes gets no more.
+"""Backend servers that advertise a rate limit in their answers.
 
-What operators saw: a server in need named a limit of 1.4 requests a second in all its
-answers, and got 23 requests within 4 s from entries that it had told.
-
-The order of events: it names the limit; each entry passes its answers on, with the
-limit in them; all entries go on sending to it as before, for as long as it says so.
-
-The cause: no entry read what it names. An entry that reads it and keeps it alone isn't
-enough: a limit is a sum over all entries, and small next to their number. The evidence:
-the rates at which the servers were sent to didn't change at the moment at which they
-named their limits, in the record and here; one entry alone sent twice the limit.
+Guards against entries that together send a server more requests than its limit allows.
+This happens if entries pass the limit on to clients without reading it: a server with a
+limit of 1.4 requests a second got 23 requests within 4 s, and one entry alone sends
+twice the limit. It also happens if each entry keeps the limit on its own, since the
+limit applies to the sum over all entries and is small compared with their number.
 """
 
 from __future__ import annotations
@@ -40,18 +35,20 @@
 
 PER_S = 24.0
 
-# With demand at least this share of a limit is used.
+# Minimum share of a limit that is used while there is enough demand.
 USED_SHARE = 0.7
 
 
-def limit_at(deployment: Deployment, number: int, server: Engine) -> float | None:
-    """Return the limit of a server that an entry knows."""
+def known_limit_per_s(
+    deployment: Deployment, number: int, server: Engine
+) -> float | None:
+    """Return the limit of a server as an entry knows it."""
     limits = deployment.entries[number].router.limits
     return limits._limits.limit_per_s(server.server_id)
 
 
-async def cut_entries_from_each_other(deployment: Deployment) -> None:
-    """Let no entry hear another one any more, once all know each other."""
+async def stop_messages_between_entries(deployment: Deployment) -> None:
+    """Stop all messages between entries, once all know each other."""
     await until(lambda: all(map(knows_peers, deployment.entries)))
     for entry in deployment.entries:
         channel = entry._peering._channel
@@ -60,7 +57,7 @@
 
 
 @pytest.mark.parametrize("entries", [1, 5])
-async def test_one_of_two_first_engines_names_a_limit(entries: int) -> None:
+async def test_limit_of_one_of_two_first_engines_is_kept(entries: int) -> None:
     async for deployment in running(Deployment(entry_count=entries)):
         server = deployment.first_engines[0]
         load = ClientLoad(deployment, STREAM, PER_S)
@@ -71,8 +68,8 @@
         assert outcome.served_share(outcome.limits_began_s, until_s) >= 0.95
 
 
-async def test_both_first_engines_name_one() -> None:
-    """What can't be served is refused at once, and told when to come back."""
+async def test_limits_of_both_first_engines_are_kept() -> None:
+    """Requests beyond the limits are refused at once, with a time for the retry."""
     async for deployment in running(Deployment(entry_count=3)):
         servers = deployment.first_engines
         load = ClientLoad(deployment, STREAM, PER_S)
@@ -91,11 +88,11 @@
         waits_s = [float(reply.headers["Retry-After"]) for reply in replies]
         assert min(waits_s) > 0.0
         assert max(waits_s) <= 2.0
-        # Not all come back together.
+        # The retries are spread over time.
         assert len({round(wait_s, 1) for wait_s in waits_s}) >= 5
 
 
-async def test_one_of_two_plain_servers_names_one() -> None:
+async def test_limit_of_one_of_two_plain_servers_is_kept() -> None:
     async for deployment in running(Deployment(entry_count=3)):
         server = deployment.plain[0]
         load = ClientLoad(deployment, SAFE, PER_S, rng=random.Random(2))
@@ -106,11 +103,11 @@
         )
 
 
-async def test_entries_that_cant_tell_each_other_anything_keep_it_too() -> None:
+async def test_limit_is_kept_without_messages_between_entries() -> None:
     async for deployment in running(Deployment(entry_count=5)):
         server = deployment.first_engines[0]
         load = ClientLoad(deployment, STREAM, PER_S)
-        await cut_entries_from_each_other(deployment)
+        await stop_messages_between_entries(deployment)
         outcome = await run_limit_scenario(deployment, load, {server.server_id: "1.4"})
         assert outcome.max_in_window(server) <= allowed_requests(1.4)
         assert (
@@ -118,44 +115,47 @@
         )
 
 
-async def test_after_its_end_the_server_is_back_within_six_seconds() -> None:
+async def test_server_gets_usual_rate_within_six_seconds_after_its_limit() -> None:
     async for deployment in running(Deployment(entry_count=3)):
         server = deployment.first_engines[0]
         load = ClientLoad(deployment, STREAM, PER_S)
         outcome = await run_limit_scenario(
             deployment, load, {server.server_id: "1.4"}, duration_s=5.0, after_s=10.0
         )
-        usual = outcome.received_per_s(
+        usual_per_s = outcome.received_per_s(
             server, outcome.limits_began_s - 2.0, outcome.limits_began_s
         )
-        back_s = outcome.limits_ended_s + 6.0
-        assert outcome.received_per_s(server, back_s, back_s + 4.0) >= 0.6 * usual
+        recovered_s = outcome.limits_ended_s + 6.0
+        assert (
+            outcome.received_per_s(server, recovered_s, recovered_s + 4.0)
+            >= 0.6 * usual_per_s
+        )
         assert (
             outcome.received_per_s(
                 server, outcome.limits_ended_s, outcome.limits_ended_s + 1.0
             )
-            < usual
+            < usual_per_s
         )
-        assert outcome.served_share(outcome.limits_began_s, back_s + 4.0) >= 0.95
+        assert outcome.served_share(outcome.limits_began_s, recovered_s + 4.0) >= 0.95
 
 
-async def test_an_entry_that_sends_nothing_hears_it_from_others(
+async def test_entry_that_sends_nothing_learns_limit_from_others(
     two_entries: Deployment,
 ) -> None:
     deployment = two_entries
     server = deployment.first_engines[0]
     load = ClientLoad(deployment, STREAM, PER_S, shares=(1.0, 0.0))
-    playing = asyncio.create_task(
+    scenario = asyncio.create_task(
         run_limit_scenario(
             deployment, load, {server.server_id: "1.4"}, duration_s=3.0, after_s=3.0
         )
     )
-    await until(lambda: limit_at(deployment, 1, server) == 1.4)
-    await until(lambda: limit_at(deployment, 1, server) is None, 10.0)
-    await playing
+    await until(lambda: known_limit_per_s(deployment, 1, server) == 1.4)
+    await until(lambda: known_limit_per_s(deployment, 1, server) is None, 10.0)
+    await scenario
 
 
-async def test_another_incarnation_of_it_is_free(deployment: Deployment) -> None:
+async def test_limit_doesnt_apply_to_new_incarnation(deployment: Deployment) -> None:
     server = deployment.plain[0]
     other = deployment.plain[1]
     server.born = 5_000
@@ -174,7 +174,7 @@
     assert {reply.status for reply in replies} == {200}
 
 
-async def test_a_begun_stream_goes_on_at_a_server_with_a_limit(
+async def test_begun_stream_continues_on_server_with_limit(
     deployment: Deployment,
 ) -> None:
     connection, engine = await begin_stream(deployment, events=100)
@@ -188,7 +188,7 @@
     assert (reply.whole, reply.body) == (True, events_of(100))
 
 
-async def test_what_is_no_rate_changes_nothing(deployment: Deployment) -> None:
+async def test_malformed_limit_has_no_effect(deployment: Deployment) -> None:
     for server in deployment.plain:
         server.rate_limit = "nan"
     replies = [await deployment.ask(SAFE, f"c-{n}") for n in range(6)]
@@ -198,7 +198,7 @@
     assert len(lines) <= len(deployment.plain)
 
 
-async def test_logs_lead_from_a_refused_request_to_the_server_that_asked(
+async def test_logs_name_the_servers_whose_limits_refused_a_request(
     deployment: Deployment,
 ) -> None:
     for server in deployment.plain:
@@ -207,12 +207,12 @@
     assert replies[-1].status == 503
     assert b"rate_limited" in replies[-1].body
     lines = deployment.log_lines()
-    named = [e for e in lines if e["type"] == "rate_limit_changed"]
-    assert {(e["state"], e["per_s"], e["source"]) for e in named} == {
+    limit_events = [e for e in lines if e["type"] == "rate_limit_changed"]
+    assert {(e["state"], e["per_s"], e["source"]) for e in limit_events} == {
         ("named", 0.5, "the server")
     }
     refused = [e for e in lines if e["type"] == "request_ended" and e["status"] == 503]
-    assert all(named[0]["server_id"] in e["cause"] for e in refused)
+    assert all(limit_events[0]["server_id"] in e["cause"] for e in refused)
     metrics = deployment.entry.metrics
     assert metrics.gauges["rate_limits.in_force"] == 2
     assert metrics.counters["rate_limits.refused"] == len(refused)
--- a/tests/forwarding/test_server_backoff.py
+++ b/tests/forwarding/test_server_backoff.py
@@ -1,4 +1,8 @@
-"""A backend server that sends Retry-After gets no request before its time is over."""
+"""Backend servers that refuse requests with Retry-After, and recover afterwards.
+
+Guards against requests that entries send to a server before the end of its Retry-After,
+which keep it overloaded, and against servers that get no requests after it.
+"""
 
 from __future__ import annotations
 
@@ -39,7 +43,7 @@
 async def test_server_that_sheds_gets_more_requests_before_its_retry_after(
     entries: int, path: str
 ) -> None:
-    """One of two servers that requests of a route begin at sheds load."""
+    """One of the two servers that receive the requests of a route sheds load."""
     async for deployment in running(Deployment(entry_count=entries)):
         server = first_servers(deployment, path)[0]
         load = ClientLoad(deployment, path, PER_S, rng=random.Random(3))
@@ -53,15 +57,19 @@
 
 
 def first_servers(deployment: Deployment, path: str) -> list[Engine]:
-    """Return the servers that entries send a route's requests to."""
+    """Return the servers that receive a route's requests from entries."""
     return deployment.first_engines if path == STREAM else deployment.plain
 
 
 @pytest.mark.parametrize("path", ROUTES)
-async def test_while_all_shed_requests_are_refused_before_they_are_sent(
+async def test_requests_are_refused_without_being_sent_while_all_servers_shed(
     deployment: Deployment, path: str
 ) -> None:
-    """Clients came back eight times, and each cost the servers a request."""
+    """All servers of a route shed load.
+
+    Guards against requests that reach the servers each time that a client retries,
+    which clients did eight times.
+    """
     servers = first_servers(deployment, path)
     load = ClientLoad(deployment, path, PER_S, rng=random.Random(4))
     outcome = await run_shedding_scenario(
@@ -69,21 +77,21 @@
     )
     for server in servers:
         assert max_requests_during_backoff(server) <= MAX_REQUESTS_DURING_BACKOFF
-    known_s = outcome.shedding_began_s + 0.5
-    refused = load.sent_between(known_s, outcome.shedding_ended_s - 1.5)
+    backoff_known_s = outcome.shedding_began_s + 0.5
+    refused = load.sent_between(backoff_known_s, outcome.shedding_ended_s - 1.5)
     replies = [r.reply for r in refused if r.reply is not None]
     assert all(r.refused for r in refused)
     assert max(r.ended_s - r.sent_s for r in refused) <= 0.5 * OBJECTIVE_S
     assert all(b"servers_backing_off" in reply.body for reply in replies)
-    back_s = [r.ended_s + float(r.reply.headers["Retry-After"]) for r in refused]
-    assert min(back_s) >= outcome.shedding_began_s + 3.0
-    assert max(back_s) - min(back_s) >= 0.5
+    retry_at_s = [r.ended_s + float(r.reply.headers["Retry-After"]) for r in refused]
+    assert min(retry_at_s) >= outcome.shedding_began_s + 3.0
+    assert max(retry_at_s) - min(retry_at_s) >= 0.5
     assert len(refused) > 20
     sends = sum(len(server.shed) for server in servers)
     assert deployment.entry.metrics.counters["requests.retries"] <= sends
 
 
-async def test_a_client_is_sent_to_another_entry_that_may_send() -> None:
+async def test_refused_client_retries_soon_if_another_entry_can_serve() -> None:
     async for deployment in running(Deployment(entry_count=3)):
         entries = deployment.entries
         await until(functools.partial(all_know_peers, entries))
@@ -98,7 +106,7 @@
         connection.close()
 
 
-async def test_after_its_end_a_server_is_back_within_a_second() -> None:
+async def test_server_gets_requests_within_a_second_after_its_backoff() -> None:
     async for deployment in running(Deployment(entry_count=1)):
         server = deployment.plain[0]
         load = ClientLoad(deployment, SAFE, PER_S)
@@ -106,12 +114,16 @@
             deployment, load, [server], "1.5", duration_s=1.0, after_s=5.0
         )
         end_s = server.shed[-1].at_s + 1.5
-        again_s = [a.at_s for a in server.arrivals if a.at_s > end_s]
-        assert again_s[0] <= end_s + 1.0
-        back = [at_s for at_s in again_s if at_s >= end_s + 3.0]
-        usual = [a for a in server.arrivals if a.at_s < outcome.shedding_began_s]
-        assert len(back) >= 5
-        assert len(usual) >= 5
+        arrivals_after_end_s = [a.at_s for a in server.arrivals if a.at_s > end_s]
+        assert arrivals_after_end_s[0] <= end_s + 1.0
+        arrivals_after_slow_start_s = [
+            at_s for at_s in arrivals_after_end_s if at_s >= end_s + 3.0
+        ]
+        arrivals_before_shedding = [
+            a for a in server.arrivals if a.at_s < outcome.shedding_began_s
+        ]
+        assert len(arrivals_after_slow_start_s) >= 5
+        assert len(arrivals_before_shedding) >= 5
         lines = [
             line["state"]
             for line in deployment.log_lines()
@@ -120,34 +132,34 @@
         assert (lines[0], lines[-1]) == ("started", "recovered")
 
 
-async def test_a_request_that_waits_for_a_connection_isnt_sent_into_a_backoff(
+async def test_request_isnt_sent_if_backoff_begins_while_connection_opens(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    opening = asyncio.Event()
+    connecting = asyncio.Event()
 
     async def slow_connect(address: Address, timeout_s: float) -> HttpConnection:
-        opening.set()
+        connecting.set()
         await asyncio.sleep(0.2)
         return await connect(address, timeout_s)
 
     monkeypatch.setattr(exchange, "connect", slow_connect)
     router = deployment.entry.router
     retries = deployment.entry.metrics.counters["requests.retries"]
-    asking = asyncio.create_task(deployment.ask(UNSAFE, "c-1"))
-    await opening.wait()
+    request_task = asyncio.create_task(deployment.ask(UNSAFE, "c-1"))
+    await connecting.wait()
     (driver,) = router.active
-    chosen = driver._destination.server.host  # type: ignore[attr-defined]
+    chosen_id = driver._destination.server.host  # type: ignore[attr-defined]
     now_s = asyncio.get_running_loop().time()
-    router.backoffs.requested.record_retry_after(chosen, 3.0, now_s)
-    reply = await asking
+    router.backoffs.requested.record_retry_after(chosen_id, 3.0, now_s)
+    reply = await request_task
     assert reply.status == 200
-    (server,) = [s for s in deployment.plain if s.server_id == chosen]
+    (server,) = [s for s in deployment.plain if s.server_id == chosen_id]
     assert not server.arrivals
     assert deployment.entry.metrics.counters["requests.retries"] == retries
     assert deployment.entry.metrics.counters["attempts.not_eligible"] == 1
 
 
-async def test_another_incarnation_isnt_barred(deployment: Deployment) -> None:
+async def test_backoff_doesnt_apply_to_new_incarnation(deployment: Deployment) -> None:
     server = await only_plain_server(deployment, born=5_000)
     server.mode, server.retry_after = "shed", "30"
     assert (await deployment.ask(SAFE, "c-1")).status == 503
@@ -158,7 +170,7 @@
     assert (await deployment.ask(SAFE, "c-3")).status == 200
 
 
-async def test_a_refused_health_check_counts_as_a_request(
+async def test_retry_after_in_refused_health_check_starts_backoff(
     deployment: Deployment,
 ) -> None:
     server = deployment.plain[0]
@@ -175,7 +187,7 @@
 
 
 @pytest.mark.parametrize("value", ["0", "-3", "nan", "soon"])
-async def test_a_value_that_asks_for_nothing_leaves_the_own_pause(
+async def test_unusable_retry_after_value_leaves_usual_pause(
     deployment: Deployment, value: str
 ) -> None:
     first = deployment.first_engines[0]
@@ -190,7 +202,7 @@
     assert first.runs
 
 
-async def test_the_answering_server_asks_also_where_it_names_another(
+async def test_backoff_applies_to_answering_server_even_if_it_blames_another(
     deployment: Deployment,
 ) -> None:
     first = deployment.first_engines[0]
@@ -204,7 +216,7 @@
     assert len(first.arrivals) == 1
 
 
-async def test_a_first_engine_that_backs_off_serves_behind_another(
+async def test_first_engine_in_backoff_serves_as_later_stage(
     empty_deployment: Deployment,
 ) -> None:
     deployment = empty_deployment
@@ -223,7 +235,7 @@
     assert all(whole.address in chain for chain in chains)
 
 
-async def test_logs_lead_from_a_refused_request_to_the_server_that_asked(
+async def test_logs_name_the_servers_whose_backoffs_refused_a_request(
     deployment: Deployment,
 ) -> None:
     for server in deployment.plain:
@@ -231,9 +243,11 @@
     replies = [await deployment.ask(SAFE, f"c-{n}") for n in range(4)]
     assert {reply.status for reply in replies} == {503}
     lines = deployment.log_lines()
-    started = [e for e in lines if e["type"] == "server_backoff_changed"]
-    asked = {(e["server_id"], e["state"], e["backoff_s"]) for e in started}
-    assert asked == {(s.server_id, "started", 2.0) for s in deployment.plain}
+    backoff_events = [e for e in lines if e["type"] == "server_backoff_changed"]
+    logged_backoffs = {
+        (e["server_id"], e["state"], e["backoff_s"]) for e in backoff_events
+    }
+    assert logged_backoffs == {(s.server_id, "started", 2.0) for s in deployment.plain}
     refused = [e for e in lines if e["type"] == "request_ended"]
     last = refused[-1]["cause"]
     assert all(server.server_id in last for server in deployment.plain)
--- a/tests/forwarding/test_server_leaving.py
+++ b/tests/forwarding/test_server_leaving.py
@@ -1,4 +1,8 @@
-"""A backend server whose answers say that it leaves gets no new requests."""
+"""Backend servers whose answers announce that they leave.
+
+Guards against new requests that are sent to such a server, and are lost when it ends.
+The registration of the server may still say that it is ready.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +32,8 @@
 
 PER_S = 24.0
 
-# From so long after an entry's first answer that says so, it may send nothing there.
+# An entry may send no request to a leaving server from this time after it passed on the
+# first answer that announces the departure.
 DRAIN_S = 2.0
 
 
@@ -36,7 +41,7 @@
 async def test_server_that_says_it_leaves_gets_new_requests_after_the_drain_time(
     path: str,
 ) -> None:
-    """One of two servers of a route leaves, and its registration doesn't tell."""
+    """One of the two servers of a route leaves without changing its registration."""
     async for deployment in running(Deployment(entry_count=3)):
         servers = deployment.first_engines if path == STREAM else deployment.plain
         server = servers[0]
@@ -53,23 +58,27 @@
 
 
 def sends_after_drain(load: ClientLoad, server: Engine) -> list[str]:
-    """Return the requests that reached a leaving server too late."""
-    told_s: dict[int, float] = {}
+    """Return the ids of requests that reached a leaving server after the drain time."""
+    notified_s: dict[int, float] = {}
     for request in load.sent:
-        said = request.reply is not None and "Server-Leaving" in request.reply.headers
-        if said and request.head_received_s is not None:
-            before_s = told_s.get(request.entry, float("inf"))
-            told_s[request.entry] = min(before_s, request.head_received_s)
+        has_announcement = (
+            request.reply is not None and "Server-Leaving" in request.reply.headers
+        )
+        if has_announcement and request.head_received_s is not None:
+            earlier_s = notified_s.get(request.entry, float("inf"))
+            notified_s[request.entry] = min(earlier_s, request.head_received_s)
     return [
         request.request_id
         for request in load.sent
         if request.request_id in {a.request_id for a in server.arrivals}
         and request.sent_s
-        > told_s.get(entry_of(request.request_id), float("inf")) + DRAIN_S
+        > notified_s.get(entry_of(request.request_id), float("inf")) + DRAIN_S
     ]
 
 
-async def test_its_running_streams_go_on(deployment: Deployment) -> None:
+async def test_running_streams_of_leaving_server_continue(
+    deployment: Deployment,
+) -> None:
     connection, engine = await begin_stream(deployment, events=100)
     engine.leaving = True
     for number in range(12):
@@ -80,7 +89,9 @@
     assert not engine.cancelled
 
 
-async def test_it_gets_none_while_the_store_is_away(deployment: Deployment) -> None:
+async def test_leaving_server_gets_no_requests_during_store_outage(
+    deployment: Deployment,
+) -> None:
     server = deployment.plain[0]
     deployment.store.mode = "out"
     server.leaving = True
@@ -89,7 +100,7 @@
     assert len(server.arrivals) <= 1
 
 
-async def test_a_registration_that_says_ready_doesnt_take_it_back(
+async def test_registration_as_ready_doesnt_cancel_announced_departure(
     deployment: Deployment,
 ) -> None:
     server = deployment.plain[0]
@@ -107,7 +118,9 @@
     assert len(server.arrivals) == 1
 
 
-async def test_another_incarnation_gets_new_requests(deployment: Deployment) -> None:
+async def test_new_incarnation_of_leaving_server_gets_requests(
+    deployment: Deployment,
+) -> None:
     server = await only_plain_server(deployment, born=5_000)
     server.leaving = True
     assert (await deployment.ask(SAFE, "c-1")).status == 200
@@ -117,22 +130,24 @@
     assert (await deployment.ask(SAFE, "c-3")).status == 200
 
 
-async def test_entries_that_dont_talk_to_a_later_stage_hear_that_it_leaves(
+async def test_entries_without_calls_to_leaving_later_stage_are_notified(
     two_entries: Deployment,
 ) -> None:
-    """Only answers to reports tell it, which one entry asks for."""
+    """Only one entry gets the announcement, in the answer to its report call."""
     deployment = two_entries
     entries = deployment.entries
     await until(functools.partial(all_know_peers, entries))
     first = deployment.first_engines[0]
     later = later_engine(deployment, first)
     later.leaving = True
-    asking, hearing = (entry.router.directory.get(later.server_id) for entry in entries)
-    assert asking is not None
-    assert hearing is not None
-    await entries[0]._prober.calls.report(*stages_of([asking]))
-    assert not asking.routable
-    await until(lambda: not hearing.routable)
+    notifying_entry, notified_entry = (
+        entry.router.directory.get(later.server_id) for entry in entries
+    )
+    assert notifying_entry is not None
+    assert notified_entry is not None
+    await entries[0]._prober.calls.report(*stages_of([notifying_entry]))
+    assert not notifying_entry.routable
+    await until(lambda: not notified_entry.routable)
     for number in range(12):
         assert (await deployment.ask(STREAM, f"s-{number}")).status == 200
     chains = [seen["Railfold-Hop-Count"] for e in deployment.engines for seen in e.seen]
@@ -140,5 +155,7 @@
     assert not any(later.address in chain for chain in chains)
     lines = deployment.log_lines()
     changes = [e for e in lines if e["type"] == "engine_changed"]
-    said = [e["server_id"] for e in changes if "say that it leaves" in e["cause"]]
-    assert set(said) == {later.server_id}
+    announced_ids = [
+        e["server_id"] for e in changes if "say that it leaves" in e["cause"]
+    ]
+    assert set(announced_ids) == {later.server_id}
--- a/tests/forwarding/test_suspicion.py
+++ b/tests/forwarding/test_suspicion.py
@@ -1,9 +1,8 @@
-"""What a suspicion may do to requests that are under way.
+"""Effect of a suspicion against a backend server on requests that are in flight.
 
-What users would see: answers cut off, or run once more for nothing, though their
-engines were well and sent on. Cause: evidence that a stream moves wasn't weighed
-against a suspicion that began earlier, and some suspicions ended work that nothing
-else could finish. Evidence: each test fails without the line that it is about.
+Guards against answers that are cut off, and against requests that run a second time
+without need, although their engines are healthy. This happens if a suspicion outweighs
+later events of the same stream, or ends a request that no other server can continue.
 """
 
 from __future__ import annotations
@@ -40,12 +39,12 @@
 
 
 def chain_in_use(deployment: Deployment) -> Chain:
-    """Return the chain of the only request under way."""
+    """Return the chain of the only request in flight."""
     (driver,) = deployment.entry.router.active
     return driver._destination.chain
 
 
-async def test_a_slow_way_to_one_failure_domain_is_no_loss(
+async def test_slow_path_to_failure_domain_makes_no_engine_lost(
     deployment: Deployment,
 ) -> None:
     connection, first = await begin_stream(deployment, events=200)
@@ -60,7 +59,7 @@
     connection.close()
 
 
-async def test_a_stream_that_moves_outweighs_a_probe_without_an_answer(
+async def test_stream_with_new_events_isnt_moved_by_unanswered_probe(
     deployment: Deployment,
 ) -> None:
     connection, first = await begin_stream(deployment, events=150)
@@ -72,28 +71,28 @@
     connection.close()
 
 
-async def test_a_stream_that_moves_outweighs_an_order_without_an_answer(
+async def test_stream_with_new_events_isnt_moved_by_unanswered_reroute_order(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     for zone in ("hall-a", "hall-b"):
         deployment.add_engine(f"i-{zone}-stand-in", zone, (4, 8))
     await until(deployment.all_known)
     connection, _ = await begin_stream(deployment, events=150)
-    carry_out = chaining_engine._Order.post
+    execute_order = chaining_engine._Order.post
 
-    async def late(order: chaining_engine._Order) -> None:
+    async def execute_late(order: chaining_engine._Order) -> None:
         await asyncio.sleep(0.4)
-        carry_out(order)
+        execute_order(order)
 
-    monkeypatch.setattr(chaining_engine._Order, "post", late)
-    lost = chain_in_use(deployment).hosts[1]
-    deployment.entry.router.report_lost(frozenset({lost}))
+    monkeypatch.setattr(chaining_engine._Order, "post", execute_late)
+    lost_host = chain_in_use(deployment).hosts[1]
+    deployment.entry.router.report_lost(frozenset({lost_host}))
     await asyncio.sleep(0.6)
     assert runs(deployment, "s-1") == 1
     connection.close()
 
 
-async def test_a_stall_that_is_over_when_probes_return_moves_nothing(
+async def test_stall_that_ends_during_probes_moves_no_stream(
     deployment: Deployment,
 ) -> None:
     connection, _ = await begin_stream(deployment, events=200)
@@ -108,7 +107,7 @@
     connection.close()
 
 
-async def test_an_engine_off_the_list_that_dies_is_found(
+async def test_death_of_unregistered_engine_is_detected(
     deployment: Deployment,
 ) -> None:
     for engine in deployment.engines:
@@ -123,7 +122,7 @@
     connection.close()
 
 
-async def test_a_stream_is_kept_for_as_long_as_its_client_waits(
+async def test_stream_without_replacement_is_kept_while_client_waits(
     deployment: Deployment,
 ) -> None:
     connection, first = await begin_stream(deployment, events=80)
@@ -136,30 +135,32 @@
     assert (reply.whole, reply.body) == (True, events_of(80))
 
 
-async def test_the_place_that_was_found_is_the_one_that_is_taken(
+async def test_stream_moves_to_destination_found_before_it_is_cut(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    # As with a route whose other service has no room.
+    # Every second search fails, as on a route whose other service is at capacity.
     connection, first = await begin_stream(deployment, events=100)
     choose = DestinationChooser.choose
-    asked = 0
+    choice_count = 0
 
-    def every_other(
-        chooser: DestinationChooser, *request: Any, **terms: Any
+    def choose_every_second_time(
+        chooser: DestinationChooser, *request: Any, **options: Any
     ) -> Destination:
-        nonlocal asked
-        asked += 1
-        if asked % 2 == 0:
+        nonlocal choice_count
+        choice_count += 1
+        if choice_count % 2 == 0:
             raise NoCapacityError("the other service is full")
-        return choose(chooser, *request, **terms)
+        return choose(chooser, *request, **options)
 
-    monkeypatch.setattr(DestinationChooser, "choose", every_other)
+    monkeypatch.setattr(DestinationChooser, "choose", choose_every_second_time)
     deployment.entry.router.report_lost(frozenset({first.server_id}))
     assert (await rest_of(connection)).whole
 
 
-async def stream_plainly(handler: chaining_engine._Request, request_id: str) -> None:
-    """Stream events, as a plain service does that has no chain."""
+async def stream_without_chain(
+    handler: chaining_engine._Request, request_id: str
+) -> None:
+    """Stream 60 events, as a server of a plain service does without a chain."""
     handler.set_header("Content-Type", "text/event-stream")
     first = int(handler.request.headers.get("Last-Event-Id", "0")) + 1
     for number in range(first, 61):
@@ -171,10 +172,10 @@
     handler.finish()
 
 
-async def test_a_plain_services_stream_goes_on_once_there_is_a_place(
+async def test_stream_of_plain_service_continues_once_a_server_is_free(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(chaining_engine._Request, "_plain", stream_plainly)
+    monkeypatch.setattr(chaining_engine._Request, "_plain", stream_without_chain)
     tape = {**routes()[0], "name": "tape", "path_prefix": "/tape/"}
     tape["service"] = PLAIN_SERVICE
     changed = configuration(2, routes=[*routes(), tape])
@@ -196,7 +197,7 @@
     assert (await rest_of(connection)).body == events_of(60)
 
 
-async def test_a_full_service_that_resets_connections_finishes_what_runs(
+async def test_full_server_that_resets_connections_completes_running_requests(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def wait_for_a_slot(check: chaining_engine._Health) -> None:
@@ -206,9 +207,9 @@
     monkeypatch.setattr(chaining_engine._Health, "get", wait_for_a_slot)
     for service in deployment.plain:
         service.event_s = 1.5
-    no_tokens = {"Railfold-Token-Counts": "0,0"}
+    token_headers = {"Railfold-Token-Counts": "0,0"}
     connection = await deployment.connect()
-    await connection.send("/slip/1", "u-1", headers=no_tokens)
+    await connection.send("/slip/1", "u-1", headers=token_headers)
     await until(lambda: any(p.runs["u-1"] for p in deployment.plain))
     (full,) = [p for p in deployment.plain if p.runs["u-1"]]
     (other,) = [p for p in deployment.plain if p is not full]
@@ -223,12 +224,12 @@
 
     await until(deployment.all_known)
     monkeypatch.setattr(exchange, "connect", reset_by_full)
-    refused = await deployment.ask("/tray/1", "t-1", headers=no_tokens)
+    refused = await deployment.ask("/tray/1", "t-1", headers=token_headers)
     assert refused.status == 503
     assert (await rest_of(connection)).status == 200
 
 
-async def test_a_request_that_may_not_run_again_is_left_to_its_engine(
+async def test_unrepeatable_request_stays_at_server_reported_lost(
     deployment: Deployment,
 ) -> None:
     for service in deployment.plain:
@@ -242,13 +243,14 @@
     assert runs(deployment, "u-1") == 1
 
 
-async def test_engines_that_nobody_answers_for_are_unheard_and_not_lost(
+async def test_engine_isnt_lost_if_no_server_answers(
     deployment: Deployment,
 ) -> None:
-    """A host whose link is dead hears nobody.
+    """A host whose link is dead receives no answers.
 
-    Probes timed out after the same second as the look that waits for them. Looks that
-    ended just behind them took the time-outs for refusals: one in three, by chance.
+    If probes time out as early as the liveness check that waits for them, a check that
+    ends a moment later takes the timeouts for refusals, and all silent servers count as
+    lost. By chance this affects one check in three.
     """
     for server in (*deployment.engines, *deployment.plain):
         server.mode = "dead"
@@ -259,13 +261,13 @@
     assert engine.registration.layers is not None
     stage = engine.stage(engine.registration.layers)
 
-    async def look_after(delay_s: float) -> Verdict:
+    async def check_after(delay_s: float) -> Verdict:
         await asyncio.sleep(delay_s)
         return await prober._check_liveness([stage])
 
-    # A look goes on in parts of 12.5 ms: these end at moments all over such a part.
-    looks = [look_after(0.0015 * n) for n in range(10)]
-    verdicts = await asyncio.gather(*looks)
+    # A check waits in slices of 12.5 ms. The delays spread its end over a whole slice.
+    checks = [check_after(0.0015 * n) for n in range(10)]
+    verdicts = await asyncio.gather(*checks)
     assert {verdict.lost for verdict in verdicts} == {frozenset()}
     assert {verdict.undecided for verdict in verdicts} == {
         frozenset({engine.server_id})
--- a/tests/unit/test_answer_headers.py
+++ b/tests/unit/test_answer_headers.py
@@ -1,6 +1,8 @@
-"""Each header that the platform's pages name in answers is read, or its reason stands.
+"""Headers that the platform's documentation names in answers of backend servers.
 
-A server in need named a rate limit under a name that nothing read, and nothing said so.
+Guards against a header that is ignored without a warning: a server may state a rate
+limit in a header that no code reads. Each documented header is either read, or listed
+with a reason for not reading it.
 """
 
 from __future__ import annotations
@@ -14,9 +16,8 @@
 from railfold._internal.platform.answer_headers import READ, UNREAD
 from railfold._internal.platform.dialect import PlatformDialect
 
-# The names on the platform's pages, by who sends them, and why those that aren't read
-# are passed over.
-IN_SERVERS_ANSWERS = {
+# The documented headers, with the use of each, or the reason for not reading it.
+DOCUMENTED_HEADERS = {
     "At-Server": "read: who is at fault for a refusal",
     "Railfold-Attempt-Id": "read: which request is answered",
     "Railfold-Instance-Id": "not read: the registration names the server",
@@ -28,34 +29,34 @@
 }
 
 
-def test_every_name_on_the_pages_has_its_line() -> None:
-    read = {n.lower() for n, why in IN_SERVERS_ANSWERS.items() if why[:4] == "read"}
-    unread = {n.lower() for n, why in IN_SERVERS_ANSWERS.items() if why[:3] == "not"}
+def test_each_documented_header_is_listed() -> None:
+    read = {n.lower() for n, use in DOCUMENTED_HEADERS.items() if use[:4] == "read"}
+    unread = {n.lower() for n, use in DOCUMENTED_HEADERS.items() if use[:3] == "not"}
     assert read == READ
     assert unread == UNREAD
-    assert len(read) + len(unread) == len(IN_SERVERS_ANSWERS)
+    assert len(read) + len(unread) == len(DOCUMENTED_HEADERS)
 
 
-def test_a_new_name_is_met_by_a_line_and_not_by_silence(
+def test_unknown_header_is_logged_once(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    names = [*IN_SERVERS_ANSWERS, "Content-Type", "Server", "Server-Pause"]
+    names = [*DOCUMENTED_HEADERS, "Content-Type", "Server", "Server-Pause"]
     head = ResponseHead(200, "OK", tuple((name, "1") for name in names))
-    found = PlatformDialect().unknown_headers(head)
-    assert found == ["server-pause"]
+    unknown_names = PlatformDialect().unknown_headers(head)
+    assert unknown_names == ["server-pause"]
     metrics = Metrics()
-    headers = UnknownHeaderReporter(metrics)
+    reporter = UnknownHeaderReporter(metrics)
     with caplog.at_level(logging.WARNING, logger="absl"):
-        headers.report("i-1", found)
-        headers.report("i-2", found)
+        reporter.report("i-1", unknown_names)
+        reporter.report("i-2", unknown_names)
     assert caplog.text.count("server-pause") == 1
     assert metrics.counters["answers.unknown_headers"] == 2
 
 
-def test_names_that_are_made_up_dont_fill_the_logs(
+def test_arbitrary_header_names_dont_fill_the_log(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
-    headers = UnknownHeaderReporter(Metrics())
+    reporter = UnknownHeaderReporter(Metrics())
     for number in range(1000):
-        headers.report("i-1", [f"server-{number}"])
+        reporter.report("i-1", [f"server-{number}"])
     assert len(caplog.records) <= 32
--- a/tests/unit/test_layer_orders.py
+++ b/tests/unit/test_layer_orders.py
@@ -1,4 +1,8 @@
-"""Orders to engines that still carry out another one."""
+"""Orders to engines that are still executing another order.
+
+Guards against an order that makes an engine start over, and against plans that include
+an engine which is executing an order for other layers.
+"""
 
 from __future__ import annotations
 
@@ -14,16 +18,19 @@
 from railfold._internal.forwarding.dialect import OrderBegun, OrderOutcome
 from railfold._internal.forwarding.servers.layer_orders import LayerOrders
 
-WANTED = LayerRange(0, 9)
-OTHER = LayerRange(10, 19)
+ORDERED_LAYERS = LayerRange(0, 9)
+OTHER_LAYERS = LayerRange(10, 19)
 
 
 @dataclass
 class Engine:
-    """Answers reports and orders; what it was asked to hold is kept."""
+    """Stand-in for an engine, its interface and the platform's dialect.
+
+    It records the layers of all orders, and is busy from the first order on.
+    """
 
     busy: bool = False
-    placed: list[LayerRange] = field(default_factory=list)
+    ordered_layers: list[LayerRange] = field(default_factory=list)
 
     async def call(
         self,
@@ -33,7 +40,7 @@
         check_before_send: Any = None,
     ) -> SimpleNamespace:
         if isinstance(call, LayerRange):
-            self.placed.append(call)
+            self.ordered_layers.append(call)
             self.busy = True
         return SimpleNamespace(head=None, body=b"")
 
@@ -53,7 +60,7 @@
         return OrderBegun()
 
 
-def orders_of(engine: Engine) -> LayerOrders:
+def orders_for(engine: Engine) -> LayerOrders:
     router = SimpleNamespace(
         dialect=engine,
         metrics=SimpleNamespace(count=lambda name: None),
@@ -65,7 +72,7 @@
     )
 
 
-async def given(orders: LayerOrders, layers: LayerRange) -> None:
+async def send_order(orders: LayerOrders, layers: LayerRange) -> None:
     entry = SimpleNamespace(
         server_id="e1",
         registration=SimpleNamespace(layers=None),
@@ -77,27 +84,27 @@
 
 
 @pytest.mark.asyncio
-async def test_an_engine_with_anothers_order_isnt_counted_on() -> None:
+async def test_engine_that_executes_order_of_another_entry_gets_no_order() -> None:
     engine = Engine(busy=True)
-    orders = orders_of(engine)
-    await given(orders, WANTED)
+    orders = orders_for(engine)
+    await send_order(orders, ORDERED_LAYERS)
     now_s = asyncio.get_running_loop().time()
-    assert engine.placed == []
+    assert engine.ordered_layers == []
     assert orders.is_executing("e1", now_s)
-    assert orders.has_other_order("e1", WANTED, now_s)
+    assert orders.has_other_order("e1", ORDERED_LAYERS, now_s)
     assert not orders.is_executing("e1", now_s + 5.0)
 
 
 @pytest.mark.asyncio
-async def test_an_engine_that_is_slow_to_carry_its_order_out_keeps_it() -> None:
+async def test_engine_that_still_executes_its_order_gets_it_only_once() -> None:
     engine = Engine()
-    orders = orders_of(engine)
-    await given(orders, WANTED)
-    await given(orders, WANTED)
+    orders = orders_for(engine)
+    await send_order(orders, ORDERED_LAYERS)
+    await send_order(orders, ORDERED_LAYERS)
     now_s = asyncio.get_running_loop().time()
-    assert engine.placed == [WANTED]
+    assert engine.ordered_layers == [ORDERED_LAYERS]
     assert orders.is_executing("e1", now_s)
-    assert not orders.has_other_order("e1", WANTED, now_s)
-    assert orders.has_other_order("e1", OTHER, now_s)
+    assert not orders.has_other_order("e1", ORDERED_LAYERS, now_s)
+    assert orders.has_other_order("e1", OTHER_LAYERS, now_s)
     orders.forget("e1")
     assert not orders.is_executing("e1", now_s)
--- a/tests/unit/test_liveness.py
+++ b/tests/unit/test_liveness.py
@@ -1,4 +1,8 @@
-"""A backend server is lost only if somebody else was heard meanwhile."""
+"""Liveness checks: a silent backend server is lost only if another one answered.
+
+Guards against live servers that count as lost because this host or the network delays
+all answers, and against dead servers that aren't found because some answers are late.
+"""
 
 from __future__ import annotations
 
@@ -12,19 +16,22 @@
 
 pytestmark = [pytest.mark.asyncio, pytest.mark.looptime]
 
-# How long each backend server takes to answer; never, or at once with a refusal.
+# Special delays of answers: the server never answers, or refuses at once.
 DEAD = float("inf")
 REFUSES = -1.0
 
-NOBODY: Mapping[str, float] = {}
+NO_SERVERS: Mapping[str, float] = {}
 
 
-async def look(
+async def check_liveness(
     suspects: Mapping[str, float],
-    near: Mapping[str, float] = NOBODY,
-    far: Mapping[str, float] = NOBODY,
+    near: Mapping[str, float] = NO_SERVERS,
+    far: Mapping[str, float] = NO_SERVERS,
 ) -> tuple[Verdict, float]:
-    """Return the verdict and how long it took."""
+    """Return the verdict of a liveness check and the duration of the check.
+
+    Each mapping holds the delays of servers' answers in seconds, by server id.
+    """
     answers = {**suspects, **near, **far}
 
     async def ask(server_id: str) -> bool:
@@ -42,79 +49,83 @@
     return verdict, round(loop.time() - started_s, 3)
 
 
-async def test_those_that_answer_are_well() -> None:
-    verdict, took_s = await look({"a": 0.002, "b": 0.004}, {"w": 0.001})
+async def test_servers_that_answer_are_healthy() -> None:
+    verdict, duration_s = await check_liveness({"a": 0.002, "b": 0.004}, {"w": 0.001})
     assert verdict == Verdict(2)
-    assert took_s == 0.004
+    assert duration_s == 0.004
 
 
-async def test_a_silent_one_is_lost_when_a_near_witness_was_heard() -> None:
-    verdict, took_s = await look({"a": DEAD}, {"w": 0.002})
+async def test_silent_server_is_lost_if_near_witness_answers() -> None:
+    verdict, duration_s = await check_liveness({"a": DEAD}, {"w": 0.002})
     assert verdict == Verdict(0, lost=frozenset({"a"}))
-    assert 0.05 <= took_s < 0.08
+    assert 0.05 <= duration_s < 0.08
 
 
-async def test_one_that_answers_is_a_witness_for_the_others() -> None:
-    verdict, took_s = await look({"a": DEAD, "b": 0.002})
+async def test_suspect_that_answers_is_witness_for_other_suspects() -> None:
+    verdict, duration_s = await check_liveness({"a": DEAD, "b": 0.002})
     assert verdict == Verdict(1, lost=frozenset({"a"}))
-    assert 0.05 <= took_s < 0.08
+    assert 0.05 <= duration_s < 0.08
 
 
-async def test_a_refusal_shows_that_the_way_is_open() -> None:
-    verdict, took_s = await look({"a": REFUSES, "b": DEAD}, far={"w": DEAD})
+async def test_refusal_counts_as_answer_of_witness() -> None:
+    verdict, duration_s = await check_liveness(
+        {"a": REFUSES, "b": DEAD}, far={"w": DEAD}
+    )
     assert verdict == Verdict(0, lost=frozenset({"a", "b"}))
-    assert 0.05 <= took_s < 0.08
+    assert 0.05 <= duration_s < 0.08
 
 
-async def test_one_that_refuses_is_lost_at_once() -> None:
-    verdict, took_s = await look({"a": REFUSES}, {"w": DEAD})
+async def test_server_that_refuses_is_lost_at_once() -> None:
+    verdict, duration_s = await check_liveness({"a": REFUSES}, {"w": DEAD})
     assert verdict == Verdict(0, lost=frozenset({"a"}))
-    assert took_s < 0.02
+    assert duration_s < 0.02
 
 
-async def test_a_far_witness_leaves_more_time() -> None:
-    # The way to the suspects' failure domain takes 0.12 s, all others are quick.
-    verdict, _ = await look({"a": 0.12, "b": 0.13}, far={"w": 0.002})
+async def test_slow_path_to_domain_is_no_loss_if_only_far_witness_answers() -> None:
+    # The path to the suspects' failure domain takes 0.12 s; other paths are fast.
+    verdict, _ = await check_liveness({"a": 0.12, "b": 0.13}, far={"w": 0.002})
     assert verdict == Verdict(2)
 
 
-async def test_a_silent_one_is_lost_when_a_far_witness_was_heard() -> None:
-    verdict, took_s = await look({"a": DEAD}, {"v": DEAD}, {"w": 0.002})
+async def test_silent_server_is_lost_if_far_witness_answers() -> None:
+    verdict, duration_s = await check_liveness({"a": DEAD}, {"v": DEAD}, {"w": 0.002})
     assert verdict.lost == {"a"}
-    assert 0.25 <= took_s < 0.28
+    assert 0.25 <= duration_s < 0.28
 
 
-async def test_nobody_is_lost_while_all_come_late() -> None:
-    verdict, _ = await look({"a": 0.4, "b": 0.41}, {"w": 0.405})
+async def test_no_server_is_lost_if_all_answers_are_late() -> None:
+    verdict, _ = await check_liveness({"a": 0.4, "b": 0.41}, {"w": 0.405})
     assert verdict == Verdict(2)
 
 
-async def test_a_silent_one_is_lost_though_all_others_come_late() -> None:
-    verdict, took_s = await look({"a": DEAD, "b": 0.17}, {"w": 0.16})
+async def test_silent_server_is_lost_if_all_other_answers_are_late() -> None:
+    verdict, duration_s = await check_liveness({"a": DEAD, "b": 0.17}, {"w": 0.16})
     assert verdict == Verdict(1, lost=frozenset({"a"}))
-    assert took_s < 0.52
+    assert duration_s < 0.52
 
 
-async def test_one_that_is_connected_to_first_may_take_two_round_trips_more() -> None:
-    # The witness answers over a kept connection.
-    verdict, _ = await look({"a": 0.55, "b": 0.5}, {"w": 0.2})
+async def test_answer_over_new_connection_may_take_more_round_trips() -> None:
+    # The witness answers over an open connection, the suspects over new ones.
+    verdict, _ = await check_liveness({"a": 0.55, "b": 0.5}, {"w": 0.2})
     assert verdict == Verdict(2)
 
 
-async def test_when_nobody_is_heard_nobody_is_lost() -> None:
-    verdict, took_s = await look({"a": DEAD, "b": DEAD}, {"v": DEAD}, {"w": DEAD})
+async def test_no_server_is_lost_if_none_answers() -> None:
+    verdict, duration_s = await check_liveness(
+        {"a": DEAD, "b": DEAD}, {"v": DEAD}, {"w": DEAD}
+    )
     assert verdict == Verdict(0, undecided=frozenset({"a", "b"}))
-    assert took_s == pytest.approx(1.0, abs=0.05)
+    assert duration_s == pytest.approx(1.0, abs=0.05)
 
 
-def hold_the_loop_up(seconds: float) -> None:
-    """Do nothing else for some time, as while something large is decoded."""
+def block_event_loop(seconds: float) -> None:
+    """Block the event loop, as decoding a large message does."""
     time.sleep(seconds)
 
 
 @pytest.mark.looptime(False)
 @pytest.mark.parametrize("after_s", [0.005, 0.02, 0.04])
-async def test_time_in_which_the_loop_is_held_up_doesnt_count(after_s: float) -> None:
-    asyncio.get_running_loop().call_later(after_s, hold_the_loop_up, 0.07)
-    verdict, _ = await look({"a": after_s + 0.09}, {"w": 0.001})
+async def test_time_with_blocked_event_loop_doesnt_count(after_s: float) -> None:
+    asyncio.get_running_loop().call_later(after_s, block_event_loop, 0.07)
+    verdict, _ = await check_liveness({"a": after_s + 0.09}, {"w": 0.001})
     assert verdict == Verdict(1)
