--- a/src/railfold/_internal/forwarding/servers/backoffs.py
+++ b/src/railfold/_internal/forwarding/servers/backoffs.py
@@ -1,7 +1,7 @@
 """Backoffs that backend servers request from this entry by Retry-After.
 
-Processes the answers of servers and the notices of other entries, writes log events and
-metrics, and builds the errors of refused requests.
+This module processes the answers of servers and the notices of other entries, writes
+log events and metrics, and builds the errors of refused requests. The package
 :mod:`railfold._internal.decisions.load_shedding` decides which servers may be sent to.
 """
 
@@ -46,7 +46,7 @@
 
 
 class ServerBackoffs:
-    """Backoffs of all backend servers at this entry.
+    """The backoffs that all backend servers requested from this entry.
 
     ``requested`` is their state, which decides whether a server may be sent to.
     """
--- a/src/railfold/_internal/forwarding/servers/liveness.py
+++ b/src/railfold/_internal/forwarding/servers/liveness.py
@@ -73,7 +73,7 @@
 
 
 class LivenessCheck:
-    """Checks of whether suspected backend servers are alive.
+    """Checks whether suspected backend servers are alive.
 
     :param probe: probes a server, given its id, and returns whether it is healthy. It
         needs no timeout: it is cancelled when its result isn't needed any more.
--- a/src/railfold/_internal/forwarding/servers/rate_limits.py
+++ b/src/railfold/_internal/forwarding/servers/rate_limits.py
@@ -1,8 +1,8 @@
 """Rate limits of backend servers, which all entries keep together.
 
-Reads the limits that servers advertise in their answers, notifies the other entries of
-them, and gets a permit for each request to a server with a limit. The permit comes from
-this entry itself, or from another entry over the peer channel.
+An entry reads the limits that servers advertise in their answers, and notifies the
+other entries of them. It needs a permit for each request to a server with a limit. The
+permit comes from the entry itself, or from another entry over the peer channel.
 """
 
 from __future__ import annotations
@@ -176,13 +176,13 @@
             per_s,
             source,
             self.entry_count,
-            self._own_per_s(server_id),
+            self._issued_per_s(server_id),
         )
         self._log.write(event)
         self._metrics.count(f"rate_limits.{state}")
         self._metrics.gauge("rate_limits.in_force", len(self._limits.in_force))
 
-    def _own_per_s(self, server_id: str) -> float:
+    def _issued_per_s(self, server_id: str) -> float:
         """Return how many permits a second this entry issues for a server."""
         per_s = self._limits.limit_per_s(server_id)
         if per_s is None:
@@ -252,7 +252,7 @@
         descriptions = sorted(
             f"{s} takes {self._limits.limit_per_s(s):g} a second, permits here {rate:g}"
             for s, rate in (
-                (s, self._own_per_s(s)) for s in self.limited_servers(server_ids)
+                (s, self._issued_per_s(s)) for s in self.limited_servers(server_ids)
             )
         )
         return RateLimitedError(
