--- a/src/railfold/_internal/decisions/calls.py
+++ b/src/railfold/_internal/decisions/calls.py
@@ -1,7 +1,9 @@
-"""The life of one call, at its entry and at its agent.
+"""State of one call, at its entry and at the agent that passes it on.
 
-A call goes to one host at a time: a plain service, or the first backend server
-of a chain that forwards the call itself.
+A call is sent to one host at a time: a replica of a plain service, or the first
+backend server of a chain that forwards the call itself. The state machine has no
+I/O and no clock: :meth:`CallLifecycle.apply` takes one event and returns the
+actions to perform, in order.
 """
 
 from __future__ import annotations
@@ -30,7 +32,7 @@
 __all__ = [
     "CallAction",
     "CallAnswered",
-    "CallCallerGone",
+    "CallCallerDisconnected",
     "CallDeadlinePassed",
     "CallEvent",
     "CallHostChosen",
@@ -38,8 +40,8 @@
     "CallHostRefused",
     "CallLifecycle",
     "CallLimits",
+    "CallNotSent",
     "CallRegister",
-    "CallUnsent",
     "ChooseHost",
     "FinishCall",
     "NoHost",
@@ -49,14 +51,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CallHostChosen:
-    """The host to send the call to."""
+    """A host was chosen for the call."""
 
     host: str
 
 
 @dataclass(frozen=True, slots=True)
 class NoHost:
-    """No host can take the call now, or no retry is allowed."""
+    """No host can take the call now, or no retry is allowed.
+
+    :param retry_after_s: after which time the caller may send the call again.
+    """
 
     error: RailfoldError
     retry_after_s: float
@@ -64,14 +69,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CallAnswered:
-    """The service answered."""
+    """The host returned the whole answer."""
 
     host: str
 
 
 @dataclass(frozen=True, slots=True)
 class CallHostRefused:
-    """The agent gave no answer; ``started`` tells if the call may have run."""
+    """The host refused the call or failed to answer it.
+
+    :param started: whether the call may have run.
+    """
 
     host: str
     started: bool
@@ -79,8 +87,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallUnsent:
-    """Nothing was sent, since the host takes no calls any more; others may."""
+class CallNotSent:
+    """Nothing was sent, because the host no longer takes calls; another host may."""
 
     host: str
     reason: str
@@ -88,10 +96,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallHostLost:
-    """The host is dead, replaced or unreachable, or broke its answer off.
+    """The host is dead, replaced or unreachable, or its answer broke off.
 
-    It counts as one that ran the call: neither silence nor a missing registration
-    proves that it has ended.
+    The call counts as run: neither a host that doesn't answer nor one whose
+    registration is missing is proven to have stopped working on the call.
     """
 
     host: str
@@ -103,8 +111,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CallCallerGone:
-    """The caller closed its connection."""
+class CallCallerDisconnected:
+    """The caller closed its connection before the outcome."""
 
 
 CallEvent = (
@@ -112,16 +120,20 @@
     | NoHost
     | CallAnswered
     | CallHostRefused
-    | CallUnsent
+    | CallNotSent
     | CallHostLost
     | CallDeadlinePassed
-    | CallCallerGone
+    | CallCallerDisconnected
 )
 
 
 @dataclass(frozen=True, slots=True)
 class ChooseHost:
-    """Choose a host outside ``exclude``."""
+    """Choose a host that isn't in ``exclude``.
+
+    :param is_retry: whether the call was sent before, so that the retry budget
+        applies.
+    """
 
     exclude: frozenset[str]
     is_retry: bool
@@ -136,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishCall:
-    """The final outcome; nothing follows it."""
+    """End the call with its final outcome; no other action follows."""
 
     outcome: Outcome
 
@@ -148,14 +160,16 @@
 
 @dataclass(frozen=True, slots=True)
 class CallLimits:
-    """Bounds of one call.
+    """Limits on the retries of one call.
 
-    :param max_tries: how often it is sent; refused tries cost little.
-    :param max_runs: how many hosts may run it.
+    :param max_sends: how many times the call is sent. A refused send costs the
+        hosts little.
+    :param max_lost_hosts: the call ends when this many hosts were lost after it
+        was sent to them, because each of them may have run it.
     """
 
-    max_tries: int = 4
-    max_runs: int = 4
+    max_sends: int = 4
+    max_lost_hosts: int = 4
 
 
 class _Phase(Enum):
@@ -173,78 +187,81 @@
     def __init__(self, *, repeatable: bool, limits: CallLimits) -> None:
         self._repeatable = repeatable
         self._limits = limits
-        self._runs = 0
+        self._lost_hosts = 0
         self._phase = _Phase.CHOOSING
         self._host = ""
-        self._tries = 0
+        self._sends = 0
         self._excluded: set[str] = set()
         self._may_have_run = False
 
     @property
     def done(self) -> bool:
-        """Whether the final outcome was given."""
+        """Whether the call has its final outcome."""
         return self._phase is _Phase.DONE
 
     @property
     def host(self) -> str:
-        """The host the call was sent to last."""
+        """The host that the call was last sent to; empty before the first send."""
         return self._host
 
     def excluded_after_loss(self) -> frozenset[str] | None:
-        """Return which hosts are left out if the call's host is lost now.
+        """Return the hosts that a retry would exclude if the current host is lost now.
 
-        Nothing if the call would be given up.
+        Return None if no retry would follow.
         """
-        blocked = self._phase is not _Phase.SENT or not self._repeatable
-        if blocked or self._spent(self._runs + 1):
+        cannot_retry = self._phase is not _Phase.SENT or not self._repeatable
+        if cannot_retry or self._limits_reached(self._lost_hosts + 1):
             return None
         return frozenset({*self._excluded, self._host})
 
-    def _spent(self, runs: int) -> bool:
+    def _limits_reached(self, lost_hosts: int) -> bool:
         limits = self._limits
-        return self._tries >= limits.max_tries or runs >= limits.max_runs
+        return self._sends >= limits.max_sends or lost_hosts >= limits.max_lost_hosts
 
     def start(self) -> list[CallAction]:
-        """Begin: ask for a host."""
+        """Return the first action, which asks for a host."""
         return [ChooseHost(frozenset(), is_retry=False)]
 
     def apply(self, event: CallEvent) -> list[CallAction]:
-        """Take one event; return what to do about it."""
+        """Process one event; return the actions to perform, in order.
+
+        Events after the final outcome are ignored.
+        """
         if self.done:
             return []
         match event:
             case CallHostChosen(host=host):
                 return self._send(host)
             case NoHost(error=error, retry_after_s=retry_after_s):
-                return self._give_up(error, retry_after_s)
+                return self._finish_without_answer(error, retry_after_s)
             case CallAnswered(host=host):
                 return self._finish(Answered()) if host == self._host else []
             case CallHostRefused(host=host, started=started, reason=reason):
                 error = NoCapacityError(f"host {host} gave no answer", why=reason)
                 return self._retry(host, error, may_have_run=started)
-            case CallUnsent(host=host, reason=reason):
+            case CallNotSent(host=host, reason=reason):
                 error = NoCapacityError(f"host {host} takes no call", why=reason)
                 return self._choose_another(host, error)
             case CallHostLost(host=host):
-                lost = EngineUnavailableError(
+                lost_error = EngineUnavailableError(
                     f"host {host} was lost while it had the call"
                 )
-                self._runs += 1
-                return self._retry(host, lost, may_have_run=True)
+                self._lost_hosts += 1
+                return self._retry(host, lost_error, may_have_run=True)
             case CallDeadlinePassed():
                 error = DeadlineExpiredError(
                     "the call's deadline passed before its answer came"
                 )
-                return self._abandon(error)
-            case CallCallerGone():
-                return self._abandon(EngineError("the caller closed its connection"))
+                return self._abort(error)
+            case CallCallerDisconnected():
+                return self._abort(EngineError("the caller closed its connection"))
 
     def _send(self, host: str) -> list[CallAction]:
         if self._phase is not _Phase.CHOOSING:
             return []
         self._phase = _Phase.SENT
         self._host = host
-        self._tries += 1
+        self._sends += 1
         return [SendCall(host)]
 
     def _retry(
@@ -254,27 +271,32 @@
             return []
         self._may_have_run = self._may_have_run or may_have_run
         self._excluded.add(host)
-        blocked = self._may_have_run and not self._repeatable
-        if blocked or self._spent(self._runs):
-            return self._give_up(error, _RETRY_AFTER_S)
+        cannot_retry = self._may_have_run and not self._repeatable
+        if cannot_retry or self._limits_reached(self._lost_hosts):
+            return self._finish_without_answer(error, _RETRY_AFTER_S)
         self._phase = _Phase.CHOOSING
         return [ChooseHost(frozenset(self._excluded), is_retry=True)]
 
     def _choose_another(self, host: str, error: RailfoldError) -> list[CallAction]:
-        """Choose again; a retry is only what follows a call that was sent."""
+        """Ask for another host after nothing was sent to this one.
+
+        The next send counts as a retry only if an earlier host received the call.
+        """
         if self._phase is not _Phase.SENT or host != self._host:
             return []
-        if self._spent(self._runs):
-            return self._give_up(error, _RETRY_AFTER_S)
+        if self._limits_reached(self._lost_hosts):
+            return self._finish_without_answer(error, _RETRY_AFTER_S)
         self._phase = _Phase.CHOOSING
         excluded = frozenset(self._excluded)
         return [ChooseHost(excluded, is_retry=bool(excluded))]
 
-    def _abandon(self, error: RailfoldError) -> list[CallAction]:
+    def _abort(self, error: RailfoldError) -> list[CallAction]:
         self._may_have_run = self._may_have_run or self._phase is _Phase.SENT
-        return self._give_up(error, _RETRY_AFTER_S)
+        return self._finish_without_answer(error, _RETRY_AFTER_S)
 
-    def _give_up(self, error: RailfoldError, retry_after_s: float) -> list[CallAction]:
+    def _finish_without_answer(
+        self, error: RailfoldError, retry_after_s: float
+    ) -> list[CallAction]:
         if not self._may_have_run and not self._excluded:
             return self._finish(NotRun(NeverSent(), error, retry_after_s))
         if not self._may_have_run:
@@ -283,7 +305,7 @@
             return self._finish(NotRun(proof, error, retry_after_s))
         if self._repeatable:
             return self._finish(Failed(error, retry_after_s))
-        # Coming back with a new request could run it twice: no Retry-After.
+        # No Retry-After: a new request from the caller could run the call twice.
         return self._finish(Unknown(error))
 
     def _finish(self, outcome: Outcome) -> list[CallAction]:
@@ -292,9 +314,11 @@
 
 
 class CallRegister:
-    """An agent's memory of the calls it has passed on, bounded.
+    """Request ids of the calls that an agent has passed on to its service.
+
+    Each request id is passed on at most once, as long as it is remembered.
 
-    A request id is passed on at most once in an agent's life.
+    :param max_remembered: how many ids are kept; the oldest are dropped first.
     """
 
     def __init__(self, max_remembered: int = 65536) -> None:
@@ -304,7 +328,7 @@
         self.running = 0
 
     def admit(self, request_id: str) -> bool:
-        """Return whether the call may be passed on; remembers it if so."""
+        """Return whether the call may be passed on; if so, remember its id."""
         if request_id in self._seen:
             return False
         self._seen[request_id] = None
--- a/src/railfold/_internal/forwarding/servers/layer_orders.py
+++ b/src/railfold/_internal/forwarding/servers/layer_orders.py
@@ -113,7 +113,7 @@
                     self._execution_wait_s.pop(entry.server_id, None)
                     await self._wait_until_loaded(entry, order.layers, load_s)
                 case OrderFenced():
-                    self._leadership.fenced(order.fencing)
+                    self._leadership.record_refused_token(order.fencing_token)
                 case OrderRefused() | OrderUnsettled():
                     pass  # The reconciler gives the order again when it is due.
         finally:
@@ -127,7 +127,7 @@
             entry.server_id,
             str(order.layers),
             str(held_layers) if held_layers else "none",
-            order.fencing,
+            order.fencing_token,
             _outcome_text(outcome),
         )
         self._router.metrics.count("orders.given")
@@ -146,7 +146,9 @@
                 # A new order would make the engine start over.
                 self._record_executing(entry.server_id)
                 return OrderRefused("it is still executing an order")
-            call = dialect.place_call(order.layers, order.fencing, report.order_count)
+            call = dialect.place_call(
+                order.layers, order.fencing_token, report.order_count
+            )
             response = await self._calls.call(
                 entry, call, _ORDER_TIMEOUT_S, lambda: self._require_lease(order)
             )
@@ -176,7 +178,7 @@
 
         :raises LeaseLostError: this entry doesn't hold the lease any more.
         """
-        if self._leadership.fencing(self._loop.time()) != order.fencing:
+        if self._leadership.current_token(self._loop.time()) != order.fencing_token:
             raise LeaseLostError("the lease was lost before the order was sent")
 
     async def _wait_until_loaded(
