--- a/src/railfold/_internal/forwarding/servers/placement.py
+++ b/src/railfold/_internal/forwarding/servers/placement.py
@@ -379,15 +379,15 @@
         model: EngineModel,
         now_s: float,
     ) -> None:
-        fencing = self._leadership.current_token(now_s)
-        if fencing is None:
+        fencing_token = self._leadership.current_token(now_s)
+        if fencing_token is None:
             return
         held_layers = entry.registration.layers
         load_s = self._load_s(held_layers, layers, model, now_s)
         reconciler = self._reconciler(entry.server_id, model)
         loaded = (model.name, "", held_layers) if held_layers is not None else None
         decision = reconciler.decide(
-            (LoadOrder(model.name, "", layers, fencing), 0),
+            (LoadOrder(model.name, "", layers, fencing_token), 0),
             loaded=loaded,
             engine_fencing_token=0,
             open_sequences=0,
