--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -371,7 +371,7 @@
         """Accept clients once it is known where their requests may go."""
         known = self._registrations_known and self._quarantine_known
         if self.router.table is not None and known:
-            self._clients.begin.set()
+            self._clients.can_answer.set()
 
     def _on_proof_failure(self) -> None:
         """Find out at once whether the store is lost: another read may wait on it."""
@@ -415,7 +415,7 @@
 
     # Clients' requests
 
-    def request(
+    def handle_request(
         self,
         exchange: ClientExchange,
         method: str,
@@ -466,7 +466,7 @@
         owner = table.credentials.get(self.router.dialect.credential(headers))
         return owner.workspace if owner is not None else ""
 
-    def refuse_unread(self, exchange: ClientExchange) -> None:
+    def refuse_early(self, exchange: ClientExchange) -> None:
         """Answer a request whose body there is no memory for."""
         held_mb = self._held.total_bytes / 1e6
         error = MemoryShortError(
@@ -474,7 +474,7 @@
             why=f"{held_mb:.1f} MB are held for clients",
             hint="come back after Retry-After",
         )
-        self._refusals.refuse_unread(exchange, error)
+        self._refusals.refuse_early(exchange, error)
 
     def client_gone(self, exchange: ClientExchange) -> None:
         """A client closed its connection."""
--- a/src/railfold/_internal/forwarding/requests/client_answer.py
+++ b/src/railfold/_internal/forwarding/requests/client_answer.py
@@ -15,16 +15,16 @@
     status_of,
 )
 
-__all__ = ["ClientAnswer", "GatheredAnswer"]
+__all__ = ["BufferedAnswer", "ClientAnswer"]
 
 _OK = 200
 
 # The answer was cut off; its status had been sent before.
-_CUT_OFF = 0
+_ABORTED = 0
 
 
 @dataclass(slots=True)
-class GatheredAnswer:
+class BufferedAnswer:
     """An answer of a backend server that is held back until it is whole."""
 
     head: ResponseHead
@@ -47,20 +47,20 @@
 
     def __init__(self, client: ClientExchange) -> None:
         self._client = client
-        self._failure: GatheredAnswer | None = None
+        self._server_failure: BufferedAnswer | None = None
 
     @property
-    def begun(self) -> bool:
+    def head_sent(self) -> bool:
         """Whether the client has the head of an answer."""
         return self._client.head_sent
 
-    def begin(self, head: ResponseHead, *, with_length: bool) -> None:
+    def send_head(self, head: ResponseHead, *, with_length: bool) -> None:
         """Send the head, if none was sent: a resumed answer keeps its first."""
         if not self._client.head_sent:
             headers = end_to_end_headers(head, with_length=with_length)
             self._client.send_head(head.status, head.reason, headers)
 
-    def go_on(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Send a part of the body."""
         self._client.send_body(data)
 
@@ -73,55 +73,57 @@
         """Call back once the client has read what was sent, or is gone."""
         self._client.call_when_read(callback)
 
-    def gather(self, size_bytes: int) -> bool:
+    def reserve_buffer(self, size_bytes: int) -> bool:
         """Count bytes of an answer that are held back; return whether they fit."""
-        if self._client.holding.try_reserve(size_bytes):
+        if self._client.reservation.try_reserve(size_bytes):
             return True
-        self._client.holding.reserve_unchecked(size_bytes)
+        self._client.reservation.reserve_unchecked(size_bytes)
         return False
 
-    def end(self) -> None:
+    def finish(self) -> None:
         """The answer is whole."""
         self._client.finish()
 
-    def deliver(self, answer: GatheredAnswer) -> None:
+    def send_buffered(self, answer: BufferedAnswer) -> None:
         """Send a whole answer."""
-        self.let_go(answer)
+        self.release_buffer(answer)
         headers = end_to_end_headers(answer.head, with_length=False)
         self._client.reply(answer.head.status, headers, answer.body, answer.head.reason)
 
-    def let_go(self, answer: GatheredAnswer) -> None:
+    def release_buffer(self, answer: BufferedAnswer) -> None:
         """Count a gathered answer as held back no more."""
-        self._client.holding.release_bytes(answer.size)
+        self._client.reservation.release_bytes(answer.size)
 
-    def keep_failure(self, answer: GatheredAnswer | None) -> None:
+    def keep_failure(self, answer: BufferedAnswer | None) -> None:
         """Keep a backend server's failure, to be sent if nothing better comes."""
-        self._failure = answer
+        self._server_failure = answer
 
-    def conclude(self, outcome: Outcome) -> int:
+    def send_outcome(self, outcome: Outcome) -> int:
         """Send what a final outcome asks for; return the status."""
         match outcome:
             case Answered():
                 return _OK
             case NotRun(error=error, retry_after_s=retry_after_s):
-                return self._refuse(error, retry_after_s, not_run=True)
+                return self._reply_with_error(error, retry_after_s, not_run=True)
             case Failed(error=error, retry_after_s=retry_after_s):
-                return self._fail(error, retry_after_s)
+                return self._reply_with_failure(error, retry_after_s)
             case Unknown(error=error):
-                return self._fail(error, None)
+                return self._reply_with_failure(error, None)
 
-    def _fail(self, error: RailfoldError, retry_after_s: float | None) -> int:
-        if self._failure is not None and not self._client.head_sent:
-            self.deliver(self._failure)
-            return self._failure.head.status
-        return self._refuse(error, retry_after_s, not_run=False)
+    def _reply_with_failure(
+        self, error: RailfoldError, retry_after_s: float | None
+    ) -> int:
+        if self._server_failure is not None and not self._client.head_sent:
+            self.send_buffered(self._server_failure)
+            return self._server_failure.head.status
+        return self._reply_with_error(error, retry_after_s, not_run=False)
 
-    def _refuse(
+    def _reply_with_error(
         self, error: RailfoldError, retry_after_s: float | None, *, not_run: bool
     ) -> int:
         if self._client.head_sent:
             self._client.abort()
-            return _CUT_OFF
+            return _ABORTED
         status = status_of(error, not_run=not_run)
         headers, body = error_reply(error, retry_after_s)
         self._client.reply(status, headers, body)
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -49,15 +49,15 @@
     RequestQuarantine,
 )
 from railfold._internal.forwarding.requests.client_answer import (
+    BufferedAnswer,
     ClientAnswer,
-    GatheredAnswer,
 )
 from railfold._internal.forwarding.requests.destination import Destination
 from railfold._internal.forwarding.requests.destination_search import (
     DestinationSearch,
 )
 from railfold._internal.forwarding.requests.destinations import DestinationChooser
-from railfold._internal.forwarding.requests.exchange import EngineExchange
+from railfold._internal.forwarding.requests.exchange import ServerExchange
 from railfold._internal.forwarding.requests.front import ClientExchange
 from railfold._internal.forwarding.requests.prediction import predict
 from railfold._internal.forwarding.requests.relocation import Relocation
@@ -76,11 +76,11 @@
 
 # A stream whose backend servers all answer, and which yet is silent for this
 # long, is taken elsewhere: clients leave after 2 s or more.
-_ABANDON_SILENT_S = 1.3
+_MAX_SILENCE_S = 1.3
 
 # Answers of plain calls are gathered up to this size, so that one that breaks
 # off can be repeated; a larger one is passed on as it comes.
-_GATHER_BYTES = 256 * 1024
+_MAX_BUFFERED_BYTES = 256 * 1024
 
 
 class RequestDriver:
@@ -111,32 +111,32 @@
             repeatable=routed.route.repeatable,
             limits=CallLimits(_MAX_TRIES, max(1, routed.route.max_attempts)),
         )
-        self._exchange: EngineExchange | None = None
+        self._exchange: ServerExchange | None = None
         self._destination: Destination | None = None
         self._attempts = 0
         self._sent_s = 0.0
         self._resumed_after = 0
         # Whether the attempt before broke off, which may be a server's end.
-        self._broke_off = False
+        self._interrupted = False
         # Whether the attempt under way was told of as one that runs well.
-        self._runs_well = False
+        self._success_recorded = False
         # Whether its answer asks for a backoff.
-        self._backed_off = False
+        self._backoff_requested = False
         # What the attempt under way adds to its servers' load.
-        self._part = EntryLoad(1, 1)
-        self._kind: AnswerKind | None = None
-        self._gathered: GatheredAnswer | None = None
+        self._attempt_load = EntryLoad(1, 1)
+        self._answer_kind: AnswerKind | None = None
+        self._buffered_answer: BufferedAnswer | None = None
         self._cursor = EventCursor(routed.request.last_event_id)
         self._streaming = False
         # Whether its answer isn't read on until its client has read more of it.
         self._paused = False
-        self._watch = StreamWatch(router.activity, self._silent)
-        self._cause = ""
+        self._watch = StreamWatch(router.activity, self._on_silence)
+        self._failure_cause = ""
         self._relocation = Relocation(self)
         self._search = DestinationSearch(
             routed, router, destinations, quarantine, room, self
         )
-        self._deadline = self._loop.call_at(
+        self._deadline_timer = self._loop.call_at(
             routed.deadline_s, self._feed, CallDeadlinePassed()
         )
 
@@ -147,7 +147,7 @@
 
     def client_gone(self) -> None:
         """The client closed its connection."""
-        self._cause = "the client went away"
+        self._failure_cause = "the client went away"
         self._feed(CallCallerGone())
 
     def servers_lost(self, server_ids: frozenset[str]) -> None:
@@ -155,15 +155,19 @@
         destination = self._destination
         if destination is None or self._exchange is None:
             return
-        lost = server_ids.intersection(destination.server_ids)
-        if not lost:
+        lost_ids = server_ids.intersection(destination.server_ids)
+        if not lost_ids:
             return
-        self._note_broken_off()
-        first = destination.server.host
-        if first not in lost and destination.chain is not None and self._started:
-            self._loop.create_task(self._reroute(destination.chain, lost))
+        self._record_interruption()
+        first_server_id = destination.server.host
+        if (
+            first_server_id not in lost_ids
+            and destination.chain is not None
+            and self._answer_started
+        ):
+            self._loop.create_task(self._reroute(destination.chain, lost_ids))
             return
-        self._relocation.move_from_lost("lost " + ", ".join(sorted(lost)))
+        self._relocation.move_from_lost_server("lost " + ", ".join(sorted(lost_ids)))
 
     def servers_ended(self, server_ids: frozenset[str]) -> None:
         """These incarnations surely ended, and all that ran there with them.
@@ -174,9 +178,9 @@
         destination = self._destination
         if destination is None or self._exchange is None:
             return
-        on_its_own = not self._route.repeatable and not self._started
-        if on_its_own and destination.server.host in server_ids:
-            self._note_broken_off()
+        depends_on_server = not self._route.repeatable and not self._answer_started
+        if depends_on_server and destination.server.host in server_ids:
+            self._record_interruption()
             self.end_attempt("its backend server has started again")
             return
         self.servers_lost(server_ids)
@@ -186,12 +190,12 @@
         destination = self._destination
         if destination is None or destination.chain != chain:
             return
-        if self._watch.flowing and not self._paused:
+        if self._watch.has_events and not self._paused:
             self._relocation.move("its chain stands still")
 
     @property
-    def _started(self) -> bool:
-        return self._kind is not None
+    def _answer_started(self) -> bool:
+        return self._answer_kind is not None
 
     # The lifecycle's actions
 
@@ -205,8 +209,8 @@
                     self._search.search(
                         exclude,
                         is_retry=is_retry,
-                        broke_off=self._broke_off,
-                        begun=self._answer.begun,
+                        broke_off=self._interrupted,
+                        begun=self._answer.head_sent,
                     )
                 case SendCall():
                     self._send()
@@ -220,7 +224,7 @@
 
     def destination_refused(self, error: RailfoldError) -> None:
         """There is no place for a next attempt."""
-        self._cause = str(error)
+        self._failure_cause = str(error)
         self._feed(NoHost(error, self._router.return_after_s(error)))
 
     def _send(self) -> None:
@@ -230,7 +234,9 @@
         now_s = self._loop.time()
         self._attempts += 1
         self._sent_s = now_s
-        self._broke_off = self._runs_well = self._backed_off = self._paused = False
+        self._interrupted = self._success_recorded = self._backoff_requested = (
+            self._paused
+        ) = False
         resume_after = self._cursor.last_id
         self._resumed_after = resume_after or 0
         if self._attempts > 1:
@@ -244,29 +250,29 @@
             workspace=self._owner.workspace if self._owner else None,
             resume_after=resume_after,
             priority=self._routed.priority,
-            urgent=self._answer.begun,
+            urgent=self._answer.head_sent,
         )
-        self._kind = None
-        self._gathered = None
+        self._answer_kind = None
+        self._buffered_answer = None
         # A call to a plain service is one, whatever its headers say of tokens.
         is_model = destination.chain is not None
         size = self._request.size
-        self._part = EntryLoad(1, 1)
+        self._attempt_load = EntryLoad(1, 1)
         if is_model:
-            self._part = EntryLoad(
-                self._held_tokens(destination), 1, size.prompt_tokens
+            self._attempt_load = EntryLoad(
+                self._state_tokens(destination), 1, size.prompt_tokens
             )
         prediction = None
         if destination.chain is not None:
             prediction = predict(router, destination.chain, size)
-        router.count(destination, self._part)
-        self._exchange = EngineExchange(
+        router.count(destination, self._attempt_load)
+        self._exchange = ServerExchange(
             self._request,
             plan,
             router.dialect,
             router.pool,
             self,
-            self._check,
+            self._check_sendable,
             repeatable=self._route.repeatable,
         )
         self._log.attempt_started(
@@ -275,7 +281,7 @@
         self._exchange.start()
         self._watch_chain(destination)
 
-    def _held_tokens(self, destination: Destination) -> int:
+    def _state_tokens(self, destination: Destination) -> int:
         """Return what the request holds of its engines' memory."""
         size = self._request.size
         model = self._router.model_of_service(destination.service)
@@ -283,7 +289,7 @@
             return max(1, size.total)
         return max(1, model.mean_state_tokens(size.prompt_tokens, size.answer_tokens))
 
-    def _check(self) -> None:
+    def _check_sendable(self) -> None:
         """Look once more at what may have changed while the request waited.
 
         A stream in the middle of its answer was allowed when it was sent, and may
@@ -292,18 +298,18 @@
         request = self._request
         if self._loop.time() >= self._routed.deadline_s:
             raise DeadlineExpiredError("its client doesn't wait any more")
-        if not self._answer.begun:
+        if not self._answer.head_sent:
             self._router.require_fresh(self._route)
         self._router.check_permission(self._route, request.path, request.credential)
         self._quarantine.check(request, self._owner, on_trial=self._routed.on_trial)
         assert self._destination is not None
         server_id = self._destination.server.host
         router = self._router
-        bar = router.eligibility.reason_against_send(server_id, self._loop.time())
-        if bar is not None:
+        reason = router.eligibility.reason_against_send(server_id, self._loop.time())
+        if reason is not None:
             router.metrics.count("attempts.not_eligible")
             raise ServerNotEligibleError(
-                f"server {server_id} takes no request now", why=type(bar).__name__
+                f"server {server_id} takes no request now", why=type(reason).__name__
             )
         router.backoffs.record_send(server_id, request.request_id)
 
@@ -311,7 +317,7 @@
 
     def attempt_unsent(self, reason: str, error: RequestError | None) -> None:
         """Nothing was sent."""
-        destination = self._release()
+        destination = self._release_attempt()
         if destination is None:
             return
         server_id = destination.server.host
@@ -330,20 +336,20 @@
     def attempt_lost(self, reason: str) -> None:
         """No whole answer comes of the attempt."""
         if self._destination is not None:
-            self._note_broken_off()
+            self._record_interruption()
             self._prober.doubt(self._destination.server.host)
         self.end_attempt(reason)
 
-    def _note_broken_off(self) -> None:
+    def _record_interruption(self) -> None:
         """Keep what may have ended the attempt's backend servers."""
         destination = self._destination
         assert destination is not None
-        self._broke_off = True
+        self._interrupted = True
         figures = RunFigures(
             destination.service,
             destination.server_ids,
             self._sent_s,
-            self._watch.moved_s,
+            self._watch.event_span_s,
             self._resumed_after,
             streams=self._route.kind is RouteKind.STREAM,
         )
@@ -351,10 +357,10 @@
 
     def answer_head(self, kind: AnswerKind, head: ResponseHead) -> None:
         """The head of an answer came."""
-        self._kind = kind
+        self._answer_kind = kind
         destination = self._destination
         if destination is not None:
-            self._backed_off = self._router.statements.record_answer(
+            self._backoff_requested = self._router.statements.record_answer(
                 destination.server.host,
                 kind,
                 head,
@@ -364,51 +370,56 @@
         is_stream = self._route.kind is RouteKind.STREAM and _holds_events(head)
         if isinstance(kind, ServedAnswer) and is_stream:
             self._streaming = True
-            self._answer.begin(head, with_length=False)
+            self._answer.send_head(head, with_length=False)
             return
-        self._gathered = GatheredAnswer(head)
+        self._buffered_answer = BufferedAnswer(head)
 
-    def _count_as_read(self) -> None:
+    def _record_prompt_read(self) -> None:
         """The prompt of the attempt under way was read."""
-        unread = EntryLoad(pending_prompt_tokens=self._part.pending_prompt_tokens)
-        if self._destination is not None and unread.pending_prompt_tokens:
-            self._router.uncount(self._destination, unread)
-            self._part = replace(self._part, pending_prompt_tokens=0)
+        pending_prompt = EntryLoad(
+            pending_prompt_tokens=self._attempt_load.pending_prompt_tokens
+        )
+        if self._destination is not None and pending_prompt.pending_prompt_tokens:
+            self._router.uncount(self._destination, pending_prompt)
+            self._attempt_load = replace(self._attempt_load, pending_prompt_tokens=0)
 
     def answer_body(self, data: bytes) -> None:
         """Bytes of a body came."""
-        if self._gathered is None:
-            self._pass_events(data)
+        if self._buffered_answer is None:
+            self._forward_data(data)
             return
-        gathered = self._gathered
-        has_room = self._answer.gather(len(data))
-        gathered.add(data)
-        is_large = gathered.size > _GATHER_BYTES or not has_room
-        if is_large and isinstance(self._kind, ServedAnswer):
-            self._pass_on_from_now(gathered)
+        buffered = self._buffered_answer
+        fits = self._answer.reserve_buffer(len(data))
+        buffered.add(data)
+        is_large = buffered.size > _MAX_BUFFERED_BYTES or not fits
+        if is_large and isinstance(self._answer_kind, ServedAnswer):
+            self._stop_buffering(buffered)
 
     def answer_ended(self) -> None:
         """An answer is whole."""
-        kind, gathered = self._kind, self._gathered
+        kind, buffered = self._answer_kind, self._buffered_answer
         destination = self._destination
         if destination is None:
             return
         server_id = destination.server.host
         match kind:
             case ServedAnswer():
-                self._answered(server_id, gathered)
+                self._answered(server_id, buffered)
             case NotExecuted(reason=reason) as refusal:
-                self._release()
+                self._release_attempt()
                 self._search.rejected()
                 self._log_attempt(server_id, reason)
                 self._prober.not_executed(
-                    server_id, refusal, self._part.tokens, backed_off=self._backed_off
+                    server_id,
+                    refusal,
+                    self._attempt_load.tokens,
+                    backed_off=self._backoff_requested,
                 )
                 self._feed(CallHostRefused(server_id, started=False, reason=reason))
             case ServerFailure():
-                self._answer.keep_failure(gathered)
+                self._answer.keep_failure(buffered)
                 self._prober.failed(server_id)
-                status = gathered.head.status if gathered else 0
+                status = buffered.head.status if buffered else 0
                 self.end_attempt(f"it answered {status}")
             case UnusableAnswer(reason=reason):
                 self._prober.failed(server_id)
@@ -416,42 +427,42 @@
             case _:
                 self.end_attempt("its answer has no head")
 
-    def _answered(self, server_id: str, gathered: GatheredAnswer | None) -> None:
-        if self._streaming and gathered is None and self._cursor.partial:
+    def _answered(self, server_id: str, buffered: BufferedAnswer | None) -> None:
+        if self._streaming and buffered is None and self._cursor.partial:
             self.end_attempt("it ended within an event")
             return
         self._prober.served(server_id)
         self._quarantine.record_success(self._request, self._owner)
-        if gathered is not None:
-            self._answer.deliver(gathered)
+        if buffered is not None:
+            self._answer.send_buffered(buffered)
         else:
-            self._answer.end()
+            self._answer.finish()
         self._feed(CallAnswered(server_id))
 
-    def _pass_events(self, data: bytes) -> None:
-        since_s = self._watch.progressed()
-        self._relocation.progressed()
-        whole = self._cursor.feed(data) if self._streaming else data
-        if whole:
-            self._count_as_read()
-            if not self._watch.flowing:
+    def _forward_data(self, data: bytes) -> None:
+        gap_s = self._watch.bytes_received()
+        self._relocation.record_progress()
+        complete_events = self._cursor.feed(data) if self._streaming else data
+        if complete_events:
+            self._record_prompt_read()
+            if not self._watch.has_events:
                 self._record_first_event()
-            self._watch.event(since_s)
-            self._go_on(whole)
-            self._tell_if_well()
+            self._watch.events_received(gap_s)
+            self._send_to_client(complete_events)
+            self._record_success_if_stable()
 
     def _record_first_event(self) -> None:
         """The attempt under way brought its first event."""
         destination = self._destination
         if destination is not None:
-            seen_s = self._loop.time() - self._sent_s
+            first_event_s = self._loop.time() - self._sent_s
             self._router.record_first_event(
-                destination, seen_s, self._route.objective_s
+                destination, first_event_s, self._route.objective_s
             )
 
-    def _go_on(self, data: bytes) -> None:
+    def _send_to_client(self, data: bytes) -> None:
         """Send a part of the body, and wait for a client that doesn't read."""
-        self._answer.go_on(data)
+        self._answer.send_body(data)
         exchange = self._exchange
         if exchange is None or self._paused or not self._answer.congested:
             return
@@ -461,25 +472,25 @@
 
         def resume() -> None:
             self._paused = False
-            self._watch.progressed()
+            self._watch.bytes_received()
             exchange.resume()
 
         self._answer.call_when_read(resume)
 
-    def _tell_if_well(self) -> None:
+    def _record_success_if_stable(self) -> None:
         """Tell once that the stream moves for longer than a crash takes."""
-        if self._runs_well or self._watch.moved_s < CLEARED_AFTER_S:
+        if self._success_recorded or self._watch.event_span_s < CLEARED_AFTER_S:
             return
-        self._runs_well = True
+        self._success_recorded = True
         last_event = self._cursor.last_id or 0
         self._quarantine.record_success(self._request, self._owner, last_event)
 
-    def _pass_on_from_now(self, gathered: GatheredAnswer) -> None:
+    def _stop_buffering(self, buffered: BufferedAnswer) -> None:
         """Stop gathering: the answer is large and goes on as it comes."""
-        self._gathered = None
-        self._answer.begin(gathered.head, with_length=True)
-        self._answer.let_go(gathered)
-        self._go_on(gathered.body)
+        self._buffered_answer = None
+        self._answer.send_head(buffered.head, with_length=True)
+        self._answer.release_buffer(buffered)
+        self._send_to_client(buffered.body)
 
     # MovableAttempt
 
@@ -489,11 +500,11 @@
         return self._route.repeatable
 
     @property
-    def begun(self) -> bool:
+    def answer_begun(self) -> bool:
         """Whether the client has a part of the answer."""
-        return self._answer.begun
+        return self._answer.head_sent
 
-    def reserve_place(self) -> bool:
+    def reserve_destination(self) -> bool:
         """Reserve another place for the stream; return whether there is one."""
         if not self._streaming:
             return False
@@ -502,13 +513,13 @@
 
     def end_attempt(self, reason: str) -> None:
         """End the attempt under way, if there is one; the lifecycle goes on."""
-        destination = self._release()
+        destination = self._release_attempt()
         if destination is None:
             return
         server_id = destination.server.host
         self._log_attempt(server_id, reason)
-        self._cause = reason
-        if self._answer.begun and not self._streaming:
+        self._failure_cause = reason
+        if self._answer.head_sent and not self._streaming:
             # Part of a large plain answer is out: nothing can continue it.
             self._feed(CallCallerGone())
             return
@@ -527,21 +538,21 @@
             self._watch.silent_s,
         )
 
-    def _release(self) -> Destination | None:
+    def _release_attempt(self) -> Destination | None:
         """Let go of the attempt under way, if there is one."""
         self._search.cancel()
-        self._relocation.clear()
+        self._relocation.reset()
         exchange, self._exchange = self._exchange, None
         destination, self._destination = self._destination, None
         if exchange is not None:
             exchange.cancel()
         if destination is not None:
-            ran = isinstance(self._kind, ServedAnswer)
-            self._router.uncount(destination, self._part, ran=ran)
+            ran = isinstance(self._answer_kind, ServedAnswer)
+            self._router.uncount(destination, self._attempt_load, ran=ran)
             self._router.backoffs.attempt_ended(
                 destination.server.host, self._request.request_id
             )
-        self._watch.closed()
+        self._watch.attempt_ended()
         return destination
 
     def _log_attempt(self, server_id: str, cause: str) -> None:
@@ -554,12 +565,12 @@
     def _watch_chain(self, destination: Destination) -> None:
         chain = destination.chain
         if chain is None:
-            self._watch.opened(None, 0.0)
+            self._watch.attempt_started(None, 0.0)
             return
         expected_s = self._router.expected_pause_s(chain)
-        self._watch.opened(chain.hosts, expected_s)
+        self._watch.attempt_started(chain.hosts, expected_s)
 
-    def _silent(self, silence: Silence) -> None:
+    def _on_silence(self, silence: Silence) -> None:
         """The stream is silent: find out whom it waits for."""
         destination = self._destination
         if destination is None or destination.chain is None or self._paused:
@@ -567,49 +578,55 @@
         chain = destination.chain
         request_id = self._request.request_id
         self._router.metrics.count("streams.overdue")
-        if silence.silent_s > _ABANDON_SILENT_S:
+        if silence.silent_s > _MAX_SILENCE_S:
             self._relocation.move("silent although all answer")
         elif silence.suspects:
             self._prober.probe_suspects(chain, silence, request_id)
         else:
             self._prober.ask_first(chain, request_id, silence.silent_s)
 
-    async def _reroute(self, chain: Chain, lost: frozenset[str]) -> None:
+    async def _reroute(self, chain: Chain, lost_ids: frozenset[str]) -> None:
         """Let the first backend server go on over another chain."""
         exchange = self._exchange
         ordered_s = self._loop.time()
-        other = self._destinations.reroute(chain, lost, self._route, self._request.size)
+        other_chain = self._destinations.reroute(
+            chain, lost_ids, self._route, self._request.size
+        )
         outcome = "there is no other chain"
-        if other is not None:
-            outcome = await self._prober.calls.reroute(self._request.request_id, other)
+        if other_chain is not None:
+            outcome = await self._prober.calls.reroute(
+                self._request.request_id, other_chain
+            )
         if self._exchange is not exchange or self._destination is None:
             return  # The attempt ended meanwhile.
-        self._log.rerouted(other, outcome)
-        if other is None or outcome:
-            if self._watch.progress_s < ordered_s:  # Else it moves, by itself or late.
-                self._relocation.move_from_lost(f"not rerouted: {outcome}")
+        self._log.rerouted(other_chain, outcome)
+        if other_chain is None or outcome:
+            if (
+                self._watch.last_progress_s < ordered_s
+            ):  # Else it moves, by itself or late.
+                self._relocation.move_from_lost_server(f"not rerouted: {outcome}")
             return
         self._router.metrics.count("streams.rerouted")
-        self._router.uncount(self._destination, self._part)
+        self._router.uncount(self._destination, self._attempt_load)
         self._destination = Destination(
-            self._destination.service, other.stages[0], other
+            self._destination.service, other_chain.stages[0], other_chain
         )
-        self._router.count(self._destination, self._part)
+        self._router.count(self._destination, self._attempt_load)
         self._watch_chain(self._destination)
 
     # The end
 
     def _finish(self, outcome: Outcome) -> None:
-        self._deadline.cancel()
-        self._release()
+        self._deadline_timer.cancel()
+        self._release_attempt()
         self._router.active.discard(self)
         if self._routed.on_trial and isinstance(outcome, NotRun):
             self._quarantine.trial_not_run(self._request, self._owner)
-        status = self._answer.conclude(outcome)
+        status = self._answer.send_outcome(outcome)
         self._log.request_ended(
             outcome,
             status,
-            self._cause,
+            self._failure_cause,
             self._attempts,
             self._cursor.events,
             self._watch,
--- a/src/railfold/_internal/forwarding/requests/exchange.py
+++ b/src/railfold/_internal/forwarding/requests/exchange.py
@@ -22,7 +22,7 @@
 )
 from railfold._internal.forwarding.servers.pool import ConnectionPool
 
-__all__ = ["EngineExchange", "ExchangeListener"]
+__all__ = ["ExchangeListener", "ServerExchange"]
 
 # A connection between two hosts of one region comes up within a millisecond; a
 # host whose packets are lost gets one retransmission of its first packet.
@@ -52,7 +52,7 @@
         """No whole answer comes; the request may have run."""
 
 
-class EngineExchange:
+class ServerExchange:
     """Sends a request once and reports what comes of it.
 
     :param check: raises ``RequestError`` if the request must not be sent any
@@ -66,7 +66,7 @@
         dialect: Dialect,
         pool: ConnectionPool,
         listener: ExchangeListener,
-        check: Callable[[], None],
+        check_sendable: Callable[[], None],
         *,
         repeatable: bool,
     ) -> None:
@@ -75,11 +75,11 @@
         self._dialect = dialect
         self._pool = pool
         self._listener = listener
-        self._check = check
+        self._check_sendable = check_sendable
         self._repeatable = repeatable
         self._loop = asyncio.get_running_loop()
         self._connection: HttpConnection | None = None
-        self._opening: asyncio.Task[None] | None = None
+        self._open_task: asyncio.Task[None] | None = None
         self._cancelled = False
 
     @property
@@ -98,13 +98,13 @@
             # Not from within the caller: what comes of it is reported later.
             self._loop.call_soon(self._send, connection)
             return
-        self._opening = self._loop.create_task(self._open())
+        self._open_task = self._loop.create_task(self._open())
 
     def cancel(self) -> None:
         """Stop; the backend server sees its connection closed."""
         self._cancelled = True
-        if self._opening is not None:
-            self._opening.cancel()
+        if self._open_task is not None:
+            self._open_task.cancel()
         if self._connection is not None:
             self._connection.abort()
             self._connection = None
@@ -139,7 +139,7 @@
             self._listener.attempt_unsent("the connection closed before use", None)
             return
         try:
-            self._check()
+            self._check_sendable()
         except RequestError as error:
             self._pool.give_back(self._plan.server_id, connection, self._loop.time())
             self._listener.attempt_unsent(error.what, error)
--- a/src/railfold/_internal/forwarding/requests/front.py
+++ b/src/railfold/_internal/forwarding/requests/front.py
@@ -32,7 +32,7 @@
 
 # A process that has just started reads the configuration and the registrations
 # within 50 ms; if the store is away, clients are told so after this time.
-_BEGIN_BY_S = 0.3
+_MAX_STARTUP_WAIT_S = 0.3
 
 _REASONS = {
     200: "OK",
@@ -49,7 +49,7 @@
 class RequestHandler(Protocol):
     """What is done with a client's requests."""
 
-    def request(
+    def handle_request(
         self,
         exchange: ClientExchange,
         method: str,
@@ -65,7 +65,7 @@
     def workspace_of(self, headers: Sequence[Header]) -> str:
         """Return the workspace that a request's head names; empty if none is known."""
 
-    def refuse_unread(self, exchange: ClientExchange) -> None:
+    def refuse_early(self, exchange: ClientExchange) -> None:
         """Answer a request whose body there is no memory for."""
 
 
@@ -76,11 +76,11 @@
         self,
         connection: HTTP1Connection,
         server: ClientServer,
-        holding: MemoryReservation,
+        reservation: MemoryReservation,
     ) -> None:
         self._connection = connection
         self._server = server
-        self.holding = holding
+        self.reservation = reservation
         self._closing = False
         self._unread_bytes = 0
         self.congested = False
@@ -104,7 +104,7 @@
             self._closing = True
             fields["Connection"] = "close"
         line = ResponseStartLine("HTTP/1.1", status, reason or _REASONS.get(status, ""))
-        _retrieve(self._connection.write_headers(line, fields))
+        _consume_exception(self._connection.write_headers(line, fields))
 
     def send_body(self, data: bytes) -> None:
         """Send a part of the body."""
@@ -117,20 +117,20 @@
             loop = asyncio.get_running_loop()
             loop.call_soon(self._server.handler.client_gone, self)
             return
-        _retrieve(self._connection.write(data))
+        _consume_exception(self._connection.write(data))
         if stream.closed() or not stream.writing():
             return
         self._unread_bytes += len(data)
-        if not self.holding.try_reserve(len(data)):
-            self.holding.reserve_unchecked(len(data))
+        if not self.reservation.try_reserve(len(data)):
+            self.reservation.reserve_unchecked(len(data))
             self.congested = True
         # Done once all that was written before is read, or the client is gone.
         barrier = stream.write(b"")
-        barrier.add_done_callback(lambda _: self._was_read(len(data)))
+        barrier.add_done_callback(lambda _: self._record_read(len(data)))
 
-    def _was_read(self, size_bytes: int) -> None:
+    def _record_read(self, size_bytes: int) -> None:
         self._unread_bytes -= size_bytes
-        self.holding.release_bytes(size_bytes)
+        self.reservation.release_bytes(size_bytes)
         if self._unread_bytes > 0:
             return
         self.congested = False
@@ -157,7 +157,7 @@
         # once no new requests are taken it is closed all the same.
         closing = self._closing or self._server.stopped
         if closing and stream is not None and not stream.closed():
-            _close_when_written(stream)
+            _close_after_flush(stream)
 
     def abort(self) -> None:
         """Cut the answer off, visibly incomplete."""
@@ -169,11 +169,11 @@
 
     def _release_body(self) -> None:
         """Hold only what the client hasn't read yet."""
-        self.holding.release_bytes(self.holding.size_bytes - self._unread_bytes)
+        self.reservation.release_bytes(self.reservation.size_bytes - self._unread_bytes)
 
-    def client_left(self) -> None:
+    def connection_closed(self) -> None:
         """The client closed the connection: nothing is held for it any more."""
-        self.holding.release()
+        self.reservation.release()
 
     def reply(
         self, status: int, headers: Sequence[Header], body: bytes, reason: str = ""
@@ -192,22 +192,22 @@
             self.send_body(body)
 
 
-def _retrieve(future: asyncio.Future[None]) -> None:
+def _consume_exception(future: asyncio.Future[None]) -> None:
     """Look at a write's outcome; a closed connection is reported elsewhere."""
     if future.done() and not future.cancelled():
         future.exception()
 
 
-def _close_when_written(stream: IOStream) -> None:
+def _close_after_flush(stream: IOStream) -> None:
     """Close once the kernel has taken what was written."""
     if not stream.writing():
         stream.close()
         return
     loop = asyncio.get_running_loop()
-    loop.call_later(0.01, _close_when_written, stream)
+    loop.call_later(0.01, _close_after_flush, stream)
 
 
-class _ClientMessage(HTTPMessageDelegate):
+class _RequestReader(HTTPMessageDelegate):
     """Gathers one request."""
 
     def __init__(self, server: ClientServer, connection: HTTP1Connection) -> None:
@@ -215,38 +215,38 @@
         self._connection = connection
         self._parts: list[bytes] = []
         self._size = 0
-        self._line = RequestStartLine("", "", "")
+        self._start_line = RequestStartLine("", "", "")
         self._headers: list[Header] = []
-        self._holding = MemoryReservation(server.held, "")
-        self._refused: ClientExchange | None = None
+        self._reservation = MemoryReservation(server.quota, "")
+        self._refused_exchange: ClientExchange | None = None
 
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
         """Take the head."""
         assert isinstance(start_line, RequestStartLine)
-        self._server.begin_request(self._connection.stream)
-        self._line = start_line
+        self._server.mark_busy(self._connection.stream)
+        self._start_line = start_line
         self._headers = list(headers.get_all())
         workspace = self._server.handler.workspace_of(self._headers)
-        self._holding = MemoryReservation(self._server.held, workspace)
+        self._reservation = MemoryReservation(self._server.quota, workspace)
 
     def data_received(self, chunk: bytes) -> None:
         """Take a part of the body; pass over the rest of one that was refused."""
-        if self._refused is not None:
+        if self._refused_exchange is not None:
             return
-        if self._holding.try_reserve(len(chunk)):
+        if self._reservation.try_reserve(len(chunk)):
             self._parts.append(chunk)
             return
         self._parts.clear()
-        self._holding.release()
-        exchange = ClientExchange(self._connection, self._server, self._holding)
-        self._refused = exchange
-        self._server.handler.refuse_unread(exchange)
+        self._reservation.release()
+        exchange = ClientExchange(self._connection, self._server, self._reservation)
+        self._refused_exchange = exchange
+        self._server.handler.refuse_early(exchange)
 
     def on_connection_close(self) -> None:
         """The client left before its request was whole."""
-        self._holding.release()
+        self._reservation.release()
 
     def finish(self) -> None:
         """Give the whole request to the handler.
@@ -256,21 +256,21 @@
         """
         if self._connection.stream is None or self._connection.stream.closed():
             return
-        if self._refused is not None:
-            self._refused.finish()
+        if self._refused_exchange is not None:
+            self._refused_exchange.finish()
             return
-        exchange = ClientExchange(self._connection, self._server, self._holding)
+        exchange = ClientExchange(self._connection, self._server, self._reservation)
 
         def closed() -> None:
-            exchange.client_left()
+            exchange.connection_closed()
             self._server.handler.client_gone(exchange)
 
         # Once a request is whole, tornado tells of a closed connection here only.
         self._connection.set_close_callback(closed)
-        self._server.handler.request(
+        self._server.handler.handle_request(
             exchange,
-            self._line.method,
-            self._line.path,
+            self._start_line.method,
+            self._start_line.path,
             self._headers,
             b"".join(self._parts),
         )
@@ -287,11 +287,11 @@
         self,
         address: Address,
         handler: RequestHandler,
-        held: MemoryQuota,
+        quota: MemoryQuota,
         listener: socket.socket | None = None,
     ) -> None:
         self.handler = handler
-        self.held = held
+        self.quota = quota
         # Whether answers ask clients to go on over a new connection.
         self.closes_connections = False
         self.stopped = False
@@ -299,13 +299,13 @@
         self._streams: set[IOStream] = set()
         self._busy: set[IOStream] = set()
         # Set once requests can be answered.
-        self.begin = asyncio.Event()
+        self.can_answer = asyncio.Event()
         self._child = HttpServerChild(
             self,
             address,
             listener=listener,
-            begin=self.begin,
-            begin_by_s=_BEGIN_BY_S,
+            begin=self.can_answer,
+            begin_by_s=_MAX_STARTUP_WAIT_S,
             prepare=self._apply_limits,
         )
         self._limits = ClientLimits()
@@ -322,7 +322,7 @@
         self._streams -= closed
         self._busy -= closed
 
-    def begin_request(self, stream: IOStream) -> None:
+    def mark_busy(self, stream: IOStream) -> None:
         """A request began to arrive on a connection."""
         self._busy.add(stream)
 
@@ -361,4 +361,4 @@
         assert isinstance(request_conn, HTTP1Connection)
         self._streams.add(request_conn.stream)
         self._busy.discard(request_conn.stream)
-        return _ClientMessage(self, request_conn)
+        return _RequestReader(self, request_conn)
--- a/src/railfold/_internal/forwarding/requests/refusals.py
+++ b/src/railfold/_internal/forwarding/requests/refusals.py
@@ -32,7 +32,7 @@
         headers, body = self._reply(request_id, error, received_s)
         exchange.reply(status_of(error, not_run=True), headers, body)
 
-    def refuse_unread(self, exchange: ClientExchange, error: RequestError) -> None:
+    def refuse_early(self, exchange: ClientExchange, error: RequestError) -> None:
         """Answer a request of which more may come."""
         headers, body = self._reply("", error, self._loop.time())
         exchange.reply_early(status_of(error, not_run=True), headers, body)
--- a/src/railfold/_internal/forwarding/requests/relocation.py
+++ b/src/railfold/_internal/forwarding/requests/relocation.py
@@ -18,10 +18,10 @@
         """Whether the request may run again."""
 
     @property
-    def begun(self) -> bool:
+    def answer_begun(self) -> bool:
         """Whether the client has a part of the answer."""
 
-    def reserve_place(self) -> bool:
+    def reserve_destination(self) -> bool:
         """Reserve another place for the answer; return whether there is one."""
 
     def end_attempt(self, reason: str) -> None:
@@ -44,44 +44,46 @@
         self._attempt = attempt
         self._loop = asyncio.get_running_loop()
         # Why its engine is given up, while its answer waits for another place.
-        self._lost = ""
-        self._kept = ""
-        self._recheck: asyncio.TimerHandle | None = None
+        self._loss_reason = ""
+        self._kept_reason = ""
+        self._recheck_timer: asyncio.TimerHandle | None = None
 
     def move(self, reason: str) -> None:
         """End the attempt on suspicion, if its answer can go on elsewhere."""
         attempt = self._attempt
         if not attempt.repeatable:
             return
-        if attempt.begun and not attempt.reserve_place():
-            self._keep(reason)
+        if attempt.answer_begun and not attempt.reserve_destination():
+            self._keep_attempt(reason)
             return
         attempt.end_attempt(reason)
 
-    def move_from_lost(self, reason: str) -> None:
+    def move_from_lost_server(self, reason: str) -> None:
         """The same of an engine that is lost: look for a place until there is one."""
-        self._lost = reason
+        self._loss_reason = reason
         self.move(reason)
 
-    def _keep(self, reason: str) -> None:
-        if reason != self._kept:
-            self._kept = reason
+    def _keep_attempt(self, reason: str) -> None:
+        if reason != self._kept_reason:
+            self._kept_reason = reason
             self._attempt.attempt_kept(reason)
-        if self._lost and self._recheck is None:
-            self._recheck = self._loop.call_later(PLACE_INTERVAL_S, self._move_again)
+        if self._loss_reason and self._recheck_timer is None:
+            self._recheck_timer = self._loop.call_later(
+                PLACE_INTERVAL_S, self._move_again
+            )
 
     def _move_again(self) -> None:
-        self._recheck = None
-        if self._lost:
-            self.move(self._lost)
+        self._recheck_timer = None
+        if self._loss_reason:
+            self.move(self._loss_reason)
 
-    def progressed(self) -> None:
+    def record_progress(self) -> None:
         """The answer goes on: its engine isn't lost."""
-        self._lost = self._kept = ""
+        self._loss_reason = self._kept_reason = ""
 
-    def clear(self) -> None:
+    def reset(self) -> None:
         """The attempt has ended."""
-        self.progressed()
-        if self._recheck is not None:
-            self._recheck.cancel()
-            self._recheck = None
+        self.record_progress()
+        if self._recheck_timer is not None:
+            self._recheck_timer.cancel()
+            self._recheck_timer = None
--- a/src/railfold/_internal/forwarding/requests/request_log.py
+++ b/src/railfold/_internal/forwarding/requests/request_log.py
@@ -63,7 +63,7 @@
                 round(plan.left_s(now_s) * 1000),
                 resume_after,
                 destination.crossings,
-                *_predicted(prediction),
+                *_prediction_fields(prediction),
             )
         )
 
@@ -112,23 +112,23 @@
         received_s = self._routed.request.received_s
         duration_s = self._loop.time() - received_s
         metrics.timing("request", duration_s)
-        first_s = 0.0
+        first_event_delay_s = 0.0
         if watch.first_event_s is not None:
-            first_s = watch.first_event_s - received_s
-            metrics.timing("first_event", first_s)
+            first_event_delay_s = watch.first_event_s - received_s
+            metrics.timing("first_event", first_event_delay_s)
             if attempts == 1 and self._prediction is not None:
-                self._count_error(watch.first_event_s - self._sent_s)
+                self._record_prediction_error(watch.first_event_s - self._sent_s)
         metrics.count(f"outcomes.rank_{self._routed.priority}.{name}")
         event = RequestEnded(
             request_id=self._routed.request_id,
             outcome=name,
             status=status,
-            cause=_cause_of(outcome, cause),
+            cause=_logged_cause(outcome, cause),
             route=self._routed.route.name,
             workspace=self._routed.workspace,
             attempts=attempts,
             duration_ms=_ms(duration_s),
-            first_event_ms=_ms(first_s),
+            first_event_ms=_ms(first_event_delay_s),
             longest_pause_ms=_ms(watch.longest_pause_s),
             events=events,
             configuration_version=self._routed.configuration_version,
@@ -142,7 +142,7 @@
         else:
             self._router.log.write(event)
 
-    def _count_error(self, first_event_s: float) -> None:
+    def _record_prediction_error(self, first_event_s: float) -> None:
         """Count by how much a first event came later or sooner than predicted."""
         assert self._prediction is not None
         error_s = first_event_s - self._prediction.chain.first_event_s
@@ -150,7 +150,7 @@
         self._router.metrics.timing(f"prediction.first_event_{name}", abs(error_s))
 
 
-def _cause_of(outcome: Outcome, cause: str) -> str:
+def _logged_cause(outcome: Outcome, cause: str) -> str:
     match outcome:
         case Answered():
             return ""
@@ -169,7 +169,7 @@
     return round(seconds * 1000, 1)
 
 
-def _predicted(prediction: Prediction | None) -> tuple[float, ...]:
+def _prediction_fields(prediction: Prediction | None) -> tuple[float, ...]:
     """Return a prediction as it stands in logs."""
     if prediction is None:
         return ()
--- a/src/railfold/_internal/forwarding/requests/stream_watch.py
+++ b/src/railfold/_internal/forwarding/requests/stream_watch.py
@@ -21,10 +21,10 @@
 
 # While the silence lasts it is looked into again: whether the whole chain stands
 # still shows at a later look, and before the probes of the first one time out.
-_LOOK_AGAIN_S = 0.03
+_RECHECK_INTERVAL_S = 0.03
 
 # An expected pause below this proves nothing: events arrive together.
-_LEAST_PAUSE_S = 0.005
+_MIN_EXPECTED_PAUSE_S = 0.005
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,78 +52,82 @@
         self._activity = activity
         self._on_silent = on_silent
         self._loop = asyncio.get_running_loop()
-        self._overdue = OverdueTimer(
+        self._overdue_timer = OverdueTimer(
             factor=_OVERDUE_FACTOR,
             floor_s=_OVERDUE_FLOOR_S,
             first_token_s=_FIRST_EVENT_OVERDUE_S,
         )
         self._timer: asyncio.TimerHandle | None = None
         self._chain: ChainKey | None = None
-        self._expected_pause_s = _LEAST_PAUSE_S
-        self._flowing = False
-        self._flowing_since_s = 0.0
-        self._opened_s = 0.0
-        self._progress_s = 0.0
+        self._expected_pause_s = _MIN_EXPECTED_PAUSE_S
+        self._has_events = False
+        self._first_event_of_attempt_s = 0.0
+        self._attempt_started_s = 0.0
+        self._last_progress_s = 0.0
         self._last_event_s = 0.0
         self.first_event_s: float | None = None
         self.longest_pause_s = 0.0
 
     @property
-    def flowing(self) -> bool:
+    def has_events(self) -> bool:
         """Whether the attempt under way has brought events."""
-        return self._flowing
+        return self._has_events
 
     @property
-    def moved_s(self) -> float:
+    def event_span_s(self) -> float:
         """For how long the attempt under way has brought events."""
-        return self._last_event_s - self._flowing_since_s if self._flowing else 0.0
+        return (
+            self._last_event_s - self._first_event_of_attempt_s
+            if self._has_events
+            else 0.0
+        )
 
     @property
-    def progress_s(self) -> float:
+    def last_progress_s(self) -> float:
         """When something came last, on the loop's clock."""
-        return self._progress_s
+        return self._last_progress_s
 
     @property
     def silent_s(self) -> float:
         """For how long nothing has come."""
-        return self._loop.time() - self._progress_s
+        return self._loop.time() - self._last_progress_s
 
-    def opened(self, chain: ChainKey | None, expected_pause_s: float) -> None:
+    def attempt_started(self, chain: ChainKey | None, expected_pause_s: float) -> None:
         """An attempt was sent, or goes on over another chain.
 
         :param chain: nothing for a request that isn't watched.
         """
-        self.closed()
+        self.attempt_ended()
         now_s = self._loop.time()
         self._chain = chain
-        self._expected_pause_s = max(_LEAST_PAUSE_S, expected_pause_s)
-        self._opened_s = self._progress_s = now_s
+        self._expected_pause_s = max(_MIN_EXPECTED_PAUSE_S, expected_pause_s)
+        self._attempt_started_s = self._last_progress_s = now_s
         if chain is not None:
-            self._overdue.opened(now_s)
-            self._look_at(self._overdue.due_s())
+            self._overdue_timer.opened(now_s)
+            self._schedule_check(self._overdue_timer.due_s())
 
-    def closed(self) -> None:
+    def attempt_ended(self) -> None:
         """The attempt ended."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        if self._flowing and self._chain is not None:
+        if self._has_events and self._chain is not None:
             self._activity.stream_ended(self._chain)
-        self._flowing = False
+        self._has_events = False
 
-    def progressed(self) -> float:
+    def bytes_received(self) -> float:
         """Bytes came; return for how long none had."""
         now_s = self._loop.time()
-        since_s, self._progress_s = now_s - self._progress_s, now_s
-        return since_s
+        gap_s, self._last_progress_s = now_s - self._last_progress_s, now_s
+        return gap_s
 
-    def event(self, since_s: float) -> None:
+    def events_received(self, gap_s: float) -> None:
         """Whole events came, ``since_s`` after what came before."""
         now_s = self._loop.time()
         if self.first_event_s is None:
             self.first_event_s = now_s
             if self._chain is not None:
-                wait_s = now_s - self._opened_s
+                wait_s = now_s - self._attempt_started_s
                 self._activity.first_event_received(self._chain[0], now_s, wait_s)
         else:
             pause_s = now_s - self._last_event_s
@@ -131,39 +135,39 @@
         self._last_event_s = now_s
         if self._chain is None:
             return
-        if self._flowing:
+        if self._has_events:
             self._activity.event_received(
-                self._chain, now_s, since_s, self._expected_pause_s
+                self._chain, now_s, gap_s, self._expected_pause_s
             )
         else:
-            self._flowing = True
-            self._flowing_since_s = now_s
+            self._has_events = True
+            self._first_event_of_attempt_s = now_s
             self._activity.stream_started(self._chain, now_s)
-        if self._overdue.token(now_s):
-            self._look_at(self._overdue.due_s())
+        if self._overdue_timer.token(now_s):
+            self._schedule_check(self._overdue_timer.due_s())
 
-    def _look_at(self, at_s: float) -> None:
+    def _schedule_check(self, at_s: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self._loop.call_at(at_s, self._look, at_s)
+        self._timer = self._loop.call_at(at_s, self._check, at_s)
 
-    def _look(self, planned_s: float) -> None:
+    def _check(self, scheduled_s: float) -> None:
         now_s = self._loop.time()
-        due_s = self._overdue.due_s()
+        due_s = self._overdue_timer.due_s()
         if now_s < due_s:
-            self._look_at(due_s)
+            self._schedule_check(due_s)
             return
         if self.first_event_s is None and self._chain is not None:
             self._activity.first_event_pending(
-                self._chain[0], now_s, now_s - self._opened_s
+                self._chain[0], now_s, now_s - self._attempt_started_s
             )
-        silence = self._silence(now_s, now_s - planned_s)
-        self._look_at(now_s + _LOOK_AGAIN_S)
+        silence = self._measure_silence(now_s, now_s - scheduled_s)
+        self._schedule_check(now_s + _RECHECK_INTERVAL_S)
         # Last: it may close the attempt.
         self._on_silent(silence)
 
-    def _silence(self, now_s: float, loop_delay_s: float) -> Silence:
-        if self._chain is None or not self._flowing:
+    def _measure_silence(self, now_s: float, loop_delay_s: float) -> Silence:
+        if self._chain is None or not self._has_events:
             return Silence(self.silent_s)
         return Silence(
             self.silent_s,
--- a/tests/forwarding/test_starting.py
+++ b/tests/forwarding/test_starting.py
@@ -57,7 +57,7 @@
     connection = await prepared.connect()
     await connection.send("/draft/1", "r-1")
     prepared.run_entry(listeners)
-    reply = await asyncio.wait_for(connection.read(), front._BEGIN_BY_S + 2.0)
+    reply = await asyncio.wait_for(connection.read(), front._MAX_STARTUP_WAIT_S + 2.0)
     assert reply.status == 503
     assert float(reply.headers["Retry-After"]) > 0
     assert sum(engine.runs.total() for engine in prepared.engines) == 0
@@ -138,7 +138,7 @@
     address = Address("127.0.0.1", free_port())
     server = front.ClientServer(address, deployment.entry, MemoryQuota(1_000_000))
     server.set_limits(ClientLimits(max_body_bytes=10))
-    server.begin.set()
+    server.can_answer.set()
     for _ in range(2):
         run = asyncio.create_task(server.run(asyncio.Event()))
         await until(lambda: listening(address.port))
--- a/tests/unit/test_stream_watch.py
+++ b/tests/unit/test_stream_watch.py
@@ -21,13 +21,13 @@
     def __init__(self, activity: ChainActivity, chain: ChainKey) -> None:
         self.told: list[tuple[float, bool]] = []
         self.watch = StreamWatch(activity, self._silent)
-        self.watch.opened(chain, 0.02)
+        self.watch.attempt_started(chain, 0.02)
 
     def _silent(self, silence: Silence) -> None:
         self.told.append((round(silence.silent_s, 2), silence.stalled))
 
     def event(self) -> None:
-        self.watch.event(self.watch.progressed())
+        self.watch.events_received(self.watch.bytes_received())
 
 
 async def run(streams: list[Stream], seconds: float) -> None:
@@ -82,6 +82,6 @@
 async def test_a_closed_watch_tells_nothing(activity: ChainActivity) -> None:
     stream = Stream(activity, A)
     await run([stream], 0.2)
-    stream.watch.closed()
+    stream.watch.attempt_ended()
     await asyncio.sleep(1.0)
     assert stream.told == []
