--- a/src/railfold/_internal/forwarding/requests/__init__.py
+++ b/src/railfold/_internal/forwarding/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Clients' requests: taken, sent through their attempts, and answered."""
+"""Receiving clients' requests, sending them to backend servers, and answering them."""
--- a/src/railfold/_internal/forwarding/requests/client_answer.py
+++ b/src/railfold/_internal/forwarding/requests/client_answer.py
@@ -1,4 +1,4 @@
-"""The one answer that a client gets, whatever attempts it takes."""
+"""The answer to a client's request, over all attempts of the request."""
 
 from __future__ import annotations
 
@@ -19,31 +19,37 @@
 
 _OK = 200
 
-# The answer was cut off; its status had been sent before.
+# Logged as the status of an answer that was aborted after its head had been sent.
 _ABORTED = 0
 
 
 @dataclass(slots=True)
 class BufferedAnswer:
-    """An answer of a backend server that is held back until it is whole."""
+    """An answer of a backend server that isn't sent to the client until it is complete.
+
+    :param size: bytes of the body so far.
+    """
 
     head: ResponseHead
     parts: list[bytes] = field(default_factory=list)
     size: int = 0
 
     def add(self, data: bytes) -> None:
-        """Take bytes of the body."""
+        """Append bytes of the body."""
         self.parts.append(data)
         self.size += len(data)
 
     @property
     def body(self) -> bytes:
-        """The body so far."""
+        """The bytes of the body received so far."""
         return b"".join(self.parts)
 
 
 class ClientAnswer:
-    """Sends one answer; once it has begun it can only go on or be cut off."""
+    """Sends one answer to a client.
+
+    Once its head is sent, the answer can only be continued or aborted.
+    """
 
     def __init__(self, client: ClientExchange) -> None:
         self._client = client
@@ -51,11 +57,14 @@
 
     @property
     def head_sent(self) -> bool:
-        """Whether the client has the head of an answer."""
+        """Whether the head of the answer was sent to the client."""
         return self._client.head_sent
 
     def send_head(self, head: ResponseHead, *, with_length: bool) -> None:
-        """Send the head, if none was sent: a resumed answer keeps its first."""
+        """Send the head unless one was sent: a resumed answer keeps its first head.
+
+        :param with_length: whether to include the Content-Length header.
+        """
         if not self._client.head_sent:
             headers = end_to_end_headers(head, with_length=with_length)
             self._client.send_head(head.status, head.reason, headers)
@@ -66,40 +75,46 @@
 
     @property
     def congested(self) -> bool:
-        """Whether the client has left more unread than may be held for it."""
+        """Whether the unread data exceeds the memory that the client may use."""
         return self._client.congested
 
     def call_when_read(self, callback: Callable[[], None]) -> None:
-        """Call back once the client has read what was sent, or is gone."""
+        """Call back once the client has read all sent data or has disconnected."""
         self._client.call_when_read(callback)
 
     def reserve_buffer(self, size_bytes: int) -> bool:
-        """Count bytes of an answer that are held back; return whether they fit."""
+        """Reserve memory for buffered bytes; return whether they fit into the quota.
+
+        The bytes are in memory already, so they are counted even if they don't fit.
+        """
         if self._client.reservation.try_reserve(size_bytes):
             return True
         self._client.reservation.reserve_unchecked(size_bytes)
         return False
 
     def finish(self) -> None:
-        """The answer is whole."""
+        """End the answer, which is complete."""
         self._client.finish()
 
     def send_buffered(self, answer: BufferedAnswer) -> None:
-        """Send a whole answer."""
+        """Send a complete answer that was buffered."""
         self.release_buffer(answer)
         headers = end_to_end_headers(answer.head, with_length=False)
         self._client.reply(answer.head.status, headers, answer.body, answer.head.reason)
 
     def release_buffer(self, answer: BufferedAnswer) -> None:
-        """Count a gathered answer as held back no more."""
+        """Release the memory reserved for a buffered answer."""
         self._client.reservation.release_bytes(answer.size)
 
     def keep_failure(self, answer: BufferedAnswer | None) -> None:
-        """Keep a backend server's failure, to be sent if nothing better comes."""
+        """Keep a backend server's error answer, sent if no later attempt succeeds."""
         self._server_failure = answer
 
     def send_outcome(self, outcome: Outcome) -> int:
-        """Send what a final outcome asks for; return the status."""
+        """Send an error answer if the outcome needs one; return the answer's status.
+
+        The status is 0 if an answer that had begun was aborted.
+        """
         match outcome:
             case Answered():
                 return _OK
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -1,4 +1,4 @@
-"""Driving one client's request through its attempts to its final answer."""
+"""Carries out one client's request, from its first attempt to its final answer."""
 
 from __future__ import annotations
 
@@ -70,21 +70,21 @@
 
 __all__ = ["RequestDriver"]
 
-# How often a request is sent at most; refused sends cost little, and each goes
-# to another backend server.
+# How often a request is sent at most. A send that is refused costs little, and each
+# send goes to another backend server.
 _MAX_TRIES = 4
 
-# A stream whose backend servers all answer, and which yet is silent for this
-# long, is taken elsewhere: clients leave after 2 s or more.
+# A stream that is silent for longer than this is moved to other backend servers, even
+# if its own answer all probes: clients disconnect after 2 s or more.
 _MAX_SILENCE_S = 1.3
 
-# Answers of plain calls are gathered up to this size, so that one that breaks
-# off can be repeated; a larger one is passed on as it comes.
+# Answers of plain calls are buffered up to this size, so that the call can be repeated
+# if its answer is interrupted. A larger answer is forwarded as it arrives.
 _MAX_BUFFERED_BYTES = 256 * 1024
 
 
 class RequestDriver:
-    """Feeds one request's lifecycle and performs its actions."""
+    """Passes events to one request's lifecycle, and performs the resulting actions."""
 
     def __init__(
         self,
@@ -116,19 +116,19 @@
         self._attempts = 0
         self._sent_s = 0.0
         self._resumed_after = 0
-        # Whether the attempt before broke off, which may be a server's end.
+        # Whether the previous attempt was interrupted, possibly by a server crash.
         self._interrupted = False
-        # Whether the attempt under way was told of as one that runs well.
+        # Whether the current attempt was recorded as a success of its content.
         self._success_recorded = False
-        # Whether its answer asks for a backoff.
+        # Whether the answer of the current attempt requests a backoff.
         self._backoff_requested = False
-        # What the attempt under way adds to its servers' load.
+        # The load that the current attempt adds to its backend servers.
         self._attempt_load = EntryLoad(1, 1)
         self._answer_kind: AnswerKind | None = None
         self._buffered_answer: BufferedAnswer | None = None
         self._cursor = EventCursor(routed.request.last_event_id)
         self._streaming = False
-        # Whether its answer isn't read on until its client has read more of it.
+        # Whether reading the answer is paused until the client has read more of it.
         self._paused = False
         self._watch = StreamWatch(router.activity, self._on_silence)
         self._failure_cause = ""
@@ -141,17 +141,20 @@
         )
 
     def start(self) -> None:
-        """Begin."""
+        """Begin the first attempt."""
         self._router.active.add(self)
         self._perform(self._lifecycle.start())
 
     def client_gone(self) -> None:
-        """The client closed its connection."""
-        self._failure_cause = "the client went away"
+        """Give the request up, since the client closed its connection."""
+        self._failure_cause = "the client closed its connection"
         self._feed(CallCallerGone())
 
     def servers_lost(self, server_ids: frozenset[str]) -> None:
-        """These backend servers don't answer."""
+        """Leave the current attempt's chain if it contains a lost backend server.
+
+        :param server_ids: backend servers that don't answer.
+        """
         destination = self._destination
         if destination is None or self._exchange is None:
             return
@@ -170,10 +173,10 @@
         self._relocation.move_from_lost_server("lost " + ", ".join(sorted(lost_ids)))
 
     def servers_ended(self, server_ids: frozenset[str]) -> None:
-        """These incarnations surely ended, and all that ran there with them.
+        """Handle the certain end of incarnations, and of all requests that ran there.
 
-        A client whose request may not run again needn't wait for its deadline to be
-        told: no answer can come any more, unless it has begun to.
+        A request that isn't repeatable fails at once, before its deadline: no answer
+        can arrive any more, unless it has begun already.
         """
         destination = self._destination
         if destination is None or self._exchange is None:
@@ -181,17 +184,20 @@
         depends_on_server = not self._route.repeatable and not self._answer_started
         if depends_on_server and destination.server.host in server_ids:
             self._record_interruption()
-            self.end_attempt("its backend server has started again")
+            self.end_attempt("its backend server was restarted")
             return
         self.servers_lost(server_ids)
 
     def chain_stalled(self, chain: Chain) -> None:
-        """All streams over this chain stand still: go on elsewhere."""
+        """Move the stream to another destination if it runs over this chain.
+
+        :param chain: all streams over it have stalled.
+        """
         destination = self._destination
         if destination is None or destination.chain != chain:
             return
         if self._watch.has_events and not self._paused:
-            self._relocation.move("its chain stands still")
+            self._relocation.move("its chain has stalled")
 
     @property
     def _answer_started(self) -> bool:
@@ -218,12 +224,12 @@
                     self._finish(outcome)
 
     def destination_found(self, destination: Destination) -> None:
-        """The next attempt may be sent there now."""
+        """Send the next attempt to ``destination``."""
         self._destination = destination
         self._feed(CallHostChosen(destination.server.host))
 
     def destination_refused(self, error: RailfoldError) -> None:
-        """There is no place for a next attempt."""
+        """End the request, since no destination was found for its next attempt."""
         self._failure_cause = str(error)
         self._feed(NoHost(error, self._router.return_after_s(error)))
 
@@ -254,7 +260,8 @@
         )
         self._answer_kind = None
         self._buffered_answer = None
-        # A call to a plain service is one, whatever its headers say of tokens.
+        # A call to a plain service counts as one sequence and one token, even if its
+        # headers contain token counts.
         is_model = destination.chain is not None
         size = self._request.size
         self._attempt_load = EntryLoad(1, 1)
@@ -282,7 +289,7 @@
         self._watch_chain(destination)
 
     def _state_tokens(self, destination: Destination) -> int:
-        """Return what the request holds of its engines' memory."""
+        """Return the mean number of tokens whose state is in the engines' memory."""
         size = self._request.size
         model = self._router.model_of_service(destination.service)
         if model is None:
@@ -290,14 +297,15 @@
         return max(1, model.mean_state_tokens(size.prompt_tokens, size.answer_tokens))
 
     def _check_sendable(self) -> None:
-        """Look once more at what may have changed while the request waited.
+        """Raise ``RequestError`` if the request must not be sent any more.
 
-        A stream in the middle of its answer was allowed when it was sent, and may
-        go on although the store is away.
+        The configuration, the quarantine or the server's state may have changed while
+        the request waited for its connection. A stream whose answer has begun was
+        allowed when it was first sent, and may resume while the store is unavailable.
         """
         request = self._request
         if self._loop.time() >= self._routed.deadline_s:
-            raise DeadlineExpiredError("its client doesn't wait any more")
+            raise DeadlineExpiredError("the request's deadline has passed")
         if not self._answer.head_sent:
             self._router.require_fresh(self._route)
         self._router.check_permission(self._route, request.path, request.credential)
@@ -313,10 +321,10 @@
             )
         router.backoffs.record_send(server_id, request.request_id)
 
-    # What comes of an attempt
+    # ExchangeListener
 
     def attempt_unsent(self, reason: str, error: RequestError | None) -> None:
-        """Nothing was sent."""
+        """Handle an attempt that ended before the request was sent."""
         destination = self._release_attempt()
         if destination is None:
             return
@@ -328,20 +336,20 @@
             self._feed(CallUnsent(server_id, reason))
             return
         else:
-            # Refused for a reason that holds at every backend server.
+            # The reason applies to every backend server.
             self.destination_refused(error)
             return
         self._feed(CallHostRefused(server_id, started=False, reason=reason))
 
     def attempt_lost(self, reason: str) -> None:
-        """No whole answer comes of the attempt."""
+        """Handle the loss of an answer before its end; the request may have run."""
         if self._destination is not None:
             self._record_interruption()
             self._prober.doubt(self._destination.server.host)
         self.end_attempt(reason)
 
     def _record_interruption(self) -> None:
-        """Keep what may have ended the attempt's backend servers."""
+        """Report the attempt to the quarantine as a possible cause of a crash."""
         destination = self._destination
         assert destination is not None
         self._interrupted = True
@@ -356,7 +364,7 @@
         self._quarantine.run_ended(self._request, self._route, self._owner, figures)
 
     def answer_head(self, kind: AnswerKind, head: ResponseHead) -> None:
-        """The head of an answer came."""
+        """Handle the head of an answer."""
         self._answer_kind = kind
         destination = self._destination
         if destination is not None:
@@ -375,7 +383,10 @@
         self._buffered_answer = BufferedAnswer(head)
 
     def _record_prompt_read(self) -> None:
-        """The prompt of the attempt under way was read."""
+        """Remove the prompt of the current attempt from the load that is pending.
+
+        Its prefill is complete once the first event arrives.
+        """
         pending_prompt = EntryLoad(
             pending_prompt_tokens=self._attempt_load.pending_prompt_tokens
         )
@@ -384,7 +395,7 @@
             self._attempt_load = replace(self._attempt_load, pending_prompt_tokens=0)
 
     def answer_body(self, data: bytes) -> None:
-        """Bytes of a body came."""
+        """Forward or buffer received bytes of an answer's body."""
         if self._buffered_answer is None:
             self._forward_data(data)
             return
@@ -396,7 +407,7 @@
             self._stop_buffering(buffered)
 
     def answer_ended(self) -> None:
-        """An answer is whole."""
+        """Handle the end of a complete answer."""
         kind, buffered = self._answer_kind, self._buffered_answer
         destination = self._destination
         if destination is None:
@@ -425,11 +436,11 @@
                 self._prober.failed(server_id)
                 self.end_attempt(reason)
             case _:
-                self.end_attempt("its answer has no head")
+                self.end_attempt("the answer has no head")
 
     def _answered(self, server_id: str, buffered: BufferedAnswer | None) -> None:
         if self._streaming and buffered is None and self._cursor.partial:
-            self.end_attempt("it ended within an event")
+            self.end_attempt("the answer ended within an event")
             return
         self._prober.served(server_id)
         self._quarantine.record_success(self._request, self._owner)
@@ -452,7 +463,7 @@
             self._record_success_if_stable()
 
     def _record_first_event(self) -> None:
-        """The attempt under way brought its first event."""
+        """Record the time until the first event of the current attempt."""
         destination = self._destination
         if destination is not None:
             first_event_s = self._loop.time() - self._sent_s
@@ -461,7 +472,7 @@
             )
 
     def _send_to_client(self, data: bytes) -> None:
-        """Send a part of the body, and wait for a client that doesn't read."""
+        """Send a part of the body; pause the attempt if the client reads too slowly."""
         self._answer.send_body(data)
         exchange = self._exchange
         if exchange is None or self._paused or not self._answer.congested:
@@ -478,7 +489,7 @@
         self._answer.call_when_read(resume)
 
     def _record_success_if_stable(self) -> None:
-        """Tell once that the stream moves for longer than a crash takes."""
+        """Record a success once the stream has run for longer than a crash takes."""
         if self._success_recorded or self._watch.event_span_s < CLEARED_AFTER_S:
             return
         self._success_recorded = True
@@ -486,7 +497,7 @@
         self._quarantine.record_success(self._request, self._owner, last_event)
 
     def _stop_buffering(self, buffered: BufferedAnswer) -> None:
-        """Stop gathering: the answer is large and goes on as it comes."""
+        """Send what was buffered, and forward the rest of a large answer directly."""
         self._buffered_answer = None
         self._answer.send_head(buffered.head, with_length=True)
         self._answer.release_buffer(buffered)
@@ -501,18 +512,21 @@
 
     @property
     def answer_begun(self) -> bool:
-        """Whether the client has a part of the answer."""
+        """Whether a part of the answer was sent to the client."""
         return self._answer.head_sent
 
     def reserve_destination(self) -> bool:
-        """Reserve another place for the stream; return whether there is one."""
+        """Reserve another destination that can continue the stream.
+
+        Returns False if there is none, or if the answer isn't a stream.
+        """
         if not self._streaming:
             return False
         exclude = self._lifecycle.excluded_after_loss()
         return exclude is not None and self._search.reserve(exclude)
 
     def end_attempt(self, reason: str) -> None:
-        """End the attempt under way, if there is one; the lifecycle goes on."""
+        """End the current attempt, if there is one, as one that may have run."""
         destination = self._release_attempt()
         if destination is None:
             return
@@ -520,13 +534,13 @@
         self._log_attempt(server_id, reason)
         self._failure_cause = reason
         if self._answer.head_sent and not self._streaming:
-            # Part of a large plain answer is out: nothing can continue it.
+            # Part of a large plain answer was sent, and no attempt can continue it.
             self._feed(CallCallerGone())
             return
         self._feed(CallHostLost(server_id))
 
     def attempt_kept(self, reason: str) -> None:
-        """Count and log an attempt that goes on although it was to be ended."""
+        """Count and log that an attempt continues at a suspected backend server."""
         destination = self._destination
         assert destination is not None
         self._router.metrics.count("attempts.kept")
@@ -539,7 +553,7 @@
         )
 
     def _release_attempt(self) -> Destination | None:
-        """Let go of the attempt under way, if there is one."""
+        """Cancel the current attempt and subtract its load; return its destination."""
         self._search.cancel()
         self._relocation.reset()
         exchange, self._exchange = self._exchange, None
@@ -560,7 +574,7 @@
             self._attempts, server_id, cause, self._cursor.events, self._watch.silent_s
         )
 
-    # Silence
+    # Silent streams
 
     def _watch_chain(self, destination: Destination) -> None:
         chain = destination.chain
@@ -571,7 +585,7 @@
         self._watch.attempt_started(chain.hosts, expected_s)
 
     def _on_silence(self, silence: Silence) -> None:
-        """The stream is silent: find out whom it waits for."""
+        """Probe a silent stream's chain, or move the stream after a long silence."""
         destination = self._destination
         if destination is None or destination.chain is None or self._paused:
             return
@@ -579,16 +593,19 @@
         request_id = self._request.request_id
         self._router.metrics.count("streams.overdue")
         if silence.silent_s > _MAX_SILENCE_S:
-            self._relocation.move("silent although all answer")
+            self._relocation.move("silent although its servers answer")
         elif silence.suspects:
             self._prober.probe_suspects(chain, silence, request_id)
         else:
             self._prober.ask_first(chain, request_id, silence.silent_s)
 
     async def _reroute(self, chain: Chain, lost_ids: frozenset[str]) -> None:
-        """Let the first backend server go on over another chain."""
+        """Ask the first backend server to continue the stream over another chain.
+
+        :param lost_ids: backend servers of the chain that don't answer.
+        """
         exchange = self._exchange
-        ordered_s = self._loop.time()
+        requested_s = self._loop.time()
         other_chain = self._destinations.reroute(
             chain, lost_ids, self._route, self._request.size
         )
@@ -598,12 +615,10 @@
                 self._request.request_id, other_chain
             )
         if self._exchange is not exchange or self._destination is None:
-            return  # The attempt ended meanwhile.
+            return  # The attempt has ended in the meantime.
         self._log.rerouted(other_chain, outcome)
         if other_chain is None or outcome:
-            if (
-                self._watch.last_progress_s < ordered_s
-            ):  # Else it moves, by itself or late.
+            if self._watch.last_progress_s < requested_s:  # Otherwise it continues.
                 self._relocation.move_from_lost_server(f"not rerouted: {outcome}")
             return
         self._router.metrics.count("streams.rerouted")
@@ -614,7 +629,7 @@
         self._router.count(self._destination, self._attempt_load)
         self._watch_chain(self._destination)
 
-    # The end
+    # Final outcome
 
     def _finish(self, outcome: Outcome) -> None:
         self._deadline_timer.cancel()
--- a/src/railfold/_internal/forwarding/requests/exchange.py
+++ b/src/railfold/_internal/forwarding/requests/exchange.py
@@ -24,39 +24,43 @@
 
 __all__ = ["ExchangeListener", "ServerExchange"]
 
-# A connection between two hosts of one region comes up within a millisecond; a
-# host whose packets are lost gets one retransmission of its first packet.
+# A connection between two hosts of one region is established within a millisecond. The
+# timeout leaves time for one retransmission of the first packet if it was lost.
 CONNECT_TIMEOUT_S = 0.35
 
-# A request that must not run twice can't be sent again when a kept connection
-# turns out closed, so that it only takes one that was used just now.
+# If a pooled connection turns out to be closed, a request that isn't repeatable can't
+# be sent again. Such a request only uses connections that were used very recently.
 _UNREPEATABLE_MAX_IDLE_S = 1.5
 
 
 class ExchangeListener(Protocol):
-    """Takes what comes of an attempt."""
+    """Receives the events of an attempt."""
 
     def answer_head(self, kind: AnswerKind, head: ResponseHead) -> None:
-        """The answer's head came."""
+        """Handle the head of the answer."""
 
     def answer_body(self, data: bytes) -> None:
-        """Bytes of its body came."""
+        """Handle received bytes of the answer's body."""
 
     def answer_ended(self) -> None:
-        """The answer is whole."""
+        """Handle the end of a complete answer."""
 
     def attempt_unsent(self, reason: str, error: RequestError | None) -> None:
-        """Nothing was sent; ``error`` if it must not be sent any more."""
+        """Handle an attempt that ended before the request was sent.
+
+        :param error: why the request must not be sent; nothing if the connection
+            failed.
+        """
 
     def attempt_lost(self, reason: str) -> None:
-        """No whole answer comes; the request may have run."""
+        """Handle the loss of an answer before its end; the request may have run."""
 
 
 class ServerExchange:
-    """Sends a request once and reports what comes of it.
+    """Sends a request to one backend server once, and reports the answer.
 
-    :param check: raises ``RequestError`` if the request must not be sent any
-        more; called right before it is.
+    :param check_sendable: called right before the request is sent; raises
+        ``RequestError`` if it must not be sent any more.
     """
 
     def __init__(
@@ -84,24 +88,24 @@
 
     @property
     def plan(self) -> SendPlan:
-        """Where the request went."""
+        """The backend server that the request is sent to, and how it is sent."""
         return self._plan
 
     def start(self) -> None:
-        """Send over a kept connection, or open one first."""
+        """Send the request over a pooled connection, or open a new one."""
         max_idle_s = (
             {} if self._repeatable else {"max_idle_s": _UNREPEATABLE_MAX_IDLE_S}
         )
         now_s = self._loop.time()
         connection = self._pool.take(self._plan.server_id, now_s, **max_idle_s)
         if connection is not None:
-            # Not from within the caller: what comes of it is reported later.
+            # The listener must not be called before this method has returned.
             self._loop.call_soon(self._send, connection)
             return
         self._open_task = self._loop.create_task(self._open())
 
     def cancel(self) -> None:
-        """Stop; the backend server sees its connection closed."""
+        """Stop the attempt and close its connection to the backend server."""
         self._cancelled = True
         if self._open_task is not None:
             self._open_task.cancel()
@@ -110,12 +114,12 @@
             self._connection = None
 
     def pause(self) -> None:
-        """Read no more of the answer for now."""
+        """Stop reading the answer until :meth:`resume` is called."""
         if self._connection is not None:
             self._connection.pause_reading()
 
     def resume(self) -> None:
-        """Read on."""
+        """Continue to read the answer."""
         if self._connection is not None:
             self._connection.resume_reading()
 
@@ -136,7 +140,7 @@
             self._pool.give_back(self._plan.server_id, connection, self._loop.time())
             return
         if connection.closed:
-            self._listener.attempt_unsent("the connection closed before use", None)
+            self._listener.attempt_unsent("the connection was closed before use", None)
             return
         try:
             self._check_sendable()
@@ -144,8 +148,8 @@
             self._pool.give_back(self._plan.server_id, connection, self._loop.time())
             self._listener.attempt_unsent(error.what, error)
             return
-        # The time left is told as it is now: opening a connection takes time, and the
-        # host may have been suspended meanwhile.
+        # The headers contain the time left until the deadline, so they are made only
+        # now: opening a connection takes time, and the host may have been suspended.
         headers = self._dialect.forward_headers(
             self._request, self._plan, self._loop.time()
         )
@@ -161,7 +165,7 @@
     # ExchangeSink
 
     def head(self, head: ResponseHead) -> bool:
-        """Take the head of an answer."""
+        """Report the head of an answer; return False for another request's answer."""
         kind = self._dialect.classify(head, self._request.request_id)
         if isinstance(kind, ForeignAnswer):
             return False
@@ -170,12 +174,12 @@
         return True
 
     def body(self, data: bytes) -> None:
-        """Take bytes of the body."""
+        """Report received bytes of the body."""
         if not self._cancelled:
             self._listener.answer_body(data)
 
     def end(self) -> None:
-        """The answer is whole: keep the connection."""
+        """Report the end of the answer and return the connection to the pool."""
         connection, self._connection = self._connection, None
         if connection is not None:
             self._pool.give_back(self._plan.server_id, connection, self._loop.time())
@@ -183,12 +187,12 @@
             self._listener.answer_ended()
 
     def lost(self, reason: LostExchange) -> None:
-        """The answer was lost."""
+        """Report that the answer was lost before its end."""
         self._connection = None
         if self._cancelled:
             return
         match reason:
             case LostExchange.CLOSED:
-                self._listener.attempt_lost("the connection closed")
+                self._listener.attempt_lost("the connection was closed")
             case LostExchange.MALFORMED:
-                self._listener.attempt_lost("what came isn't HTTP")
+                self._listener.attempt_lost("the answer isn't valid HTTP")
--- a/src/railfold/_internal/forwarding/requests/front.py
+++ b/src/railfold/_internal/forwarding/requests/front.py
@@ -1,4 +1,4 @@
-"""HTTP interface towards clients, on tornado's server."""
+"""HTTP server for clients, based on tornado."""
 
 from __future__ import annotations
 
@@ -27,11 +27,11 @@
 
 __all__ = ["ClientExchange", "ClientServer", "RequestHandler"]
 
-# What a client that doesn't read may hold up; more, and it is cut off.
+# The connection of a client that leaves more than this unread is closed.
 _MAX_UNREAD_BYTES = 8 * 1024 * 1024
 
-# A process that has just started reads the configuration and the registrations
-# within 50 ms; if the store is away, clients are told so after this time.
+# A process that has just started reads the configuration and the registrations within
+# 50 ms. If the store is unavailable, clients get an error after this time.
 _MAX_STARTUP_WAIT_S = 0.3
 
 _REASONS = {
@@ -47,7 +47,7 @@
 
 
 class RequestHandler(Protocol):
-    """What is done with a client's requests."""
+    """Handles the requests of clients."""
 
     def handle_request(
         self,
@@ -57,20 +57,23 @@
         headers: Sequence[Header],
         body: bytes,
     ) -> None:
-        """Take a whole request."""
+        """Handle a complete request."""
 
     def client_gone(self, exchange: ClientExchange) -> None:
-        """The client closed its connection before it had its answer."""
+        """Handle a client that closed its connection before its answer was complete."""
 
     def workspace_of(self, headers: Sequence[Header]) -> str:
-        """Return the workspace that a request's head names; empty if none is known."""
+        """Return the workspace of a request's credential; empty if it is unknown."""
 
     def refuse_early(self, exchange: ClientExchange) -> None:
-        """Answer a request whose body there is no memory for."""
+        """Refuse a request whose body doesn't fit into the memory quota."""
 
 
 class ClientExchange:
-    """One request of a client and the answer to it."""
+    """One request of a client and the connection on which it is answered.
+
+    :param reservation: the memory used by the request's body and unread answer.
+    """
 
     def __init__(
         self,
@@ -91,8 +94,8 @@
     def send_head(self, status: int, reason: str, headers: Sequence[Header]) -> None:
         """Send status and headers.
 
-        Without a Content-Length the body goes in chunks, so that an answer that
-        is cut off can't look whole.
+        Without a Content-Length header the body is sent in chunks, so that the client
+        can tell an aborted answer from a complete one.
         """
         if self._ended:
             return
@@ -113,7 +116,7 @@
         stream = self._connection.stream
         if self._unread_bytes + len(data) > _MAX_UNREAD_BYTES:
             self.abort()
-            # A connection that is closed here tells nobody.
+            # tornado doesn't report connections that are closed from this side.
             loop = asyncio.get_running_loop()
             loop.call_soon(self._server.handler.client_gone, self)
             return
@@ -124,7 +127,8 @@
         if not self.reservation.try_reserve(len(data)):
             self.reservation.reserve_unchecked(len(data))
             self.congested = True
-        # Done once all that was written before is read, or the client is gone.
+        # This future is done once all data written before is sent, or the connection
+        # is closed.
         barrier = stream.write(b"")
         barrier.add_done_callback(lambda _: self._record_read(len(data)))
 
@@ -139,28 +143,28 @@
             callback()
 
     def call_when_read(self, callback: Callable[[], None]) -> None:
-        """Call back once the client has read what was sent, or is gone."""
+        """Call back once the client has read all sent data or has disconnected."""
         if self._unread_bytes > 0:
             self._on_read.append(callback)
         else:
             asyncio.get_running_loop().call_soon(callback)
 
     def finish(self) -> None:
-        """The answer is whole."""
+        """End the answer, which is complete."""
         if self._ended:
             return
         self._ended = True
         self._release_body()
         stream = self._connection.stream
         self._connection.finish()
-        # An answer that began before the drain promised to keep the connection;
-        # once no new requests are taken it is closed all the same.
+        # An answer that began before the drain announced that the connection stays
+        # open. It is closed anyway once the server accepts no more requests.
         closing = self._closing or self._server.stopped
         if closing and stream is not None and not stream.closed():
             _close_after_flush(stream)
 
     def abort(self) -> None:
-        """Cut the answer off, visibly incomplete."""
+        """Close the connection, so that the client sees an incomplete answer."""
         if self._ended:
             return
         self._ended = True
@@ -168,24 +172,24 @@
         self._connection.close()
 
     def _release_body(self) -> None:
-        """Hold only what the client hasn't read yet."""
+        """Release the memory of the request; unread data stays reserved."""
         self.reservation.release_bytes(self.reservation.size_bytes - self._unread_bytes)
 
     def connection_closed(self) -> None:
-        """The client closed the connection: nothing is held for it any more."""
+        """Release all memory, since the client closed the connection."""
         self.reservation.release()
 
     def reply(
         self, status: int, headers: Sequence[Header], body: bytes, reason: str = ""
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer to a complete request."""
         self.reply_early(status, headers, body, reason)
         self.finish()
 
     def reply_early(
         self, status: int, headers: Sequence[Header], body: bytes, reason: str = ""
     ) -> None:
-        """Send a whole answer to a request of which more may come."""
+        """Send a complete answer to a request whose body may still arrive."""
         fields = [*headers, ("Content-Length", str(len(body)))]
         self.send_head(status, reason, fields)
         if body:
@@ -193,13 +197,16 @@
 
 
 def _consume_exception(future: asyncio.Future[None]) -> None:
-    """Look at a write's outcome; a closed connection is reported elsewhere."""
+    """Retrieve the exception of a finished write, so that asyncio doesn't log it.
+
+    Closed connections are reported by a callback of the connection.
+    """
     if future.done() and not future.cancelled():
         future.exception()
 
 
 def _close_after_flush(stream: IOStream) -> None:
-    """Close once the kernel has taken what was written."""
+    """Close the connection once the kernel has accepted all written data."""
     if not stream.writing():
         stream.close()
         return
@@ -208,7 +215,7 @@
 
 
 class _RequestReader(HTTPMessageDelegate):
-    """Gathers one request."""
+    """Reads one request from a client's connection."""
 
     def __init__(self, server: ClientServer, connection: HTTP1Connection) -> None:
         self._server = server
@@ -223,7 +230,7 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Take the head."""
+        """Store the request's head and begin to count its memory."""
         assert isinstance(start_line, RequestStartLine)
         self._server.mark_busy(self._connection.stream)
         self._start_line = start_line
@@ -232,7 +239,7 @@
         self._reservation = MemoryReservation(self._server.quota, workspace)
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a part of the body; pass over the rest of one that was refused."""
+        """Store a part of the body, or ignore it if the request was refused."""
         if self._refused_exchange is not None:
             return
         if self._reservation.try_reserve(len(chunk)):
@@ -245,14 +252,15 @@
         self._server.handler.refuse_early(exchange)
 
     def on_connection_close(self) -> None:
-        """The client left before its request was whole."""
+        """Release the memory of an incomplete request when its client disconnects."""
         self._reservation.release()
 
     def finish(self) -> None:
-        """Give the whole request to the handler.
+        """Pass the complete request to the handler.
 
-        Bytes that had arrived when a planned stop closed the connection are
-        still parsed. Their request must go nowhere: its client takes it for unread.
+        Bytes that had arrived when a planned stop closed the connection are still
+        parsed. Their request must not be sent anywhere, since its client assumes that
+        it wasn't read.
         """
         if self._connection.stream is None or self._connection.stream.closed():
             return
@@ -265,7 +273,8 @@
             exchange.connection_closed()
             self._server.handler.client_gone(exchange)
 
-        # Once a request is whole, tornado tells of a closed connection here only.
+        # After a request is complete, tornado reports a closed connection only to this
+        # callback.
         self._connection.set_close_callback(closed)
         self._server.handler.handle_request(
             exchange,
@@ -277,9 +286,9 @@
 
 
 class ClientServer(HTTPServerConnectionDelegate):
-    """Child that serves clients.
+    """Supervised child that serves clients.
 
-    :param held: what is held for clients, by workspace.
+    :param quota: memory for request bodies and unread answers, by workspace.
     :param listener: a socket that listens on the address already, if there is one.
     """
 
@@ -292,13 +301,14 @@
     ) -> None:
         self.handler = handler
         self.quota = quota
-        # Whether answers ask clients to go on over a new connection.
+        # Whether answers ask clients to open a new connection for their next request.
         self.closes_connections = False
         self.stopped = False
-        # tornado tells its own server of closed connections, nobody else.
+        # tornado reports closed connections only to its own server class, so open
+        # connections are tracked here.
         self._streams: set[IOStream] = set()
         self._busy: set[IOStream] = set()
-        # Set once requests can be answered.
+        # Set once requests can be answered; connections wait until then.
         self.can_answer = asyncio.Event()
         self._child = HttpServerChild(
             self,
@@ -312,24 +322,25 @@
 
     @property
     def open_connections(self) -> int:
-        """How many connections clients have open."""
+        """The number of open connections of clients."""
         self.forget_closed()
         return len(self._streams)
 
     def forget_closed(self) -> None:
-        """Forget connections that were closed."""
+        """Drop closed connections from the set of tracked connections."""
         closed = {stream for stream in self._streams if stream.closed()}
         self._streams -= closed
         self._busy -= closed
 
     def mark_busy(self, stream: IOStream) -> None:
-        """A request began to arrive on a connection."""
+        """Mark a connection as one on which a request has begun to arrive."""
         self._busy.add(stream)
 
     def stop_accepting(self) -> None:
-        """Take no new connections, and close those without a request.
+        """Accept no new connections, and close those without a request.
 
-        A client whose request crosses the close knows that it wasn't read.
+        A client that sends a request at the moment of the close knows that it wasn't
+        read.
         """
         self.stopped = True
         self._child.stop_listening()
@@ -337,19 +348,20 @@
             stream.close()
 
     def set_limits(self, limits: ClientLimits) -> None:
-        """Bound what clients may send from now on."""
+        """Apply limits to the requests that clients send from now on."""
         self._limits = limits
         if self._child.server is not None:
             self._apply_limits(self._child.server)
 
     def _apply_limits(self, server: HTTPServer) -> None:
-        # tornado counts the wait for a request's head from the end of the one before.
+        # tornado's header timeout starts at the end of the previous request, so it is
+        # the time for which a connection may be idle.
         server.conn_params.header_timeout = self._limits.idle_timeout_s
         server.conn_params.max_body_size = self._limits.max_body_bytes
         server.conn_params.max_header_size = self._limits.max_header_bytes
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Listen and serve until cancelled."""
+        """Listen and serve until cancelled; ``ready`` is set once it listens."""
         await self._child.run(ready)
 
     # HTTPServerConnectionDelegate
@@ -357,7 +369,7 @@
     def start_request(
         self, server_conn: object, request_conn: HTTPConnection
     ) -> HTTPMessageDelegate:
-        """Begin to read a request."""
+        """Return the reader of a connection's next request."""
         assert isinstance(request_conn, HTTP1Connection)
         self._streams.add(request_conn.stream)
         self._busy.discard(request_conn.stream)
--- a/src/railfold/_internal/forwarding/requests/refusals.py
+++ b/src/railfold/_internal/forwarding/requests/refusals.py
@@ -1,4 +1,4 @@
-"""Answering requests that go to no backend server."""
+"""Error answers to requests that aren't sent to any backend server."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Refusals:
-    """Counts and logs each refusal, and says when its client should come back."""
+    """Refuses requests, with a Retry-After time, and counts and logs each refusal."""
 
     def __init__(self, router: Router) -> None:
         self._router = router
@@ -28,12 +28,15 @@
         error: RequestError,
         received_s: float,
     ) -> None:
-        """Answer a whole request."""
+        """Refuse a request that was received completely.
+
+        :param received_s: loop time at which the request was received.
+        """
         headers, body = self._reply(request_id, error, received_s)
         exchange.reply(status_of(error, not_run=True), headers, body)
 
     def refuse_early(self, exchange: ClientExchange, error: RequestError) -> None:
-        """Answer a request of which more may come."""
+        """Refuse a request whose body isn't received completely."""
         headers, body = self._reply("", error, self._loop.time())
         exchange.reply_early(status_of(error, not_run=True), headers, body)
 
--- a/src/railfold/_internal/forwarding/requests/relocation.py
+++ b/src/railfold/_internal/forwarding/requests/relocation.py
@@ -1,4 +1,4 @@
-"""Ending an attempt on suspicion, once its answer can go on elsewhere."""
+"""Moving a request away from a suspected backend server if another can finish it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class MovableAttempt(Protocol):
-    """The attempt under way of a request."""
+    """The current attempt of a request."""
 
     @property
     def repeatable(self) -> bool:
@@ -19,37 +19,41 @@
 
     @property
     def answer_begun(self) -> bool:
-        """Whether the client has a part of the answer."""
+        """Whether a part of the answer was sent to the client."""
 
     def reserve_destination(self) -> bool:
-        """Reserve another place for the answer; return whether there is one."""
+        """Reserve a destination that can continue the answer.
+
+        Returns False if there is none.
+        """
 
     def end_attempt(self, reason: str) -> None:
-        """End it; the request goes to the place that is reserved, if there is one."""
+        """End the attempt; the request is sent to the reserved destination, if any."""
 
     def attempt_kept(self, reason: str) -> None:
-        """It goes on for now, although it was to be ended."""
+        """Record that the attempt continues since no other server can finish it."""
 
 
 class Relocation:
-    """Moves one request's attempts, one after the other.
+    """Moves one request from suspected backend servers to other destinations.
 
-    An attempt goes on if only its own engine can finish it. That is so for a request
-    that may not run again, and for an answer that has begun and couldn't go on
-    elsewhere now. Its engine may send again, and its client leaves when it likes;
-    nothing mends an answer that was cut.
+    An attempt continues if only its own backend server can finish it: if the request
+    isn't repeatable, or if the answer has begun and no other destination can continue
+    it now. The server may still send the rest, and the client can disconnect at any
+    time, whereas an answer that was aborted can't be repaired.
     """
 
     def __init__(self, attempt: MovableAttempt) -> None:
         self._attempt = attempt
         self._loop = asyncio.get_running_loop()
-        # Why its engine is given up, while its answer waits for another place.
+        # Why the attempt's backend server counts as lost, while the answer waits for
+        # another destination; empty otherwise.
         self._loss_reason = ""
         self._kept_reason = ""
         self._recheck_timer: asyncio.TimerHandle | None = None
 
     def move(self, reason: str) -> None:
-        """End the attempt on suspicion, if its answer can go on elsewhere."""
+        """End the attempt if another destination can finish the answer."""
         attempt = self._attempt
         if not attempt.repeatable:
             return
@@ -59,7 +63,7 @@
         attempt.end_attempt(reason)
 
     def move_from_lost_server(self, reason: str) -> None:
-        """The same of an engine that is lost: look for a place until there is one."""
+        """Leave a lost backend server: look for a destination until there is one."""
         self._loss_reason = reason
         self.move(reason)
 
@@ -78,11 +82,11 @@
             self.move(self._loss_reason)
 
     def record_progress(self) -> None:
-        """The answer goes on: its engine isn't lost."""
+        """Record that the answer continues, so that its server isn't lost."""
         self._loss_reason = self._kept_reason = ""
 
     def reset(self) -> None:
-        """The attempt has ended."""
+        """Forget the attempt, which has ended."""
         self.record_progress()
         if self._recheck_timer is not None:
             self._recheck_timer.cancel()
--- a/src/railfold/_internal/forwarding/requests/replies.py
+++ b/src/railfold/_internal/forwarding/requests/replies.py
@@ -1,4 +1,4 @@
-"""Answers to clients: headers that are passed on, and answers of our own."""
+"""Headers that are forwarded to clients, and error answers made by the entry."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 _SERVICE_UNAVAILABLE = 503
 _GATEWAY_TIMEOUT = 504
 
-# Headers that concern one connection only (RFC 9110, section 7.6.1).
+# Headers that apply to a single connection (RFC 9110, section 7.6.1).
 _HOP_BY_HOP = frozenset(
     {
         "connection",
@@ -49,16 +49,19 @@
 
 
 def connection_headers(connection: str) -> frozenset[str]:
-    """Return the names, in lower case, of headers that are not passed on.
+    """Return the names, in lower case, of headers that aren't forwarded.
 
-    :param connection: the message's Connection header, which may name more.
+    :param connection: the message's Connection header, which may name more headers.
     """
     named = {name.strip().lower() for name in connection.split(",")}
     return _HOP_BY_HOP | named
 
 
 def end_to_end_headers(head: ResponseHead, *, with_length: bool) -> list[Header]:
-    """Return the headers of an answer that the client gets."""
+    """Return the headers of a backend server's answer that are sent to the client.
+
+    :param with_length: whether to include the Content-Length header.
+    """
     dropped = connection_headers(head.get("Connection"))
     if not with_length:
         dropped = dropped | {"content-length"}
@@ -70,9 +73,10 @@
 def error_reply(
     error: RailfoldError, retry_after_s: float | None
 ) -> tuple[list[Header], bytes]:
-    """Return headers and body of an answer of our own.
+    """Return the headers and the body of an error answer made by the entry.
 
-    One whose repetition would end more backend servers asks for none.
+    There is no Retry-After header after repeated crashes, since a retry would crash
+    more backend servers.
     """
     headers: list[Header] = [("Content-Type", "application/json")]
     if retry_after_s is not None and not isinstance(error, RepeatedCrashesError):
@@ -82,10 +86,12 @@
 
 
 def status_of(error: RailfoldError, *, not_run: bool) -> int:
-    """Return the status of an answer of our own.
+    """Return the status of an error answer made by the entry.
+
+    Status 503 tells the client that its request hasn't run and won't run. All other
+    requests get a status that doesn't say whether they ran.
 
-    Only a request that surely hasn't run and won't is told so (503); the others
-    get a status that promises nothing.
+    :param not_run: whether it is certain that the request hasn't run and won't run.
     """
     match error:
         case UnauthorizedError():
@@ -95,7 +101,7 @@
         case InvalidRequestError() | HeadersTooLargeError() | BodyTooLargeError():
             return _BAD_REQUEST
         case RepeatedCrashesError():
-            # Not 503: clients take that for a promise that the next time may be better.
+            # Not 503, since clients understand that as an invitation to retry.
             return _BAD_GATEWAY
         case _ if not_run:
             return _SERVICE_UNAVAILABLE
--- a/src/railfold/_internal/forwarding/requests/request_log.py
+++ b/src/railfold/_internal/forwarding/requests/request_log.py
@@ -1,4 +1,4 @@
-"""What the log and the metrics say of one request."""
+"""Log events and metrics of one request."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class RequestLog:
-    """Tells of one request's attempts and its end."""
+    """Logs and counts the attempts and the outcome of one request."""
 
     def __init__(self, routed: RoutedRequest, router: Router) -> None:
         self._routed = routed
@@ -49,7 +49,10 @@
         resume_after: int | None,
         prediction: Prediction | None,
     ) -> None:
-        """It is sent to a backend server."""
+        """Log that the request is sent to a backend server.
+
+        :param resume_after: id of the event after which its stream resumes.
+        """
         self._prediction = prediction
         now_s = self._sent_s = self._loop.time()
         self._router.log.write_routine(
@@ -70,7 +73,7 @@
     def attempt_ended(
         self, attempt: int, server_id: str, cause: str, events: int, silent_s: float
     ) -> None:
-        """An attempt ended without the answer that was wanted."""
+        """Count and log an attempt that ended without a complete answer."""
         self._router.metrics.count("attempts.ended_early")
         event = AttemptEnded(
             self._routed.request_id, attempt, server_id, cause, events, _ms(silent_s)
@@ -80,14 +83,21 @@
     def attempt_kept(
         self, attempt: int, server_id: str, cause: str, events: int, silent_s: float
     ) -> None:
-        """Its backend server is given up, but nothing else can finish the answer."""
+        """Log that an attempt continues at a suspected backend server.
+
+        No other backend server can finish the answer.
+        """
         event = AttemptKept(
             self._routed.request_id, attempt, server_id, cause, events, _ms(silent_s)
         )
         self._router.log.write(event)
 
     def rerouted(self, chain: Chain | None, outcome: str) -> None:
-        """It was ordered to go on over another chain, if there is one."""
+        """Log that the first backend server was asked to continue over another chain.
+
+        :param chain: nothing if there was no other chain.
+        :param outcome: why the stream wasn't rerouted; empty if it was.
+        """
         event = StreamRerouted(self._routed.request_id, _chain_text(chain), outcome)
         self._router.log.write(event)
 
@@ -101,10 +111,11 @@
         watch: StreamWatch,
         contender: Contender | None,
     ) -> None:
-        """It got its final answer.
+        """Count and log the final outcome of the request.
 
-        :param cause: why it was given up, as far as its driver knows.
-        :param contender: what it wanted of engines' room, if others competed for that.
+        :param cause: why the request failed; if empty, the outcome's error is logged.
+        :param contender: the request as it competed for the engines' memory, if others
+            competed for it too.
         """
         metrics = self._router.metrics
         name = outcome_name(outcome)
@@ -143,7 +154,10 @@
             self._router.log.write(event)
 
     def _record_prediction_error(self, first_event_s: float) -> None:
-        """Count by how much a first event came later or sooner than predicted."""
+        """Record by how much the first event came later or sooner than predicted.
+
+        :param first_event_s: time from sending the request to its first event.
+        """
         assert self._prediction is not None
         error_s = first_event_s - self._prediction.chain.first_event_s
         name = "later" if error_s > 0.0 else "sooner"
@@ -151,6 +165,7 @@
 
 
 def _logged_cause(outcome: Outcome, cause: str) -> str:
+    """Return the cause of a failed request, or else the text of its error."""
     match outcome:
         case Answered():
             return ""
@@ -159,7 +174,7 @@
 
 
 def _chain_text(chain: Chain | None) -> str:
-    """Return a chain as it stands in logs."""
+    """Return a chain as it is logged: ``host:layers`` of each stage."""
     if chain is None:
         return ""
     return " ".join(f"{stage.host}:{stage.layers}" for stage in chain.stages)
@@ -170,7 +185,7 @@
 
 
 def _prediction_fields(prediction: Prediction | None) -> tuple[float, ...]:
-    """Return a prediction as it stands in logs."""
+    """Return the fields of a prediction in the order of the log event."""
     if prediction is None:
         return ()
     return (
--- a/src/railfold/_internal/forwarding/requests/routed_request.py
+++ b/src/railfold/_internal/forwarding/requests/routed_request.py
@@ -1,4 +1,4 @@
-"""A client's request with what its configuration says of it."""
+"""A client's request with its route and the owner of its credential."""
 
 from __future__ import annotations
 
@@ -16,11 +16,12 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutedRequest:
-    """A request, the route that it takes, and whose credential it holds.
+    """A client's request, its route and the owner of its credential.
 
-    :param owner: nothing where no credential is needed.
-    :param configuration_version: the version that it was admitted under.
-    :param on_trial: whether it was let through to see whether it ends its servers.
+    :param owner: nothing if the route needs no credential.
+    :param configuration_version: the configuration under which it was admitted.
+    :param on_trial: whether the request is quarantined and was let through as a trial,
+        to find out if it crashes backend servers.
     """
 
     request: ClientRequest
@@ -31,30 +32,30 @@
 
     @property
     def request_id(self) -> str:
-        """The client's id of the request."""
+        """The request id that the client chose."""
         return self.request.request_id
 
     @property
     def priority(self) -> int:
-        """Its rank, 0 first: its workspace's, if that has one, else its route's."""
+        """The priority of its workspace, or else of its route; 0 is the highest."""
         if self.owner is not None and self.owner.priority is not None:
             return self.owner.priority
         return self.route.priority
 
     @property
     def admission_rank(self) -> int:
-        """Its place in the order in which requests get scarce room."""
+        """The rank by which it is admitted when capacity is short, 0 first."""
         priority = self.owner.priority if self.owner is not None else None
         return admission_rank(self.route, priority)
 
     @property
     def workspace(self) -> str:
-        """The workspace that it belongs to; empty if none is known."""
+        """The workspace that owns the credential; empty if there is none."""
         return self.owner.workspace if self.owner is not None else ""
 
     @property
     def deadline_s(self) -> float:
-        """Loop time at which it gets its final answer at the latest."""
+        """Loop time by which the client must have its final answer."""
         deadline_s = self.request.received_s + self.route.timeout_s
         if self.request.deadline_s is not None:
             deadline_s = min(deadline_s, self.request.deadline_s)
--- a/src/railfold/_internal/forwarding/requests/stream_watch.py
+++ b/src/railfold/_internal/forwarding/requests/stream_watch.py
@@ -1,4 +1,4 @@
-"""Watching one request's stream for silence, and measuring its pauses."""
+"""Detecting that a request's stream is silent, and measuring its pauses."""
 
 from __future__ import annotations
 
@@ -11,28 +11,32 @@
 
 __all__ = ["Silence", "StreamWatch"]
 
-# A silent stream is looked into when its pause is this many times the usual one
-# and at least the floor: above the pauses that prompts of other requests cause (up
-# to 60 ms on the first sites). A look costs a few probes at most; finding a dead
-# host, and its stand-in reading the stream's tokens, has to fit into 200 ms.
+# A stream is overdue once its pause is this many times its mean pause and at least the
+# floor. The floor is above the pauses caused by prefill of other requests, which are up
+# to 60 ms. A check of an overdue stream costs a few probes at most. Detecting a dead
+# host and the prefill of the stream's tokens at its replacement must take less than
+# 200 ms together.
 _OVERDUE_FACTOR = 3.0
 _OVERDUE_FLOOR_S = 0.07
 _FIRST_EVENT_OVERDUE_S = 0.25
 
-# While the silence lasts it is looked into again: whether the whole chain stands
-# still shows at a later look, and before the probes of the first one time out.
+# Interval between checks while a stream stays silent. Whether its whole chain has
+# stalled may only show at a later check, which comes before the probes sent by the
+# first check time out.
 _RECHECK_INTERVAL_S = 0.03
 
-# An expected pause below this proves nothing: events arrive together.
+# Expected pauses are at least this long: below it, events arrive together, so that
+# their pauses say nothing about the chain.
 _MIN_EXPECTED_PAUSE_S = 0.005
 
 
 @dataclass(frozen=True, slots=True)
 class Silence:
-    """What is known of a stream that has brought nothing for a while.
+    """State of a stream that hasn't received any bytes for some time.
 
-    :param suspects: hosts of its chain that no other stream moves through.
-    :param stalled: whether its chain surely stands still.
+    :param silent_s: time since the last bytes.
+    :param suspects: hosts of its chain that no active stream runs through.
+    :param stalled: whether a host of its chain has certainly stopped.
     """
 
     silent_s: float
@@ -41,9 +45,12 @@
 
 
 class StreamWatch:
-    """Pauses of one request's answer, over all its attempts.
+    """Measures the pauses of one request's answer over all its attempts.
 
-    :param on_silent: called while the stream is silent.
+    Times are on the event loop's clock.
+
+    :param activity: event times of all streams of this entry.
+    :param on_silent: called when the stream is overdue, and again until it continues.
     """
 
     def __init__(
@@ -70,12 +77,12 @@
 
     @property
     def has_events(self) -> bool:
-        """Whether the attempt under way has brought events."""
+        """Whether the current attempt has received an event."""
         return self._has_events
 
     @property
     def event_span_s(self) -> float:
-        """For how long the attempt under way has brought events."""
+        """The time between the first and the last event of the current attempt."""
         return (
             self._last_event_s - self._first_event_of_attempt_s
             if self._has_events
@@ -84,18 +91,20 @@
 
     @property
     def last_progress_s(self) -> float:
-        """When something came last, on the loop's clock."""
+        """The time of the last bytes, or of the attempt's start if there are none."""
         return self._last_progress_s
 
     @property
     def silent_s(self) -> float:
-        """For how long nothing has come."""
+        """The time since the last bytes, or since the attempt's start."""
         return self._loop.time() - self._last_progress_s
 
     def attempt_started(self, chain: ChainKey | None, expected_pause_s: float) -> None:
-        """An attempt was sent, or goes on over another chain.
+        """Begin to watch an attempt that was sent, or rerouted to another chain.
 
-        :param chain: nothing for a request that isn't watched.
+        :param chain: nothing for a request that isn't checked for silence.
+        :param expected_pause_s: pause between events that the chain's accelerators
+            should have.
         """
         self.attempt_ended()
         now_s = self._loop.time()
@@ -107,7 +116,7 @@
             self._schedule_check(self._overdue_timer.due_s())
 
     def attempt_ended(self) -> None:
-        """The attempt ended."""
+        """Stop watching the attempt."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -116,13 +125,16 @@
         self._has_events = False
 
     def bytes_received(self) -> float:
-        """Bytes came; return for how long none had."""
+        """Record that bytes were received; return the time since the previous ones."""
         now_s = self._loop.time()
         gap_s, self._last_progress_s = now_s - self._last_progress_s, now_s
         return gap_s
 
     def events_received(self, gap_s: float) -> None:
-        """Whole events came, ``since_s`` after what came before."""
+        """Record that complete events were received.
+
+        :param gap_s: time since the previous bytes.
+        """
         now_s = self._loop.time()
         if self.first_event_s is None:
             self.first_event_s = now_s
@@ -163,7 +175,7 @@
             )
         silence = self._measure_silence(now_s, now_s - scheduled_s)
         self._schedule_check(now_s + _RECHECK_INTERVAL_S)
-        # Last: it may close the attempt.
+        # This comes last since the callback may end the attempt.
         self._on_silent(silence)
 
     def _measure_silence(self, now_s: float, loop_delay_s: float) -> Silence:
