--- a/tests/forwarding/conftest.py
+++ b/tests/forwarding/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures: a deployment with forwarding entries."""
+"""Fixtures that start a deployment with forwarding entries."""
 
 from __future__ import annotations
 
@@ -11,20 +11,20 @@
 
 @pytest.fixture
 async def deployment() -> AsyncIterator[Deployment]:
-    """Two failure domains, each with a whole chain and a plain service."""
+    """Two failure domains, each with a complete chain and a plain service."""
     async for started in running(Deployment()):
         yield started
 
 
 @pytest.fixture
 async def empty_deployment() -> AsyncIterator[Deployment]:
-    """The same, but no engine holds any layers."""
+    """The same as ``deployment``, but no engine has any layers."""
     async for started in running(Deployment(placed=False)):
         yield started
 
 
 @pytest.fixture
 async def two_entries() -> AsyncIterator[Deployment]:
-    """The first one with two entries."""
+    """The same as ``deployment``, but with two entries."""
     async for started in running(Deployment(entry_count=2)):
         yield started
--- a/tests/forwarding/test_failures.py
+++ b/tests/forwarding/test_failures.py
@@ -1,4 +1,8 @@
-"""What dies, freezes or lies, and what clients get meanwhile."""
+"""Requests while engines, backend servers, the store or the leader fail.
+
+Streams must resume on other engines, no request may run more often than its route
+allows, and no failed or draining server may get new requests.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,7 @@
 )
 
 
-async def test_a_stream_goes_on_elsewhere_when_its_first_engine_dies(
+async def test_a_stream_resumes_elsewhere_when_its_first_engine_dies(
     deployment: Deployment,
 ) -> None:
     connection, engine = await begin_stream(deployment)
@@ -29,7 +33,7 @@
     assert reply.body == events_of(60)
 
 
-async def test_a_stream_goes_on_elsewhere_when_a_later_engine_falls_silent(
+async def test_a_stream_resumes_elsewhere_when_a_later_engine_falls_silent(
     deployment: Deployment,
 ) -> None:
     connection, engine = await begin_stream(deployment)
@@ -44,15 +48,15 @@
     assert entry.suspect_since_s is not None
 
 
-async def test_streams_move_without_a_probe_when_their_whole_chain_stands_still(
+async def test_streams_are_moved_without_a_probe_when_their_whole_chain_stalls(
     deployment: Deployment,
 ) -> None:
     begun = [await begin_stream(deployment, f"s-{n}", events=80) for n in range(8)]
     zones = {engine.zone for _, engine in begun}
     assert len(zones) == 2, "the load should reach both failure domains"
-    broken = begun[0][1].zone
+    stalled_zone = begun[0][1].zone
     (later,) = [
-        e for e in deployment.engines if e.zone == broken and e.layers == (4, 8)
+        e for e in deployment.engines if e.zone == stalled_zone and e.layers == (4, 8)
     ]
     later.mode = "dead"
     replies = await asyncio.gather(*(rest_of(c) for c, _ in begun))
@@ -60,7 +64,7 @@
     assert deployment.entry.metrics.counters["chains.stalled"] >= 1
 
 
-async def test_a_stream_goes_on_over_a_stand_in_without_a_new_attempt(
+async def test_a_stream_is_rerouted_over_a_replacement_without_a_new_attempt(
     deployment: Deployment,
 ) -> None:
     for zone in ("hall-a", "hall-b"):
@@ -77,11 +81,11 @@
     assert sum(engine.runs["s-1"] for engine in deployment.engines) == 1
 
 
-async def test_an_engine_that_is_only_out_of_reach_counts_as_one_that_ran(
+async def test_an_attempt_at_an_unreachable_engine_counts_as_one_that_ran(
     deployment: Deployment,
 ) -> None:
-    # The route allows two attempts; no probe tells a dead engine from one that runs on
-    # behind a slow link, or that this entry is too slow to hear.
+    # The route allows two attempts. Probes can't distinguish a dead engine from one
+    # that still runs behind a slow link, or whose answers this entry reads too late.
     deployment.add_engine("i-third", "hall-a", (0, 4))
     await until(deployment.all_known)
     connection, _ = await begin_stream(deployment, events=150)
@@ -96,7 +100,9 @@
     assert sum(engine.runs["s-1"] for engine in deployment.engines) == 2
 
 
-async def test_engines_that_all_answer_late_arent_lost(deployment: Deployment) -> None:
+async def test_engines_are_not_suspected_if_all_answer_late(
+    deployment: Deployment,
+) -> None:
     for engine in deployment.engines:
         engine.report_delay_s = 0.1
     entry = deployment.entry
@@ -111,7 +117,7 @@
     assert all(e.suspect_since_s is None for e in entry.router.directory)
 
 
-async def test_new_streams_keep_away_from_an_engine_that_says_it_is_slow(
+async def test_new_streams_avoid_an_engine_that_reports_slow_steps(
     deployment: Deployment,
 ) -> None:
     slow = deployment.engines[0]
@@ -130,7 +136,7 @@
     await until(lambda: entry.slowness == 1.0)
 
 
-async def test_a_suspect_engine_gets_work_again_once_it_answers(
+async def test_a_suspected_engine_gets_requests_again_once_it_answers(
     deployment: Deployment,
 ) -> None:
     connection, engine = await begin_stream(deployment)
@@ -142,29 +148,29 @@
     await until(lambda: entry is not None and entry.suspect_since_s is None)
 
 
-async def test_a_draining_server_gets_no_new_work(deployment: Deployment) -> None:
-    leaving = deployment.plain[0]
-    leaving.state = "draining"
-    leaving.register()
+async def test_a_draining_server_gets_no_new_requests(deployment: Deployment) -> None:
+    draining = deployment.plain[0]
+    draining.state = "draining"
+    draining.register()
     await until(deployment.all_known)
     for number in range(8):
         await deployment.ask("/slip/1", f"c-{number}")
-    assert not leaving.seen
+    assert not draining.seen
 
 
-async def test_a_server_whose_entry_is_gone_gets_no_new_work(
+async def test_a_deregistered_server_gets_no_new_requests(
     deployment: Deployment,
 ) -> None:
-    leaving = deployment.plain[0]
-    leaving.deregister()
+    deregistered = deployment.plain[0]
+    deregistered.deregister()
     directory = deployment.entry.router.directory
-    await until(lambda: directory.get(leaving.server_id) is None)
+    await until(lambda: directory.get(deregistered.server_id) is None)
     for number in range(8):
         await deployment.ask("/slip/1", f"c-{number}")
-    assert not leaving.seen
+    assert not deregistered.seen
 
 
-async def test_a_new_incarnation_at_an_address_ends_the_old_one(
+async def test_a_new_incarnation_at_an_address_replaces_the_old_one(
     deployment: Deployment,
 ) -> None:
     old = deployment.plain[0]
@@ -185,7 +191,7 @@
 
 
 @pytest.mark.parametrize("mode", ["out", "silent", "reset"])
-async def test_keys_are_used_for_a_bounded_time_while_the_store_is_away(
+async def test_keys_expire_while_the_store_is_unavailable(
     deployment: Deployment, mode: str
 ) -> None:
     deployment.store.mode = mode
@@ -199,7 +205,7 @@
     assert (await deployment.ask("/slip/1", "c-3")).status == 200
 
 
-async def test_a_stream_goes_on_elsewhere_while_the_store_is_away(
+async def test_a_stream_resumes_elsewhere_while_the_store_is_unavailable(
     deployment: Deployment,
 ) -> None:
     connection, engine = await begin_stream(deployment, events=200)
@@ -212,14 +218,14 @@
     assert reply.body == events_of(200)
 
 
-async def test_a_key_that_was_removed_isnt_used(deployment: Deployment) -> None:
+async def test_a_removed_key_is_refused(deployment: Deployment) -> None:
     tenants = [{"name": "quality", "api_keys": ["another"], "priority": 1}]
     deployment.store.put("keyed.op", "config", configuration(2, tenants=tenants))
     await until(lambda: deployment.entry.router.table.version == 2)
     assert (await deployment.ask("/slip/1", "c-1")).status == 401
 
 
-async def test_registrations_that_lapsed_with_the_store_dont_end_work(
+async def test_registrations_that_lapsed_during_a_store_outage_stay_in_use(
     deployment: Deployment,
 ) -> None:
     deployment.store.mode = "out"
@@ -250,7 +256,9 @@
     assert all(order["fence_token"] > 0 for order in orders)
 
 
-async def test_layers_of_a_lost_engine_are_taken_over(deployment: Deployment) -> None:
+async def test_layers_of_a_lost_engine_are_placed_on_another(
+    deployment: Deployment,
+) -> None:
     lost = deployment.engines[0]
     neighbour = deployment.engines[1]
     await lost.stop()
@@ -263,7 +271,7 @@
     assert neighbour.server_id in planned["changes"]
 
 
-async def test_a_fenced_leader_gives_no_more_orders(
+async def test_a_fenced_leader_sends_no_more_orders(
     empty_deployment: Deployment,
 ) -> None:
     for engine in empty_deployment.engines:
@@ -275,7 +283,7 @@
     assert sum(len(e.given) for e in empty_deployment.engines) == refused
 
 
-async def test_a_planned_stop_finishes_what_runs_and_takes_nothing_late(
+async def test_a_drain_finishes_running_requests_and_closes_connections(
     deployment: Deployment,
 ) -> None:
     stream, _ = await begin_stream(deployment, events=40)
@@ -291,43 +299,43 @@
     await asyncio.wait_for(stop, 5.0)
 
 
-async def test_a_request_that_crosses_a_planned_stops_close_goes_nowhere(
+async def test_a_request_that_arrives_as_a_drain_closes_its_connection_is_not_run(
     deployment: Deployment,
 ) -> None:
     connection = await deployment.connect()
     await connection.ask("/tray/1", "c-1", method="GET", body=b"")
     clients = deployment.entry._clients
     (stream,) = clients._streams
-    # Bytes that were read but not parsed yet when the connection is closed.
+    # The request's bytes are read, but not parsed yet when the connection is closed.
     head_read = stream._read_future
     assert head_read is not None
     await connection.send("/tray/1", "c-2", method="GET", body=b"")
-    while not head_read.done():  # noqa: ASYNC110 - the very next turn counts.
+    while not head_read.done():  # noqa: ASYNC110 - the next loop iteration counts.
         await asyncio.sleep(0)
     clients.stop_accepting()
     await asyncio.sleep(0.2)
     assert sum(server.runs["c-2"] for server in deployment.plain) == 0
 
 
-async def test_a_planned_stop_ends_once_nothing_runs(deployment: Deployment) -> None:
+async def test_a_drain_ends_once_no_request_runs(deployment: Deployment) -> None:
     connections = [await deployment.connect() for _ in range(6)]
     for number, connection in enumerate(connections[:4]):
         await connection.ask("/tray/1", f"c-{number}", method="GET", body=b"")
-    leaving, _ = await begin_stream(deployment, "s-9", events=1000)
-    leaving.close()
+    stream, _ = await begin_stream(deployment, "s-9", events=1000)
+    stream.close()
     started_s = _now()
     await asyncio.wait_for(deployment.entry.drain(), 5.0)
-    # The grace time is 4 s; the balancer is given 2.8 s to notice.
+    # The grace period is 4 s; the load balancer gets 2.8 s of it to notice the drain.
     assert _now() - started_s < 3.2
 
 
-async def test_an_engine_that_lost_its_layers_gets_no_work_until_it_registers(
+async def test_an_engine_that_lost_its_layers_gets_no_requests_until_it_registers(
     deployment: Deployment,
 ) -> None:
-    """It refuses all that reaches it while its old registration stands, for seconds.
+    """The engine refuses all requests, but stays registered for some seconds.
 
-    Entries tried it again after a quarter of a second, each time at the cost of a
-    retry: 31 such refusals in one second by one engine of a deployment of 68 entries.
+    When each entry tried such an engine again after 0.25 s, at the cost of a retry, one
+    engine of a deployment with 68 entries refused 31 requests in one second.
     """
     for zone in ("hall-a", "hall-b"):
         (later,) = [
--- a/tests/forwarding/test_own_lateness.py
+++ b/tests/forwarding/test_own_lateness.py
@@ -1,27 +1,17 @@
-"""An entry that is late itself gives nobody up.
-
-What users saw: while an operator added thousands of routes, streams broke off in
-the middle of their answers, though no engine had failed; on another site requests
-ran on three engines where their route allows two.
-
-Order of events: each entry read the new configuration (0.6 to 1.1 MB). On the small
-ones, with 20 Mbit/s, it filled their link for half a second or more, and decoding it
-held the event loop up for 60 to 220 ms. All their streams stood still together. The
-entry asked the engines whether they live; the answers queued behind the
-configuration and came after 0.2 s, but were waited for 50 ms only where one engine
-was asked alone. Engines that had left the store's list and served on weren't asked
-at all. So engines that were well were given up, their streams were sent elsewhere,
-and those that had no attempt or no retry left were cut. An attempt at an unlisted
-engine wasn't counted, so that a third could follow.
-
-Cause: silence was taken for proof, without asking whether this process could have
-heard.
-
-Evidence: logs of a calm day on which engines are replaced in turn while routes are
-added. All 65 looks at silent chains were on small entries; the engines that were
-given time all answered, most after 0.2 s; 18 were given up, and all 18 answered
-again within 1.2 s; two streams were cut with "lost" as the cause of both of their
-attempts.
+"""An entry that is late itself must not suspect healthy engines.
+
+The failure: a large new configuration (0.6 to 1.1 MB) fills the 20 Mbit/s link of a
+small entry for half a second or more, and decoding it blocks the event loop for 60 to
+220 ms. All streams of the entry pause together, and the answers to its probes arrive
+after 0.2 s. The entry took this silence as proof that engines had failed, without
+checking whether it could have received their answers:
+
+- it waited only 50 ms for the answer if it probed a single engine, and it didn't probe
+  engines at all that were no longer listed in the store but still served;
+- so it moved streams away from healthy engines, all of which answered within 1.2 s, and
+  aborted streams without a remaining attempt or retry;
+- it didn't count an attempt at an unlisted engine, so that a request could run on three
+  engines where its route allows two.
 """
 
 from __future__ import annotations
@@ -61,8 +51,8 @@
 EVENT_S = 0.01
 
 
-async def hold_answers_up(deployment: Deployment, seconds: float) -> None:
-    """Let everything that engines send come late, as behind a full link."""
+async def delay_all_answers(deployment: Deployment, seconds: float) -> None:
+    """Delay all events and reports of the engines, as on a saturated link."""
     for engine in deployment.engines:
         engine.event_s = engine.report_delay_s = seconds
     await asyncio.sleep(2 * seconds)
@@ -70,18 +60,18 @@
         engine.event_s, engine.report_delay_s = EVENT_S, 0.0
 
 
-async def test_engines_are_kept_while_all_answers_come_late(
+async def test_engines_are_not_suspected_while_all_answers_are_late(
     deployment: Deployment,
 ) -> None:
     begun = [await begin_stream(deployment, f"s-{n}") for n in range(2)]
-    await hold_answers_up(deployment, 0.4)
+    await delay_all_answers(deployment, 0.4)
     assert suspects(deployment) == []
     replies = await asyncio.gather(*(rest_of(connection) for connection, _ in begun))
     assert [reply.body for reply in replies] == [events_of(60)] * 2
     assert [runs(deployment, f"s-{n}") for n in range(2)] == [1, 1]
 
 
-async def test_an_engine_that_is_asked_alone_is_kept_while_all_answers_come_late(
+async def test_an_engine_probed_alone_is_not_suspected_while_all_answers_are_late(
     deployment: Deployment,
 ) -> None:
     connection, engine = await begin_stream(deployment, events=200)
@@ -94,18 +84,18 @@
     connection.close()
 
 
-async def test_an_engine_that_left_the_list_and_serves_on_is_asked_too(
+async def test_an_unlisted_engine_that_still_serves_is_probed_too(
     deployment: Deployment,
 ) -> None:
     connection, first = await begin_stream(deployment)
     later = later_engine(deployment, first)
     take_off_the_list(deployment, later)
-    await hold_answers_up(deployment, 0.15)
+    await delay_all_answers(deployment, 0.15)
     assert (await rest_of(connection)).body == events_of(60)
     assert runs(deployment, "s-1") == 1
 
 
-async def test_a_successor_at_its_address_is_no_sign_of_life(
+async def test_an_answer_of_a_replacement_does_not_prove_an_engine_alive(
     deployment: Deployment,
 ) -> None:
     connection, first = await begin_stream(deployment)
@@ -125,10 +115,10 @@
     connection.close()
 
 
-async def test_an_attempt_counts_though_its_engine_left_the_list(
+async def test_an_attempt_at_an_unlisted_engine_counts_as_one_that_ran(
     deployment: Deployment,
 ) -> None:
-    # The route allows two; one that left the list serves on for seconds.
+    # The route allows two attempts. An unlisted engine still serves for some seconds.
     deployment.add_engine("i-third", "hall-a", (0, 4))
     await until(deployment.all_known)
     connection, _ = await begin_stream(deployment, events=200)
@@ -147,10 +137,10 @@
     connection.close()
 
 
-async def check_that_it_waits(
+async def check_that_the_stream_waits(
     deployment: Deployment, connection: Connection, first: Engine
 ) -> None:
-    """Let a later engine stand still; the stream of 200 events must outlast it."""
+    """Stop a later engine for a while; the stream of 200 events must outlast this."""
     later = later_engine(deployment, first)
     later.mode = "dead"
     await until(lambda: bool(suspects(deployment)))
@@ -161,12 +151,12 @@
     assert runs(deployment, "s-1") == 1
 
 
-async def test_a_stream_with_nowhere_else_to_go_waits_for_its_engine(
+async def test_a_stream_without_another_destination_waits_for_its_engine(
     deployment: Deployment,
 ) -> None:
     connection, first = await begin_stream(deployment, events=200)
     await let_others_drain(deployment, first)
-    await check_that_it_waits(deployment, connection, first)
+    await check_that_the_stream_waits(deployment, connection, first)
 
 
 async def test_a_stream_without_a_retry_left_waits_for_its_engine(
@@ -176,13 +166,13 @@
     entry = deployment.entry
     entry._on_settings(replace(entry._settings, retry_share=0.0, retry_slack=0.0))
     await asyncio.sleep(0.3)
-    await check_that_it_waits(deployment, connection, first)
+    await check_that_the_stream_waits(deployment, connection, first)
 
 
-async def test_an_engine_is_asked_again_when_a_connection_closes(
+async def test_a_probe_is_repeated_when_its_connection_closes(
     deployment: Deployment,
 ) -> None:
-    # A kept connection that was idle for long may close as a probe is sent on it.
+    # A pooled connection that was idle for long may close when a probe is sent on it.
     engine = deployment.engines[0]
     engine.reports_to_drop = 1
     deployment.entry._prober.doubt(engine.server_id)
@@ -191,13 +181,13 @@
     assert deployment.entry.metrics.counters["servers.suspected"] == 0
 
 
-async def test_connections_that_come_up_late_prove_nothing(
+async def test_connections_that_time_out_do_not_make_engines_suspect(
     deployment: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def too_late(address: Address, timeout_s: float) -> HttpConnection:
+    async def connect_too_late(address: Address, timeout_s: float) -> HttpConnection:
         raise EngineUnavailableError(f"no connection to {address}")
 
-    monkeypatch.setattr(exchange, "connect", too_late)
+    monkeypatch.setattr(exchange, "connect", connect_too_late)
     reply = await deployment.ask("/draft/1", "s-1")
     assert reply.status == 503
     assert runs(deployment, "s-1") == 0
@@ -206,7 +196,7 @@
 
 @pytest.fixture
 def answering_server() -> Iterator[Address]:
-    """A server in a thread of its own, which answers though the loop is held up."""
+    """A server in its own thread, which answers while the event loop is blocked."""
     listener = socket.create_server(("127.0.0.1", 0))
 
     def serve() -> None:
@@ -223,18 +213,18 @@
     thread.join(2.0)
 
 
-def hold_the_loop_up(seconds: float) -> None:
-    """Do nothing else for some time, as while something large is decoded."""
+def block_the_event_loop(seconds: float) -> None:
+    """Block the event loop for some time, as decoding a large message does."""
     time.sleep(seconds)
 
 
-async def test_an_answer_that_came_while_the_loop_was_held_up_counts(
+async def test_an_answer_that_arrived_while_the_event_loop_was_blocked_counts(
     answering_server: Address,
 ) -> None:
     connection = await connect(answering_server, 1.0)
-    asking = asyncio.create_task(fetch(connection, "GET", "/", (), b"", 0.05))
+    fetch_task = asyncio.create_task(fetch(connection, "GET", "/", (), b"", 0.05))
     await asyncio.sleep(0)
-    hold_the_loop_up(0.2)
-    response = await asking
+    block_the_event_loop(0.2)
+    response = await fetch_task
     assert response.body == b"ok"
     connection.abort()
--- a/tests/forwarding/test_requests.py
+++ b/tests/forwarding/test_requests.py
@@ -1,4 +1,8 @@
-"""Each client gets its own whole answer, and nothing runs more often than it may."""
+"""Answers to requests while backend servers work, refuse or fail.
+
+Each client must get the complete answer to its own request, and a request that isn't
+repeatable must not run twice.
+"""
 
 from __future__ import annotations
 
@@ -31,7 +35,7 @@
     assert runs(deployment, "s-1") == 1
 
 
-async def test_chains_stay_in_one_failure_domain(deployment: Deployment) -> None:
+async def test_a_chain_stays_within_one_failure_domain(deployment: Deployment) -> None:
     await deployment.ask("/draft/1", "s-1")
     (engine,) = [e for e in deployment.engines if e.runs["s-1"]]
     chain = engine.seen[0]["Railfold-Hop-Count"]
@@ -45,14 +49,14 @@
 
 
 async def test_headers_are_translated(deployment: Deployment) -> None:
-    smuggled = {
+    client_headers = {
         "Railfold-Tenant": "another",
         "Railfold-Target-Instance": "i-elsewhere",
         "Connection": "keep-alive, X-Hop",
         "X-Hop": "1",
         "X-Kept": "2",
     }
-    await deployment.ask("/slip/1", "c-1", headers=smuggled)
+    await deployment.ask("/slip/1", "c-1", headers=client_headers)
     (server,) = [s for s in deployment.plain if s.seen]
     seen = server.seen[0]
     assert seen["Railfold-Tenant"] == "quality"
@@ -67,7 +71,7 @@
     ("path", "key", "status"),
     [("/nowhere/1", KEY, 404), ("/slip/1", "wrong", 401), ("/slip/1", None, 401)],
 )
-async def test_what_isnt_allowed_is_refused(
+async def test_unauthorized_and_unknown_requests_are_refused(
     deployment: Deployment, path: str, key: str | None, status: int
 ) -> None:
     reply = await deployment.ask(path, "c-1", key=key)
@@ -75,7 +79,9 @@
     assert runs(deployment, "c-1") == 0
 
 
-async def test_a_refusal_by_one_server_is_no_answer(deployment: Deployment) -> None:
+async def test_a_request_refused_by_one_server_runs_on_another(
+    deployment: Deployment,
+) -> None:
     deployment.plain[0].mode = "shed"
     for number in range(6):
         reply = await deployment.ask("/slip/1", f"c-{number}")
@@ -83,7 +89,7 @@
         assert runs(deployment, f"c-{number}") == 1
 
 
-async def test_not_run_is_said_when_all_refuse(deployment: Deployment) -> None:
+async def test_clients_get_503_if_all_servers_refuse(deployment: Deployment) -> None:
     for server in deployment.plain:
         server.mode = "shed"
     reply = await deployment.ask("/slip/1", "c-1")
@@ -112,7 +118,7 @@
         assert reply.status == 200
 
 
-async def test_a_failure_is_passed_on_unchanged(deployment: Deployment) -> None:
+async def test_an_error_answer_is_forwarded_unchanged(deployment: Deployment) -> None:
     for server in deployment.plain:
         server.mode = "error"
     reply = await deployment.ask("/slip/1", "c-1")
@@ -127,7 +133,9 @@
     assert reply.body == b"record of c-1"
 
 
-async def test_a_surplus_answer_reaches_nobody(deployment: Deployment) -> None:
+async def test_a_surplus_answer_is_not_sent_to_the_next_client(
+    deployment: Deployment,
+) -> None:
     for server in deployment.plain:
         server.mode = "surplus"
     first = await deployment.ask("/tray/1", "c-1", method="GET", body=b"")
@@ -137,7 +145,9 @@
     assert (first.body, second.body) == (b"record of c-1", b"record of c-2")
 
 
-async def test_a_client_that_leaves_stops_its_stream(deployment: Deployment) -> None:
+async def test_a_stream_is_cancelled_when_its_client_disconnects(
+    deployment: Deployment,
+) -> None:
     connection = await deployment.connect()
     await connection.send("/draft/1", "s-1", events=1000)
     await connection.read_head()
@@ -157,7 +167,7 @@
     assert asyncio.get_running_loop().time() - started_s < 1.0
 
 
-async def test_connections_are_kept_on_both_sides(deployment: Deployment) -> None:
+async def test_connections_are_reused_on_both_sides(deployment: Deployment) -> None:
     connection = await deployment.connect()
     for number in range(5):
         reply = await connection.ask("/tray/1", f"c-{number}", method="GET", body=b"")
@@ -165,7 +175,7 @@
     connection.close()
 
 
-async def test_a_newer_configuration_is_in_force_at_once(
+async def test_a_newer_configuration_applies_at_once_and_an_older_one_is_ignored(
     deployment: Deployment,
 ) -> None:
     kept = [route for route in routes() if route["name"] != "slip"]
@@ -177,7 +187,9 @@
     assert (await deployment.ask("/slip/1", "c-2")).status == 404
 
 
-async def test_history_that_is_gone_is_read_by_key(deployment: Deployment) -> None:
+async def test_a_configuration_is_read_by_key_if_its_history_was_deleted(
+    deployment: Deployment,
+) -> None:
     topic = deployment.store.topic("keyed.op")
     for version in range(2, 6):
         deployment.store.put("keyed.op", "config", configuration(version))
@@ -198,7 +210,7 @@
 @pytest.mark.parametrize(
     ("workspace", "route", "engine"), [(None, 1, "5"), (None, 3, "7"), (0, 3, "4")]
 )
-async def test_engines_get_the_rank_of_the_workspace_or_else_of_the_route(
+async def test_engines_get_the_priority_of_the_workspace_or_else_of_the_route(
     deployment: Deployment, workspace: int | None, route: int, engine: str
 ) -> None:
     ranked = [{**fields, "priority": route} for fields in routes()]
@@ -214,12 +226,13 @@
     assert seen["Railfold-Request-Priority"] == engine
 
 
-async def test_a_call_counts_as_one_whatever_it_says_of_tokens(
+async def test_token_counts_in_headers_do_not_make_a_plain_service_full(
     deployment: Deployment,
 ) -> None:
-    """Clients that send the header with all requests took a server for full by one.
+    """Calls to plain services may have token counts in their headers too.
 
-    Found as one in thirty calls refused beside idle servers, in a rig whose clients do.
+    When these were counted, one call made its server count as full, and about one in
+    thirty calls was refused although servers were idle.
     """
     for server in deployment.plain:
         server.event_s = 0.3
@@ -231,7 +244,7 @@
     assert [reply.status for reply in replies] == [200] * 8
 
 
-async def test_load_is_counted_while_a_stream_runs_and_given_back_at_its_end(
+async def test_a_streams_load_is_counted_until_it_ends(
     deployment: Deployment,
 ) -> None:
     fleet_load = deployment.entry.router.fleet_load
--- a/tests/forwarding/test_starting.py
+++ b/tests/forwarding/test_starting.py
@@ -1,4 +1,8 @@
-"""An entry that starts, with clients that don't wait for it."""
+"""An entry that is starting while clients already connect to it.
+
+Clients must be served once the entry has read the store, or get an error soon if the
+store is unavailable, and a starting process must survive a reload signal.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +30,7 @@
 
 @pytest.fixture
 async def prepared() -> AsyncIterator[Deployment]:
-    """A deployment whose entry hasn't started yet."""
+    """A deployment whose entry hasn't been started yet."""
     running = Deployment()
     running.prepare()
     yield running
@@ -35,11 +39,11 @@
 
 @pytest.fixture
 def listeners(prepared: Deployment) -> Listeners:
-    """The entry's sockets, which listen already."""
+    """The sockets of the entry, which listen before the entry runs."""
     return open_listeners(prepared.settings)
 
 
-async def test_a_client_that_comes_before_the_entry_runs_is_served(
+async def test_a_client_that_connects_before_the_entry_runs_is_served(
     prepared: Deployment, listeners: Listeners
 ) -> None:
     connection = await prepared.connect()
@@ -50,7 +54,7 @@
     connection.close()
 
 
-async def test_clients_are_told_soon_when_the_store_is_away_at_the_start(
+async def test_clients_get_503_soon_if_the_store_is_unavailable_at_the_start(
     prepared: Deployment, listeners: Listeners
 ) -> None:
     prepared.store.mode = "out"
@@ -64,7 +68,7 @@
     connection.close()
 
 
-async def test_readiness_is_denied_until_the_entry_knows_enough(
+async def test_an_entry_is_not_ready_until_it_has_read_the_store(
     prepared: Deployment, listeners: Listeners
 ) -> None:
     prepared.store.mode = "out"
@@ -78,7 +82,7 @@
     writer.close()
 
 
-async def test_an_address_in_use_is_a_clear_error(
+async def test_the_error_for_an_address_in_use_names_the_address(
     prepared: Deployment, listeners: Listeners
 ) -> None:
     with pytest.raises(ListenError) as caught:
@@ -102,12 +106,12 @@
 """
 
 
-def listening(port: int) -> bool:
+def is_listening(port: int) -> bool:
     with socket.socket() as probe:
         return probe.connect_ex(("127.0.0.1", port)) == 0
 
 
-async def test_a_signal_to_read_the_settings_doesnt_end_a_process_that_starts(
+async def test_a_reload_signal_does_not_end_a_process_that_is_starting(
     tmp_path: Path,
 ) -> None:
     clients, readiness, store = free_port(), free_port(), free_port()
@@ -119,7 +123,7 @@
         stderr=asyncio.subprocess.DEVNULL,
     )
     try:
-        await until(lambda: listening(readiness), 20.0)
+        await until(lambda: is_listening(readiness), 20.0)
         os.kill(process.pid, signal.SIGHUP)
         reader, writer = await asyncio.open_connection("127.0.0.1", readiness)
         writer.write(READINESS_PROBE)
@@ -132,7 +136,7 @@
         await process.wait()
 
 
-async def test_a_server_that_is_started_anew_listens_with_the_same_limits(
+async def test_a_restarted_client_server_keeps_its_limits(
     deployment: Deployment,
 ) -> None:
     address = Address("127.0.0.1", free_port())
@@ -141,7 +145,7 @@
     server.can_answer.set()
     for _ in range(2):
         run = asyncio.create_task(server.run(asyncio.Event()))
-        await until(lambda: listening(address.port))
+        await until(lambda: is_listening(address.port))
         reader, writer = await asyncio.open_connection(address.ip, address.port)
         writer.write(b"POST /draft/1 HTTP/1.1\r\nContent-Length: 11\r\n\r\n")
         answer = await asyncio.wait_for(reader.read(), 5.0)
--- a/tests/forwarding/test_suspended_hosts.py
+++ b/tests/forwarding/test_suspended_hosts.py
@@ -1,9 +1,9 @@
-"""An entry whose host is suspended at some step, and wakes with old beliefs.
+"""An entry whose host was suspended must not act on outdated state after it resumes.
 
-What others decided meanwhile holds: credentials may be revoked, another entry may place
-layers, clients don't wait any more. The entry runs here on the loop that it has as a
-program; the host's clocks are moved, all else goes on as it was. What the kernel does
-to sockets of a suspended host isn't played.
+During the suspension credentials may be revoked, another entry may become the leader
+that places layers, and deadlines of clients pass. The entry runs on the event loop that
+it uses in production. Only the clocks of its host are moved; the effect of a suspension
+on the kernel's sockets isn't simulated.
 """
 
 from __future__ import annotations
@@ -26,25 +26,33 @@
 Connect = Callable[[Address, float], Awaitable[HttpConnection]]
 
 
-def suspended_while_connecting(host: Host, for_s: float, at: int = 1) -> Connect:
-    """Return a way to connect during which the host is suspended once.
+def suspending_while_connecting(
+    host: Host, suspended_s: float, connection_number: int = 1
+) -> Connect:
+    """Return a ``connect`` function during which the host is suspended once.
 
-    :param at: the number of the connection to the same address.
+    :param connection_number: which connection to the same address, counted from 1, is
+        the one during which it happens.
     """
     counts: Counter[Address] = Counter()
 
-    async def connect_slowly(address: Address, timeout_s: float) -> HttpConnection:
+    async def connect_and_suspend(address: Address, timeout_s: float) -> HttpConnection:
         connection = await connect(address, timeout_s)
         counts[address] += 1
-        if counts[address] == at and not host.suspended_s:
-            host.suspend(for_s)
+        if counts[address] == connection_number and not host.suspended_s:
+            host.suspend(suspended_s)
         return connection
 
-    return connect_slowly
+    return connect_and_suspend
 
 
-def play(scenario: Callable[[Deployment], Awaitable[None]], *, placed: bool) -> None:
-    """Run a scenario on the loop that entries have as programs."""
+def run_scenario(
+    scenario: Callable[[Deployment], Awaitable[None]], *, placed: bool
+) -> None:
+    """Run a scenario on the event loop that entries use in production.
+
+    :param placed: whether the engines have layers at the start.
+    """
 
     async def run() -> None:
         deployment = Deployment(placed=placed)
@@ -58,59 +66,61 @@
 
 
 @pytest.mark.parametrize("path", ["/draft/1", "/slip/1", "/tray/1"])
-def test_a_request_isnt_sent_by_a_credential_of_before(
+def test_a_request_is_not_sent_with_a_credential_checked_before_the_suspension(
     host: Host, monkeypatch: pytest.MonkeyPatch, path: str
 ) -> None:
-    """Its key may have been revoked for longer than the entry may go on with it."""
+    """The credential may have been revoked for longer than an entry may use it."""
 
     async def scenario(deployment: Deployment) -> None:
-        slowly = suspended_while_connecting(host, deployment.lease_s + 1.0)
-        monkeypatch.setattr(exchange, "connect", slowly)
+        suspending_connect = suspending_while_connecting(host, deployment.lease_s + 1.0)
+        monkeypatch.setattr(exchange, "connect", suspending_connect)
         deployment.entry.router.pool.close()
         reply = await deployment.ask(path, headers={"Railfold-Deadline-Ms": "20000"})
         assert reply.status == 503
         servers = (*deployment.engines, *deployment.plain)
         assert [server.arrivals for server in servers] == [[]] * len(servers)
 
-    play(scenario, placed=True)
+    run_scenario(scenario, placed=True)
 
 
-def test_a_request_that_its_client_gave_up_isnt_sent(
+def test_a_request_is_not_sent_after_its_deadline(
     host: Host, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario(deployment: Deployment) -> None:
-        monkeypatch.setattr(exchange, "connect", suspended_while_connecting(host, 2.0))
+        monkeypatch.setattr(exchange, "connect", suspending_while_connecting(host, 2.0))
         reply = await deployment.ask(
             "/tray/1", headers={"Railfold-Deadline-Ms": "1500"}
         )
         assert reply.status in (503, 504)
         assert not any(server.arrivals for server in deployment.plain)
 
-    play(scenario, placed=True)
+    run_scenario(scenario, placed=True)
 
 
-def test_a_backend_server_is_told_the_time_that_is_left_after_waking(
+def test_the_time_left_sent_to_a_server_excludes_the_suspension(
     host: Host, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario(deployment: Deployment) -> None:
-        monkeypatch.setattr(exchange, "connect", suspended_while_connecting(host, 1.5))
+        monkeypatch.setattr(exchange, "connect", suspending_while_connecting(host, 1.5))
         reply: Reply = await deployment.ask("/tray/1")
         assert reply.status == 200
         (seen,) = [seen for server in deployment.plain for seen in server.seen]
         assert int(seen["Railfold-Deadline-Ms"]) <= 4000 - 1500
 
-    play(scenario, placed=True)
+    run_scenario(scenario, placed=True)
 
 
-def test_an_order_doesnt_leave_under_a_lease_of_before(
+def test_an_order_is_not_sent_under_a_lease_that_expired_in_the_suspension(
     host: Host, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The first connection is for the engine's report, the second for the order."""
 
     async def scenario(deployment: Deployment) -> None:
         monkeypatch.setattr(ConnectionPool, "take", lambda *_, **__: None)
-        slowly = suspended_while_connecting(host, 10.0, at=2)
-        monkeypatch.setattr(engine_calls, "connect", slowly)
+        suspending_connect = suspending_while_connecting(
+            host, 10.0, connection_number=2
+        )
+        monkeypatch.setattr(engine_calls, "connect", suspending_connect)
         outcomes: list[str] = []
 
         def ordered() -> bool:
@@ -119,16 +129,16 @@
                     outcomes.append(line["outcome"])
             return bool(outcomes)
 
-        # The wait ages with the host.
+        # The timeout includes the time for which the host is suspended.
         await until(ordered, 30.0)
         assert outcomes[0].startswith("refused: the lease was lost")
-        # It goes on once it has the lease again.
+        # The entry sends orders again once it holds the lease again.
         await until(lambda: any(engine.given for engine in deployment.engines), 30.0)
 
-    play(scenario, placed=False)
+    run_scenario(scenario, placed=False)
 
 
-def test_connections_that_rested_over_the_suspension_arent_used(host: Host) -> None:
+def test_connections_idle_during_the_suspension_are_not_reused(host: Host) -> None:
     async def scenario(deployment: Deployment) -> None:
         assert (await deployment.ask("/tray/1")).status == 200
         pool = deployment.entry.router.pool
@@ -139,10 +149,10 @@
         await asyncio.sleep(0.05)
         assert not pool.has_idle(used[0], asyncio.get_running_loop().time())
 
-    play(scenario, placed=True)
+    run_scenario(scenario, placed=True)
 
 
-def test_an_entry_that_wakes_is_unready_until_the_store_answers(host: Host) -> None:
+def test_a_resumed_entry_is_not_ready_until_the_store_answers(host: Host) -> None:
     async def scenario(deployment: Deployment) -> None:
         assert deployment.entry.ready()
         deployment.store.mode = "silent"
@@ -152,11 +162,11 @@
         deployment.store.mode = "ok"
         await until(lambda: deployment.entry.ready(), 10.0)
 
-    play(scenario, placed=True)
+    run_scenario(scenario, placed=True)
 
 
-def test_a_planned_stop_ends_at_once_when_its_time_has_passed(host: Host) -> None:
-    """The kill that follows comes by the platform's clock."""
+def test_a_drain_ends_at_once_if_its_time_passed_in_the_suspension(host: Host) -> None:
+    """The platform kills the process after the grace period by its own clock."""
 
     async def scenario(deployment: Deployment) -> None:
         connection = await deployment.connect()
@@ -164,16 +174,16 @@
         loop = asyncio.get_running_loop()
         drain = loop.create_task(deployment.entry.drain())
         await asyncio.sleep(0.2)
-        began_s = loop.time()
+        started_s = loop.time()
         host.suspend(30.0)
         await asyncio.wait_for(drain, 5.0)
-        assert loop.time() - began_s < 32.0
+        assert loop.time() - started_s < 32.0
         connection.close()
 
-    play(scenario, placed=True)
+    run_scenario(scenario, placed=True)
 
 
-def test_waking_is_logged_with_what_it_met(host: Host) -> None:
+def test_the_duration_of_a_suspension_is_logged(host: Host) -> None:
     async def scenario(deployment: Deployment) -> None:
         deployment.log_lines()
         host.suspend(7.0)
@@ -183,11 +193,11 @@
         ]
         assert [round(line["suspended_ms"], -2) for line in lines] == [7000.0]
 
-    play(scenario, placed=True)
+    run_scenario(scenario, placed=True)
 
 
-def test_a_suspension_counts_for_the_time_that_a_server_asked_for(host: Host) -> None:
-    """Neither sent to too soon, nor kept away from for seconds more."""
+def test_the_suspension_counts_towards_a_requested_backoff(host: Host) -> None:
+    """The server gets no request too early, and isn't avoided for longer than asked."""
 
     async def scenario(deployment: Deployment) -> None:
         server, other = deployment.plain
@@ -205,4 +215,4 @@
         assert left_s == 0.0
         assert len(server.arrivals) == 1
 
-    play(scenario, placed=True)
+    run_scenario(scenario, placed=True)
--- a/tests/lib/hosts.py
+++ b/tests/lib/hosts.py
@@ -1,4 +1,4 @@
-"""A host whose clocks tests move."""
+"""A simulated suspension of this process's host."""
 
 from __future__ import annotations
 
@@ -12,23 +12,26 @@
 
 @dataclass
 class Host:
-    """A host that can be suspended."""
+    """A host that can be suspended.
+
+    :param suspended_s: total time for which it has been suspended.
+    """
 
     suspended_s: float = 0.0
 
-    def suspend(self, for_s: float) -> None:
-        """Let the steady clock stand still while the other one goes on."""
-        self.suspended_s += for_s
+    def suspend(self, duration_s: float) -> None:
+        """Advance the clock that counts suspended time; the monotonic clock stops."""
+        self.suspended_s += duration_s
 
 
 def new_host(monkeypatch: pytest.MonkeyPatch) -> Host:
-    """Let this process live on a host that tests can suspend."""
+    """Patch the clocks of this process; return a host that tests can suspend."""
     host = Host()
-    read = time.clock_gettime
+    real_clock_gettime = time.clock_gettime
 
     def clock_gettime(clock: int) -> float:
         suspended_s = host.suspended_s if clock == time.CLOCK_BOOTTIME else 0.0
-        return read(clock) + suspended_s
+        return real_clock_gettime(clock) + suspended_s
 
     monkeypatch.setattr(time, "clock_gettime", clock_gettime)
     return host
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -1,8 +1,8 @@
-"""A process whose host was suspended doesn't take old beliefs for fresh ones.
+"""Clocks and leases of a process whose host was suspended.
 
-The steady clock stands still while a host is suspended; the others' time goes on. An
-entry that reckons ages by the steady clock wakes with a lease, a credential and a
-deadline that ran out long ago, and acts by them.
+The monotonic clock stops while a host is suspended, but time goes on for all other
+hosts. An entry that measures ages by the monotonic clock still uses its lease, its
+credentials and its deadlines after it resumes, although they expired long ago.
 """
 
 from __future__ import annotations
@@ -35,25 +35,25 @@
 """
 
 
-def test_an_entry_lives_by_a_clock_that_counts_suspended_time(
+def test_an_entry_uses_a_clock_that_counts_suspended_time(
     host: Host, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(SETTINGS.format(clients=free_port(), ready=free_port()))
-    aged_s: list[float] = []
+    elapsed_s: list[float] = []
 
     async def run(*_: object) -> None:
         loop = asyncio.get_running_loop()
         before_s = loop.time()
         host.suspend(5.0)
-        aged_s.append(loop.time() - before_s)
+        elapsed_s.append(loop.time() - before_s)
 
     monkeypatch.setattr(forward, "_run", run)
     forward._serve(path, None)
-    assert aged_s[0] >= 5.0
+    assert elapsed_s[0] >= 5.0
 
 
-def test_a_jump_of_the_time_of_day_is_no_suspension(
+def test_a_jump_of_the_wall_clock_is_not_taken_for_a_suspension(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     resumed_s: list[float] = []
@@ -63,8 +63,8 @@
         assert isinstance(loop, clock.EventLoop)
         loop.call_when_resumed(resumed_s.append)
         before_s = loop.time()
-        real = time.time
-        monkeypatch.setattr(time, "time", lambda: real() + 3600.0)
+        real_time = time.time
+        monkeypatch.setattr(time, "time", lambda: real_time() + 3600.0)
         await asyncio.sleep(0.05)
         assert loop.time() - before_s < 5.0
 
@@ -72,32 +72,39 @@
     assert resumed_s == []
 
 
-def test_after_waking_the_look_comes_first_then_sockets_then_timers(host: Host) -> None:
-    """A deadline that passed meanwhile doesn't beat an answer that had come."""
+def test_after_resuming_callbacks_run_before_sockets_and_sockets_before_timers(
+    host: Host,
+) -> None:
+    """A deadline that passed while suspended doesn't win over an answer received."""
     order: list[str] = []
 
-    async def wake() -> None:
+    async def resume() -> None:
         loop = asyncio.get_running_loop()
         assert isinstance(loop, clock.EventLoop)
         loop.call_when_resumed(lambda suspended_s: order.append("look"))
-        near, far = socket.socketpair()
-        near.setblocking(False)
-        loop.add_reader(near, lambda: (order.append("socket"), near.recv(1)))
+        reading_socket, writing_socket = socket.socketpair()
+        reading_socket.setblocking(False)
+        loop.add_reader(
+            reading_socket, lambda: (order.append("socket"), reading_socket.recv(1))
+        )
         loop.call_later(4.0, order.append, "timer")
         await asyncio.sleep(0)
-        far.send(b"x")
+        writing_socket.send(b"x")
         host.suspend(10.0)
         await asyncio.sleep(0.05)
-        loop.remove_reader(near)
-        near.close()
-        far.close()
+        loop.remove_reader(reading_socket)
+        reading_socket.close()
+        writing_socket.close()
 
-    clock.run(wake())
+    clock.run(resume())
     assert order == ["look", "socket", "timer"]
 
 
-def test_what_was_due_during_the_suspension_runs_at_the_next_wake(host: Host) -> None:
-    """The loop itself waits by the steady clock; its upkeep wakes it soon."""
+def test_timers_due_during_the_suspension_run_soon_after_resuming(host: Host) -> None:
+    """The event loop waits by the monotonic clock, but a periodic task wakes it soon.
+
+    Otherwise a timer that is due would wait for as long as the host was suspended.
+    """
 
     async def wait() -> float:
         loop = asyncio.get_running_loop()
@@ -105,29 +112,29 @@
         loop.call_later(5.0, due.set_result, None)
 
         async def upkeep() -> None:
-            while not due.done():  # noqa: ASYNC110 - as the entry's upkeep.
+            while not due.done():  # noqa: ASYNC110 - like the entry's upkeep.
                 await asyncio.sleep(0.1)
 
-        # Asleep with both timers when the host is suspended, which a thread does here.
+        # A thread suspends the host while the event loop waits for both timers.
         loop.run_in_executor(None, lambda: (time.sleep(0.02), host.suspend(60.0)))
         task = loop.create_task(upkeep())
-        began_s = time.monotonic()
+        started_s = time.monotonic()
         await due
         await task
-        return time.monotonic() - began_s
+        return time.monotonic() - started_s
 
     assert clock.run(wait()) < 1.0
 
 
-class SuspendedGranter:
-    """Grants the lease; the host is suspended while the answer is on its way."""
+class SuspendingLeaseStore:
+    """Grants the lease, and suspends the host before its answer arrives."""
 
-    def __init__(self, host: Host, for_s: float) -> None:
+    def __init__(self, host: Host, suspended_s: float) -> None:
         self._host = host
-        self._for_s = for_s
+        self._suspended_s = suspended_s
 
     async def renew(self, holder: str, duration_s: float) -> LeaseGrant:
-        self._host.suspend(self._for_s)
+        self._host.suspend(self._suspended_s)
         return LeaseGrant(holding=True, fencing=1)
 
     async def release(self, holder: str) -> None:
@@ -135,18 +142,18 @@
 
 
 @pytest.mark.parametrize(("suspended_s", "holds"), [(0.5, True), (LEASE_S, False)])
-def test_a_lease_counts_from_before_the_suspension(
+def test_a_lease_runs_from_before_the_suspension(
     host: Host, suspended_s: float, holds: bool
 ) -> None:
-    """Whoever asked for it before may have a successor by the time it wakes."""
+    """Another entry may hold the lease by the time this one resumes."""
 
     async def renew() -> int | None:
         leadership = Leadership(LEASE_S)
-        granter = SuspendedGranter(host, suspended_s)
+        lease_store = SuspendingLeaseStore(host, suspended_s)
         keeper = LeadershipKeeper(
             "entry-1",
             leadership,
-            granter,
+            lease_store,
             DecisionLog("entry-1"),
             Metrics(),
             lambda epoch: None,
