--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -75,7 +75,7 @@
 _MAX_TRIES = 4
 
 # A stream that is silent for longer than this is moved to other backend servers, even
-# if its own answer all probes: clients disconnect after 2 s or more.
+# if the servers that it runs on answer probes: clients disconnect after 2 s or more.
 _MAX_SILENCE_S = 1.3
 
 # Answers of plain calls are buffered up to this size, so that the call can be repeated
@@ -116,7 +116,7 @@
         self._attempts = 0
         self._sent_s = 0.0
         self._resumed_after = 0
-        # Whether the previous attempt was interrupted, possibly by a server crash.
+        # Whether the latest attempt was interrupted, possibly by a server crash.
         self._interrupted = False
         # Whether the current attempt was recorded as a success of its content.
         self._success_recorded = False
@@ -166,7 +166,7 @@
         if (
             first_server_id not in lost_ids
             and destination.chain is not None
-            and self._answer_started
+            and self._has_answer_head
         ):
             self._loop.create_task(self._reroute(destination.chain, lost_ids))
             return
@@ -181,7 +181,7 @@
         destination = self._destination
         if destination is None or self._exchange is None:
             return
-        depends_on_server = not self._route.repeatable and not self._answer_started
+        depends_on_server = not self._route.repeatable and not self._has_answer_head
         if depends_on_server and destination.server.host in server_ids:
             self._record_interruption()
             self.end_attempt("its backend server was restarted")
@@ -200,7 +200,7 @@
             self._relocation.move("its chain has stalled")
 
     @property
-    def _answer_started(self) -> bool:
+    def _has_answer_head(self) -> bool:
         return self._answer_kind is not None
 
     # The lifecycle's actions
