--- a/src/railfold/_internal/decisions/membership.py
+++ b/src/railfold/_internal/decisions/membership.py
@@ -1,11 +1,11 @@
-"""Which agents an entry may route to.
-
-Three sources speak of an agent, in this order of authority: the agent's own
-word over its link, the state of the link, and the platform's host list, which
-lags. An agent that says it is draining gets no new work whatever the list
-says; an agent whose link is down gets none either. The list adds hosts to dial
-and marks those that are leaving, which get no new work; a linked host that is
-missing from it goes on serving, since the list may be wrong or empty.
+"""Keep track of the agents that an entry may send work to.
+
+There are three sources of an agent's state, in order of precedence: the agent's own
+reports over its link, the state of the link, and the platform's host list, which lags
+behind. An agent that reports that it is draining gets no new work, whatever the list
+contains, and neither does an agent whose link is down. The list names the hosts to
+connect to and marks those that are leaving, which get no new work. A connected host
+that is missing from the list keeps serving, since the list may be wrong or empty.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 __all__ = [
     "AgentReport",
-    "HostListed",
+    "HostListReceived",
     "LinkDown",
     "LinkUp",
     "ListedHost",
@@ -32,7 +32,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedHost:
-    """A host as the platform's list has it; ``address`` is its agent's."""
+    """A host in the platform's list.
+
+    :param address: address of the host's agent.
+    :param leaving: whether the platform is about to remove the host.
+    """
 
     host: str
     address: str
@@ -40,15 +44,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HostListed:
-    """A new copy of the platform's list."""
+class HostListReceived:
+    """A new copy of the platform's host list arrived."""
 
     hosts: tuple[ListedHost, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class LinkUp:
-    """A link to an agent was handshaken."""
+    """A link to an agent completed its handshake."""
 
     host: str
     address: str
@@ -59,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkDown:
-    """The link to one incarnation of an agent ended."""
+    """The link to one incarnation of an agent closed."""
 
     host: str
     incarnation: int
@@ -67,9 +71,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentReport:
-    """An agent's own word, from a heartbeat.
+    """An agent's report of its own state, from a heartbeat.
 
-    :param owned: how many of its ``sequences`` are this entry's.
+    :param sequences: number of open sequences at the agent.
+    :param owned: how many of ``sequences`` belong to this entry.
+    :param step_ms: recent mean duration of an engine step.
     """
 
     host: str
@@ -91,29 +97,31 @@
     incarnation: int
 
 
-MembershipEvent = HostListed | LinkUp | LinkDown | AgentReport | ProbeUnanswered
+MembershipEvent = HostListReceived | LinkUp | LinkDown | AgentReport | ProbeUnanswered
 
 
 @dataclass(frozen=True, slots=True)
 class MembershipChange:
-    """What an event changed.
+    """Consequences of a membership event.
 
-    :param dial: hosts to open a link to.
-    :param hang_up: hosts whose link is no longer wanted.
+    :param connect: hosts to open a link to.
+    :param disconnect: hosts to stop connecting to.
     :param lost: hosts whose work in flight is lost.
     """
 
-    dial: tuple[ListedHost, ...] = ()
-    hang_up: tuple[str, ...] = ()
+    connect: tuple[ListedHost, ...] = ()
+    disconnect: tuple[str, ...] = ()
     lost: frozenset[str] = frozenset()
 
 
 @dataclass(slots=True)
 class Member:
-    """What an entry knows of one linked agent.
+    """An entry's knowledge of one connected agent.
 
-    :param own: this entry's own sequences there now, which it knows exactly.
-    :param others: sequences of other entries there, by the last report.
+    :param suspect: whether the agent missed a probe and hasn't reported since.
+    :param leaving: whether the host list marks the agent's host as leaving.
+    :param own_sequences: exact number of this entry's sequences at the agent.
+    :param other_sequences: number of other entries' sequences in the last report.
     """
 
     host: str
@@ -124,8 +132,8 @@
     state: str = "unknown"
     suspect: bool = False
     leaving: bool = False
-    own: int = 0
-    others: int = 0
+    own_sequences: int = 0
+    other_sequences: int = 0
     max_sequences: int = 0
     step_ms: float = 1.0
     loaded: tuple[Loaded, ...] = ()
@@ -133,12 +141,12 @@
 
     @property
     def routable(self) -> bool:
-        """Whether new work may go there."""
+        """Whether the agent may get new work."""
         return self.state == "serving" and not self.suspect and not self.leaving
 
     @property
-    def standing(self) -> str:
-        """What operators see: the agent's own state, or why it gets no work."""
+    def displayed_state(self) -> str:
+        """The state shown to operators: as reported, or why the agent gets no work."""
         if self.suspect:
             return "suspect"
         if self.leaving and self.state == "serving":
@@ -147,8 +155,8 @@
 
     @property
     def load(self) -> int:
-        """Sequences there, as well as it is known."""
-        return self.own + self.others
+        """Number of sequences at the agent, as far as this entry knows."""
+        return self.own_sequences + self.other_sequences
 
 
 class MembershipView:
@@ -162,43 +170,43 @@
         return iter(self._members.values())
 
     def get(self, host: str) -> Member | None:
-        """Return the linked agent at ``host``."""
+        """Return the connected agent at ``host``, or None."""
         return self._members.get(host)
 
     def apply(self, event: MembershipEvent) -> MembershipChange:
-        """Take one event; return what changed."""
+        """Process one event; return its consequences."""
         match event:
-            case HostListed(hosts=hosts):
-                return self._list(hosts)
+            case HostListReceived(hosts=hosts):
+                return self._on_host_list(hosts)
             case LinkUp():
-                return self._link_up(event)
+                return self._on_link_up(event)
             case LinkDown(host=host, incarnation=incarnation):
-                return self._link_down(host, incarnation)
+                return self._on_link_down(host, incarnation)
             case AgentReport():
-                self._report(event)
+                self._on_report(event)
                 return MembershipChange()
             case ProbeUnanswered(host=host, incarnation=incarnation):
-                return self._suspect(host, incarnation)
+                return self._on_probe_unanswered(host, incarnation)
 
-    def _list(self, hosts: tuple[ListedHost, ...]) -> MembershipChange:
+    def _on_host_list(self, hosts: tuple[ListedHost, ...]) -> MembershipChange:
         listed = {h.host: h for h in hosts}
         known = self._listed
         self._listed = listed
         for member in self._members.values():
             member.leaving = self._is_leaving(member.host)
-        dial = tuple(
+        connect = tuple(
             h
             for name, h in listed.items()
             if name not in known or known[name].address != h.address
         )
-        # A host that is off the list may still finish what it has: only hang
-        # up once its own word or its link has ended that.
-        gone = tuple(
+        # A connected host that is no longer listed may still finish its work: it is
+        # only given up once the agent itself or a failure has closed the link.
+        unlisted = tuple(
             name for name in known if name not in listed and name not in self._members
         )
-        return MembershipChange(dial=dial, hang_up=gone)
+        return MembershipChange(connect=connect, disconnect=unlisted)
 
-    def _link_up(self, event: LinkUp) -> MembershipChange:
+    def _on_link_up(self, event: LinkUp) -> MembershipChange:
         known = self._members.get(event.host)
         if known is not None and known.incarnation > event.incarnation:
             return MembershipChange()
@@ -214,31 +222,31 @@
             return MembershipChange()
         return MembershipChange(lost=frozenset({event.host}))
 
-    def _link_down(self, host: str, incarnation: int) -> MembershipChange:
+    def _on_link_down(self, host: str, incarnation: int) -> MembershipChange:
         known = self._members.get(host)
         if known is None or known.incarnation != incarnation:
             return MembershipChange()
         del self._members[host]
-        hang_up = () if host in self._listed else (host,)
-        return MembershipChange(hang_up=hang_up, lost=frozenset({host}))
+        disconnect = () if host in self._listed else (host,)
+        return MembershipChange(disconnect=disconnect, lost=frozenset({host}))
 
     def _is_leaving(self, host: str) -> bool:
         listed = self._listed.get(host)
         return listed is not None and listed.leaving
 
-    def _report(self, event: AgentReport) -> None:
+    def _on_report(self, event: AgentReport) -> None:
         member = self._members.get(event.host)
         if member is None or member.incarnation != event.incarnation:
             return
         member.state = event.state
         member.suspect = False
-        member.others = max(0, event.sequences - event.owned)
+        member.other_sequences = max(0, event.sequences - event.owned)
         member.max_sequences = event.max_sequences
         member.step_ms = max(0.01, event.step_ms)
         member.loaded = event.loaded
         member.services = frozenset(event.services)
 
-    def _suspect(self, host: str, incarnation: int) -> MembershipChange:
+    def _on_probe_unanswered(self, host: str, incarnation: int) -> MembershipChange:
         member = self._members.get(host)
         if member is None or member.incarnation != incarnation:
             return MembershipChange()
@@ -248,9 +256,9 @@
     def stages(
         self, model: str, version: str, placed: dict[str, LayerRange]
     ) -> list[Replica]:
-        """Return replicas of a model that are placed and read back as loaded.
+        """Return the replicas that report the model's placed layers as loaded.
 
-        :param placed: host to layer range, from the configuration.
+        :param placed: layer range per host, from the configuration.
         """
         found: list[Replica] = []
         for host, layers in placed.items():
@@ -262,7 +270,7 @@
         return found
 
     def service_replicas(self, service: str, hosts: list[str]) -> list[Replica]:
-        """Return replicas of a plain service among ``hosts``."""
+        """Return the replicas of a plain service among ``hosts``."""
         members = (self._members.get(host) for host in hosts)
         return [
             _replica(member, LayerRange(0, 0))
@@ -271,11 +279,14 @@
         ]
 
     def count_own(self, stages: Iterable[Stage], change: int) -> None:
-        """Count own work that begins (``change`` 1) or ends (-1) at ``stages``."""
+        """Add ``change`` to the count of this entry's sequences at ``stages``.
+
+        :param change: 1 if a sequence begins there, -1 if one ends.
+        """
         for stage in stages:
             member = self._members.get(stage.host)
             if member is not None and member.incarnation == stage.incarnation:
-                member.own = max(0, member.own + change)
+                member.own_sequences = max(0, member.own_sequences + change)
 
 
 def _replica(member: Member, layers: LayerRange) -> Replica:
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -9,7 +9,7 @@
 from railfold._internal.decisions.calls import (
     CallAction,
     CallAnswered,
-    CallCallerGone,
+    CallCallerDisconnected,
     CallDeadlinePassed,
     CallEvent,
     CallHostChosen,
@@ -17,7 +17,7 @@
     CallHostRefused,
     CallLifecycle,
     CallLimits,
-    CallUnsent,
+    CallNotSent,
     ChooseHost,
     FinishCall,
     NoHost,
@@ -148,7 +148,7 @@
     def client_gone(self) -> None:
         """Give the request up, since the client closed its connection."""
         self._failure_cause = "the client closed its connection"
-        self._feed(CallCallerGone())
+        self._feed(CallCallerDisconnected())
 
     def servers_lost(self, server_ids: frozenset[str]) -> None:
         """Leave the current attempt's chain if it contains a lost backend server.
@@ -333,7 +333,7 @@
         if error is None:
             self._prober.unreachable(server_id)
         elif isinstance(error, ServerNotEligibleError):
-            self._feed(CallUnsent(server_id, reason))
+            self._feed(CallNotSent(server_id, reason))
             return
         else:
             # The reason applies to every backend server.
@@ -535,7 +535,7 @@
         self._failure_cause = reason
         if self._answer.head_sent and not self._streaming:
             # Part of a large plain answer was sent, and no attempt can continue it.
-            self._feed(CallCallerGone())
+            self._feed(CallCallerDisconnected())
             return
         self._feed(CallHostLost(server_id))
 
