--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -476,12 +476,12 @@
         )
         self._refusals.refuse_early(exchange, error)
 
-    def client_gone(self, exchange: ClientExchange) -> None:
+    def client_disconnected(self, exchange: ClientExchange) -> None:
         """A client closed its connection."""
         driver = self._drivers.pop(exchange, None)
         if driver is not None:
             self.metrics.count("clients.gone")
-            driver.client_gone()
+            driver.client_disconnected()
 
     # Upkeep and the end
 
@@ -562,7 +562,7 @@
         # What still runs is cut visibly; waiting for it would outlast the grace.
         for exchange, driver in list(self._drivers.items()):
             exchange.abort()
-            driver.client_gone()
+            driver.client_disconnected()
         leaving.cancel()
         self.log.flush()
 
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -72,7 +72,7 @@
 
 # How often a request is sent at most. A send that is refused costs little, and each
 # send goes to another backend server.
-_MAX_TRIES = 4
+_MAX_SENDS = 4
 
 # A stream that is silent for longer than this is moved to other backend servers, even
 # if the servers that it runs on answer probes: clients disconnect after 2 s or more.
@@ -109,7 +109,7 @@
         self._loop = asyncio.get_running_loop()
         self._lifecycle = CallLifecycle(
             repeatable=routed.route.repeatable,
-            limits=CallLimits(_MAX_TRIES, max(1, routed.route.max_attempts)),
+            limits=CallLimits(_MAX_SENDS, max(1, routed.route.max_attempts)),
         )
         self._exchange: ServerExchange | None = None
         self._destination: Destination | None = None
@@ -145,7 +145,7 @@
         self._router.active.add(self)
         self._perform(self._lifecycle.start())
 
-    def client_gone(self) -> None:
+    def client_disconnected(self) -> None:
         """Give the request up, since the client closed its connection."""
         self._failure_cause = "the client closed its connection"
         self._feed(CallCallerDisconnected())
@@ -323,7 +323,7 @@
 
     # ExchangeListener
 
-    def attempt_unsent(self, reason: str, error: RequestError | None) -> None:
+    def attempt_not_sent(self, reason: str, error: RequestError | None) -> None:
         """Handle an attempt that ended before the request was sent."""
         destination = self._release_attempt()
         if destination is None:
--- a/src/railfold/_internal/forwarding/requests/exchange.py
+++ b/src/railfold/_internal/forwarding/requests/exchange.py
@@ -45,7 +45,7 @@
     def answer_ended(self) -> None:
         """Handle the end of a complete answer."""
 
-    def attempt_unsent(self, reason: str, error: RequestError | None) -> None:
+    def attempt_not_sent(self, reason: str, error: RequestError | None) -> None:
         """Handle an attempt that ended before the request was sent.
 
         :param error: why the request must not be sent; nothing if the connection
@@ -130,7 +130,7 @@
             )
         except (EngineUnavailableError, ValueError) as error:
             if not self._cancelled:
-                self._listener.attempt_unsent(str(error), None)
+                self._listener.attempt_not_sent(str(error), None)
             return
         self._send(connection)
 
@@ -140,13 +140,15 @@
             self._pool.give_back(self._plan.server_id, connection, self._loop.time())
             return
         if connection.closed:
-            self._listener.attempt_unsent("the connection was closed before use", None)
+            self._listener.attempt_not_sent(
+                "the connection was closed before use", None
+            )
             return
         try:
             self._check_sendable()
         except RequestError as error:
             self._pool.give_back(self._plan.server_id, connection, self._loop.time())
-            self._listener.attempt_unsent(error.what, error)
+            self._listener.attempt_not_sent(error.what, error)
             return
         # The headers contain the time left until the deadline, so they are made only
         # now: opening a connection takes time, and the host may have been suspended.
--- a/src/railfold/_internal/forwarding/requests/front.py
+++ b/src/railfold/_internal/forwarding/requests/front.py
@@ -59,7 +59,7 @@
     ) -> None:
         """Handle a complete request."""
 
-    def client_gone(self, exchange: ClientExchange) -> None:
+    def client_disconnected(self, exchange: ClientExchange) -> None:
         """Handle a client that closed its connection before its answer was complete."""
 
     def workspace_of(self, headers: Sequence[Header]) -> str:
@@ -118,7 +118,7 @@
             self.abort()
             # tornado doesn't report connections that are closed from this side.
             loop = asyncio.get_running_loop()
-            loop.call_soon(self._server.handler.client_gone, self)
+            loop.call_soon(self._server.handler.client_disconnected, self)
             return
         _consume_exception(self._connection.write(data))
         if stream.closed() or not stream.writing():
@@ -271,7 +271,7 @@
 
         def closed() -> None:
             exchange.connection_closed()
-            self._server.handler.client_gone(exchange)
+            self._server.handler.client_disconnected(exchange)
 
         # After a request is complete, tornado reports a closed connection only to this
         # callback.
