--- a/src/railfold/_internal/forwarding/requests/client_answer.py
+++ b/src/railfold/_internal/forwarding/requests/client_answer.py
@@ -1,4 +1,4 @@
-"""The one answer that a client gets, whatever attempts it takes."""
+"""The answer to a client's request, over all attempts of the request."""
 
 from __future__ import annotations
 
@@ -15,113 +15,130 @@
     status_of,
 )
 
-__all__ = ["ClientAnswer", "GatheredAnswer"]
+__all__ = ["BufferedAnswer", "ClientAnswer"]
 
 _OK = 200
 
-# The answer was cut off; its status had been sent before.
-_CUT_OFF = 0
+# Logged as the status of an answer that was aborted after its head had been sent.
+_ABORTED = 0
 
 
 @dataclass(slots=True)
-class GatheredAnswer:
-    """An answer of a backend server that is held back until it is whole."""
+class BufferedAnswer:
+    """An answer of a backend server that isn't sent to the client until it is complete.
+
+    :param size: bytes of the body so far.
+    """
 
     head: ResponseHead
     parts: list[bytes] = field(default_factory=list)
     size: int = 0
 
     def add(self, data: bytes) -> None:
-        """Take bytes of the body."""
+        """Append bytes of the body."""
         self.parts.append(data)
         self.size += len(data)
 
     @property
     def body(self) -> bytes:
-        """The body so far."""
+        """The bytes of the body received so far."""
         return b"".join(self.parts)
 
 
 class ClientAnswer:
-    """Sends one answer; once it has begun it can only go on or be cut off."""
+    """Sends one answer to a client.
+
+    Once its head is sent, the answer can only be continued or aborted.
+    """
 
     def __init__(self, client: ClientExchange) -> None:
         self._client = client
-        self._failure: GatheredAnswer | None = None
+        self._server_failure: BufferedAnswer | None = None
 
     @property
-    def begun(self) -> bool:
-        """Whether the client has the head of an answer."""
+    def head_sent(self) -> bool:
+        """Whether the head of the answer was sent to the client."""
         return self._client.head_sent
 
-    def begin(self, head: ResponseHead, *, with_length: bool) -> None:
-        """Send the head, if none was sent: a resumed answer keeps its first."""
+    def send_head(self, head: ResponseHead, *, with_length: bool) -> None:
+        """Send the head unless one was sent: a resumed answer keeps its first head.
+
+        :param with_length: whether to include the Content-Length header.
+        """
         if not self._client.head_sent:
             headers = end_to_end_headers(head, with_length=with_length)
             self._client.send_head(head.status, head.reason, headers)
 
-    def go_on(self, data: bytes) -> None:
+    def send_body(self, data: bytes) -> None:
         """Send a part of the body."""
         self._client.send_body(data)
 
     @property
     def congested(self) -> bool:
-        """Whether the client has left more unread than may be held for it."""
+        """Whether the unread data exceeds the memory that the client may use."""
         return self._client.congested
 
     def call_when_read(self, callback: Callable[[], None]) -> None:
-        """Call back once the client has read what was sent, or is gone."""
+        """Call back once the client has read all sent data or has disconnected."""
         self._client.call_when_read(callback)
 
-    def gather(self, size_bytes: int) -> bool:
-        """Count bytes of an answer that are held back; return whether they fit."""
-        if self._client.holding.try_reserve(size_bytes):
+    def reserve_buffer(self, size_bytes: int) -> bool:
+        """Reserve memory for buffered bytes; return whether they fit into the quota.
+
+        The bytes are in memory already, so they are counted even if they don't fit.
+        """
+        if self._client.reservation.try_reserve(size_bytes):
             return True
-        self._client.holding.reserve_unchecked(size_bytes)
+        self._client.reservation.reserve_unchecked(size_bytes)
         return False
 
-    def end(self) -> None:
-        """The answer is whole."""
+    def finish(self) -> None:
+        """End the answer, which is complete."""
         self._client.finish()
 
-    def deliver(self, answer: GatheredAnswer) -> None:
-        """Send a whole answer."""
-        self.let_go(answer)
+    def send_buffered(self, answer: BufferedAnswer) -> None:
+        """Send a complete answer that was buffered."""
+        self.release_buffer(answer)
         headers = end_to_end_headers(answer.head, with_length=False)
         self._client.reply(answer.head.status, headers, answer.body, answer.head.reason)
 
-    def let_go(self, answer: GatheredAnswer) -> None:
-        """Count a gathered answer as held back no more."""
-        self._client.holding.release_bytes(answer.size)
+    def release_buffer(self, answer: BufferedAnswer) -> None:
+        """Release the memory reserved for a buffered answer."""
+        self._client.reservation.release_bytes(answer.size)
+
+    def keep_failure(self, answer: BufferedAnswer | None) -> None:
+        """Keep a backend server's error answer, sent if no later attempt succeeds."""
+        self._server_failure = answer
 
-    def keep_failure(self, answer: GatheredAnswer | None) -> None:
-        """Keep a backend server's failure, to be sent if nothing better comes."""
-        self._failure = answer
+    def send_outcome(self, outcome: Outcome) -> int:
+        """Send an error answer if the outcome needs one; return the answer's status.
 
-    def conclude(self, outcome: Outcome) -> int:
-        """Send what a final outcome asks for; return the status."""
+        The status is 0 if an answer that had begun was aborted.
+        """
         match outcome:
             case Answered():
                 return _OK
             case NotRun(error=error, retry_after_s=retry_after_s):
-                return self._refuse(error, retry_after_s, not_run=True)
+                return self._reply_with_error(error, retry_after_s, not_run=True)
             case Failed(error=error, retry_after_s=retry_after_s):
-                return self._fail(error, retry_after_s)
+                return self._reply_with_failure(error, retry_after_s)
             case Unknown(error=error):
-                return self._fail(error, None)
+                return self._reply_with_failure(error, None)
 
-    def _fail(self, error: RailfoldError, retry_after_s: float | None) -> int:
-        if self._failure is not None and not self._client.head_sent:
-            self.deliver(self._failure)
-            return self._failure.head.status
-        return self._refuse(error, retry_after_s, not_run=False)
+    def _reply_with_failure(
+        self, error: RailfoldError, retry_after_s: float | None
+    ) -> int:
+        if self._server_failure is not None and not self._client.head_sent:
+            self.send_buffered(self._server_failure)
+            return self._server_failure.head.status
+        return self._reply_with_error(error, retry_after_s, not_run=False)
 
-    def _refuse(
+    def _reply_with_error(
         self, error: RailfoldError, retry_after_s: float | None, *, not_run: bool
     ) -> int:
         if self._client.head_sent:
             self._client.abort()
-            return _CUT_OFF
+            return _ABORTED
         status = status_of(error, not_run=not_run)
         headers, body = error_reply(error, retry_after_s)
         self._client.reply(status, headers, body)
