--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -39,10 +39,10 @@
 from railfold._internal.forwarding.requests.routed_request import RoutedRequest
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.servers.engine_calls import EngineCalls
-from railfold._internal.forwarding.servers.placement import PlacementKeeper
+from railfold._internal.forwarding.servers.placement import PlacementController
 from railfold._internal.forwarding.servers.pool import ConnectionPool
-from railfold._internal.forwarding.servers.probes import ChainProber
-from railfold._internal.forwarding.servers.slow_engines import SlowEngineWatch
+from railfold._internal.forwarding.servers.probes import ServerProber
+from railfold._internal.forwarding.servers.slow_engines import SlowEngineMonitor
 from railfold._internal.forwarding.settings import ForwardingSettings
 from railfold._internal.forwarding.settings_source import SettingsSource
 from railfold._internal.forwarding.store.feeds import (
@@ -172,7 +172,7 @@
         )
         self._fleet_limits = FleetLimits(settings, fleet, self.router)
         calls = EngineCalls(self.router)
-        self._prober = ChainProber(self.router, calls)
+        self._prober = ServerProber(self.router, calls)
         self._leadership = Leadership(LEASE_S)
         self._candidacy = Candidacy(MEMBER_LEASE_S)
         self._leadership_keeper = LeadershipKeeper(
@@ -192,13 +192,13 @@
             self._on_member_renewed,
             self._on_epoch,
         )
-        self._placement = PlacementKeeper(
+        self._placement = PlacementController(
             self.router,
             self._leadership,
             calls,
             first_start=settings.first_start,
         )
-        self._slow_engines = SlowEngineWatch(self.router, calls)
+        self._slow_engines = SlowEngineMonitor(self.router, calls)
         self._epoch = LogEpoch()
         self._configuration_feed = ConfigurationFeed(
             self.router,
@@ -232,8 +232,8 @@
             proofs=self._proofs,
             on_leadership_stopped=self._leadership_keeper.holder_stopped,
         )
-        calls.on_refused = self._peering.quarantine.server_refused
-        self._prober.on_well = self._peering.quarantine.server_answered
+        calls.on_connection_refused = self._peering.quarantine.server_refused
+        self._prober.on_healthy = self._peering.quarantine.server_answered
         self._memory_quota = MemoryQuota(
             int(settings.memory_bytes * _CLIENT_MEMORY_SHARE)
         )
@@ -381,7 +381,7 @@
         """Accept clients once all that is needed to route requests has been read."""
         known = self._registrations_read and self._quarantine_read
         if self.router.table is not None and known:
-            self._clients.begin.set()
+            self._clients.can_answer.set()
 
     def _on_proof_failure(self) -> None:
         """End the waiting read, so that an outage of the store is detected at once."""
@@ -426,7 +426,7 @@
 
     # Callbacks of the client server
 
-    def request(
+    def handle_request(
         self,
         exchange: ClientExchange,
         method: str,
@@ -477,7 +477,7 @@
         owner = table.credentials.get(self.router.dialect.credential(headers))
         return owner.workspace if owner is not None else ""
 
-    def refuse_unread(self, exchange: ClientExchange) -> None:
+    def refuse_early(self, exchange: ClientExchange) -> None:
         """Refuse a request because there isn't enough memory for its body."""
         reserved_mb = self._memory_quota.total_bytes / 1e6
         error = MemoryShortError(
@@ -485,14 +485,14 @@
             why=f"{reserved_mb:.1f} MB are reserved for clients",
             hint="come back after Retry-After",
         )
-        self._refusals.refuse_unread(exchange, error)
+        self._refusals.refuse_early(exchange, error)
 
-    def client_gone(self, exchange: ClientExchange) -> None:
+    def client_disconnected(self, exchange: ClientExchange) -> None:
         """Stop working on a request whose client closed its connection."""
         driver = self._drivers.pop(exchange, None)
         if driver is not None:
             self.metrics.count("clients.gone")
-            driver.client_gone()
+            driver.client_disconnected()
 
     # Upkeep and shutdown
 
@@ -529,7 +529,7 @@
             self.router.avoidance.forget(known)
             self.router.fleet_load.forget(known, now_s)
             self.router.fleet_demand.forget(now_s)
-            self._prober.pace.forget(known)
+            self._prober.probe_backoff.forget(known)
             self.router.limits.upkeep(known, now_s)
             self.router.backoffs.upkeep(known, now_s)
             self._registrations.pace = self._registration_pace(now_s)
@@ -576,7 +576,7 @@
         # end within the grace time.
         for exchange, driver in list(self._drivers.items()):
             exchange.abort()
-            driver.client_gone()
+            driver.client_disconnected()
         leave_task.cancel()
         self.log.flush()
 
--- a/src/railfold/_internal/forwarding/requests/front.py
+++ b/src/railfold/_internal/forwarding/requests/front.py
@@ -1,4 +1,4 @@
-"""HTTP interface towards clients, on tornado's server."""
+"""HTTP server for clients, based on tornado."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 
 __all__ = ["ClientExchange", "ClientServer", "RequestHandler"]
 
-# What a client that doesn't read may hold up; more, and it is cut off.
+# The connection of a client that leaves more than this unread is closed.
 _MAX_UNREAD_BYTES = 8 * 1024 * 1024
 
-# A process that has just started reads the configuration and the registrations
-# within 50 ms; if the store is away, clients are told so after this time.
-_BEGIN_BY_S = 0.3
+# A process that has just started reads the configuration and the registrations within
+# 50 ms. If the store is unavailable, clients get an error after this time.
+_MAX_STARTUP_WAIT_S = 0.3
 
 _REASONS = {
     200: "OK",
@@ -47,9 +47,9 @@
 
 
 class RequestHandler(Protocol):
-    """What is done with a client's requests."""
+    """Handles the requests of clients."""
 
-    def request(
+    def handle_request(
         self,
         exchange: ClientExchange,
         method: str,
@@ -57,30 +57,33 @@
         headers: Sequence[Header],
         body: bytes,
     ) -> None:
-        """Take a whole request."""
+        """Handle a complete request."""
 
-    def client_gone(self, exchange: ClientExchange) -> None:
-        """The client closed its connection before it had its answer."""
+    def client_disconnected(self, exchange: ClientExchange) -> None:
+        """Handle a client that closed its connection before its answer was complete."""
 
     def workspace_of(self, headers: Sequence[Header]) -> str:
-        """Return the workspace that a request's head names; empty if none is known."""
+        """Return the workspace of a request's credential; empty if it is unknown."""
 
-    def refuse_unread(self, exchange: ClientExchange) -> None:
-        """Answer a request whose body there is no memory for."""
+    def refuse_early(self, exchange: ClientExchange) -> None:
+        """Refuse a request whose body doesn't fit into the memory quota."""
 
 
 class ClientExchange:
-    """One request of a client and the answer to it."""
+    """One request of a client and the connection on which it is answered.
+
+    :param reservation: the memory used by the request's body and unread answer.
+    """
 
     def __init__(
         self,
         connection: HTTP1Connection,
         server: ClientServer,
-        holding: MemoryReservation,
+        reservation: MemoryReservation,
     ) -> None:
         self._connection = connection
         self._server = server
-        self.holding = holding
+        self.reservation = reservation
         self._closing = False
         self._unread_bytes = 0
         self.congested = False
@@ -91,8 +94,8 @@
     def send_head(self, status: int, reason: str, headers: Sequence[Header]) -> None:
         """Send status and headers.
 
-        Without a Content-Length the body goes in chunks, so that an answer that
-        is cut off can't look whole.
+        Without a Content-Length header the body is sent in chunks, so that the client
+        can tell an aborted answer from a complete one.
         """
         if self._ended:
             return
@@ -104,7 +107,7 @@
             self._closing = True
             fields["Connection"] = "close"
         line = ResponseStartLine("HTTP/1.1", status, reason or _REASONS.get(status, ""))
-        _retrieve(self._connection.write_headers(line, fields))
+        _consume_exception(self._connection.write_headers(line, fields))
 
     def send_body(self, data: bytes) -> None:
         """Send a part of the body."""
@@ -113,24 +116,25 @@
         stream = self._connection.stream
         if self._unread_bytes + len(data) > _MAX_UNREAD_BYTES:
             self.abort()
-            # A connection that is closed here tells nobody.
+            # tornado doesn't report connections that are closed from this side.
             loop = asyncio.get_running_loop()
-            loop.call_soon(self._server.handler.client_gone, self)
+            loop.call_soon(self._server.handler.client_disconnected, self)
             return
-        _retrieve(self._connection.write(data))
+        _consume_exception(self._connection.write(data))
         if stream.closed() or not stream.writing():
             return
         self._unread_bytes += len(data)
-        if not self.holding.try_reserve(len(data)):
-            self.holding.reserve_unchecked(len(data))
+        if not self.reservation.try_reserve(len(data)):
+            self.reservation.reserve_unchecked(len(data))
             self.congested = True
-        # Done once all that was written before is read, or the client is gone.
+        # This future is done once all data written before is sent, or the connection
+        # is closed.
         barrier = stream.write(b"")
-        barrier.add_done_callback(lambda _: self._was_read(len(data)))
+        barrier.add_done_callback(lambda _: self._record_read(len(data)))
 
-    def _was_read(self, size_bytes: int) -> None:
+    def _record_read(self, size_bytes: int) -> None:
         self._unread_bytes -= size_bytes
-        self.holding.release_bytes(size_bytes)
+        self.reservation.release_bytes(size_bytes)
         if self._unread_bytes > 0:
             return
         self.congested = False
@@ -139,28 +143,28 @@
             callback()
 
     def call_when_read(self, callback: Callable[[], None]) -> None:
-        """Call back once the client has read what was sent, or is gone."""
+        """Call back once the client has read all sent data or has disconnected."""
         if self._unread_bytes > 0:
             self._on_read.append(callback)
         else:
             asyncio.get_running_loop().call_soon(callback)
 
     def finish(self) -> None:
-        """The answer is whole."""
+        """End the answer, which is complete."""
         if self._ended:
             return
         self._ended = True
         self._release_body()
         stream = self._connection.stream
         self._connection.finish()
-        # An answer that began before the drain promised to keep the connection;
-        # once no new requests are taken it is closed all the same.
+        # An answer that began before the drain announced that the connection stays
+        # open. It is closed anyway once the server accepts no more requests.
         closing = self._closing or self._server.stopped
         if closing and stream is not None and not stream.closed():
-            _close_when_written(stream)
+            _close_after_flush(stream)
 
     def abort(self) -> None:
-        """Cut the answer off, visibly incomplete."""
+        """Close the connection, so that the client sees an incomplete answer."""
         if self._ended:
             return
         self._ended = True
@@ -168,118 +172,123 @@
         self._connection.close()
 
     def _release_body(self) -> None:
-        """Hold only what the client hasn't read yet."""
-        self.holding.release_bytes(self.holding.size_bytes - self._unread_bytes)
+        """Release the memory of the request; unread data stays reserved."""
+        self.reservation.release_bytes(self.reservation.size_bytes - self._unread_bytes)
 
-    def client_left(self) -> None:
-        """The client closed the connection: nothing is held for it any more."""
-        self.holding.release()
+    def connection_closed(self) -> None:
+        """Release all memory, since the client closed the connection."""
+        self.reservation.release()
 
     def reply(
         self, status: int, headers: Sequence[Header], body: bytes, reason: str = ""
     ) -> None:
-        """Send a whole answer."""
+        """Send a complete answer to a complete request."""
         self.reply_early(status, headers, body, reason)
         self.finish()
 
     def reply_early(
         self, status: int, headers: Sequence[Header], body: bytes, reason: str = ""
     ) -> None:
-        """Send a whole answer to a request of which more may come."""
+        """Send a complete answer to a request whose body may still arrive."""
         fields = [*headers, ("Content-Length", str(len(body)))]
         self.send_head(status, reason, fields)
         if body:
             self.send_body(body)
 
 
-def _retrieve(future: asyncio.Future[None]) -> None:
-    """Look at a write's outcome; a closed connection is reported elsewhere."""
+def _consume_exception(future: asyncio.Future[None]) -> None:
+    """Retrieve the exception of a finished write, so that asyncio doesn't log it.
+
+    Closed connections are reported by a callback of the connection.
+    """
     if future.done() and not future.cancelled():
         future.exception()
 
 
-def _close_when_written(stream: IOStream) -> None:
-    """Close once the kernel has taken what was written."""
+def _close_after_flush(stream: IOStream) -> None:
+    """Close the connection once the kernel has accepted all written data."""
     if not stream.writing():
         stream.close()
         return
     loop = asyncio.get_running_loop()
-    loop.call_later(0.01, _close_when_written, stream)
+    loop.call_later(0.01, _close_after_flush, stream)
 
 
-class _ClientMessage(HTTPMessageDelegate):
-    """Gathers one request."""
+class _RequestReader(HTTPMessageDelegate):
+    """Reads one request from a client's connection."""
 
     def __init__(self, server: ClientServer, connection: HTTP1Connection) -> None:
         self._server = server
         self._connection = connection
         self._parts: list[bytes] = []
         self._size = 0
-        self._line = RequestStartLine("", "", "")
+        self._start_line = RequestStartLine("", "", "")
         self._headers: list[Header] = []
-        self._holding = MemoryReservation(server.held, "")
-        self._refused: ClientExchange | None = None
+        self._reservation = MemoryReservation(server.quota, "")
+        self._refused_exchange: ClientExchange | None = None
 
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Take the head."""
+        """Store the request's head and begin to count its memory."""
         assert isinstance(start_line, RequestStartLine)
-        self._server.begin_request(self._connection.stream)
-        self._line = start_line
+        self._server.mark_busy(self._connection.stream)
+        self._start_line = start_line
         self._headers = list(headers.get_all())
         workspace = self._server.handler.workspace_of(self._headers)
-        self._holding = MemoryReservation(self._server.held, workspace)
+        self._reservation = MemoryReservation(self._server.quota, workspace)
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a part of the body; pass over the rest of one that was refused."""
-        if self._refused is not None:
+        """Store a part of the body, or ignore it if the request was refused."""
+        if self._refused_exchange is not None:
             return
-        if self._holding.try_reserve(len(chunk)):
+        if self._reservation.try_reserve(len(chunk)):
             self._parts.append(chunk)
             return
         self._parts.clear()
-        self._holding.release()
-        exchange = ClientExchange(self._connection, self._server, self._holding)
-        self._refused = exchange
-        self._server.handler.refuse_unread(exchange)
+        self._reservation.release()
+        exchange = ClientExchange(self._connection, self._server, self._reservation)
+        self._refused_exchange = exchange
+        self._server.handler.refuse_early(exchange)
 
     def on_connection_close(self) -> None:
-        """The client left before its request was whole."""
-        self._holding.release()
+        """Release the memory of an incomplete request when its client disconnects."""
+        self._reservation.release()
 
     def finish(self) -> None:
-        """Give the whole request to the handler.
+        """Pass the complete request to the handler.
 
-        Bytes that had arrived when a planned stop closed the connection are
-        still parsed. Their request must go nowhere: its client takes it for unread.
+        Bytes that had arrived when a planned stop closed the connection are still
+        parsed. Their request must not be sent anywhere, since its client assumes that
+        it wasn't read.
         """
         if self._connection.stream is None or self._connection.stream.closed():
             return
-        if self._refused is not None:
-            self._refused.finish()
+        if self._refused_exchange is not None:
+            self._refused_exchange.finish()
             return
-        exchange = ClientExchange(self._connection, self._server, self._holding)
+        exchange = ClientExchange(self._connection, self._server, self._reservation)
 
         def closed() -> None:
-            exchange.client_left()
-            self._server.handler.client_gone(exchange)
+            exchange.connection_closed()
+            self._server.handler.client_disconnected(exchange)
 
-        # Once a request is whole, tornado tells of a closed connection here only.
+        # After a request is complete, tornado reports a closed connection only to this
+        # callback.
         self._connection.set_close_callback(closed)
-        self._server.handler.request(
+        self._server.handler.handle_request(
             exchange,
-            self._line.method,
-            self._line.path,
+            self._start_line.method,
+            self._start_line.path,
             self._headers,
             b"".join(self._parts),
         )
 
 
 class ClientServer(HTTPServerConnectionDelegate):
-    """Child that serves clients.
+    """Supervised child that serves clients.
 
-    :param held: what is held for clients, by workspace.
+    :param quota: memory for request bodies and unread answers, by workspace.
     :param listener: a socket that listens on the address already, if there is one.
     """
 
@@ -287,49 +296,51 @@
         self,
         address: Address,
         handler: RequestHandler,
-        held: MemoryQuota,
+        quota: MemoryQuota,
         listener: socket.socket | None = None,
     ) -> None:
         self.handler = handler
-        self.held = held
-        # Whether answers ask clients to go on over a new connection.
+        self.quota = quota
+        # Whether answers ask clients to open a new connection for their next request.
         self.closes_connections = False
         self.stopped = False
-        # tornado tells its own server of closed connections, nobody else.
+        # tornado reports closed connections only to its own server class, so open
+        # connections are tracked here.
         self._streams: set[IOStream] = set()
         self._busy: set[IOStream] = set()
-        # Set once requests can be answered.
-        self.begin = asyncio.Event()
+        # Set once requests can be answered; connections wait until then.
+        self.can_answer = asyncio.Event()
         self._child = HttpServerChild(
             self,
             address,
             listener=listener,
-            begin=self.begin,
-            begin_by_s=_BEGIN_BY_S,
+            begin=self.can_answer,
+            begin_by_s=_MAX_STARTUP_WAIT_S,
             prepare=self._apply_limits,
         )
         self._limits = ClientLimits()
 
     @property
     def open_connections(self) -> int:
-        """How many connections clients have open."""
+        """The number of open connections of clients."""
         self.forget_closed()
         return len(self._streams)
 
     def forget_closed(self) -> None:
-        """Forget connections that were closed."""
+        """Drop closed connections from the set of tracked connections."""
         closed = {stream for stream in self._streams if stream.closed()}
         self._streams -= closed
         self._busy -= closed
 
-    def begin_request(self, stream: IOStream) -> None:
-        """A request began to arrive on a connection."""
+    def mark_busy(self, stream: IOStream) -> None:
+        """Mark a connection as one on which a request has begun to arrive."""
         self._busy.add(stream)
 
     def stop_accepting(self) -> None:
-        """Take no new connections, and close those without a request.
+        """Accept no new connections, and close those without a request.
 
-        A client whose request crosses the close knows that it wasn't read.
+        A client that sends a request at the moment of the close knows that it wasn't
+        read.
         """
         self.stopped = True
         self._child.stop_listening()
@@ -337,19 +348,20 @@
             stream.close()
 
     def set_limits(self, limits: ClientLimits) -> None:
-        """Bound what clients may send from now on."""
+        """Apply limits to the requests that clients send from now on."""
         self._limits = limits
         if self._child.server is not None:
             self._apply_limits(self._child.server)
 
     def _apply_limits(self, server: HTTPServer) -> None:
-        # tornado counts the wait for a request's head from the end of the one before.
+        # tornado's header timeout starts at the end of the previous request, so it is
+        # the time for which a connection may be idle.
         server.conn_params.header_timeout = self._limits.idle_timeout_s
         server.conn_params.max_body_size = self._limits.max_body_bytes
         server.conn_params.max_header_size = self._limits.max_header_bytes
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Listen and serve until cancelled."""
+        """Listen and serve until cancelled; ``ready`` is set once it listens."""
         await self._child.run(ready)
 
     # HTTPServerConnectionDelegate
@@ -357,8 +369,8 @@
     def start_request(
         self, server_conn: object, request_conn: HTTPConnection
     ) -> HTTPMessageDelegate:
-        """Begin to read a request."""
+        """Return the reader of a connection's next request."""
         assert isinstance(request_conn, HTTP1Connection)
         self._streams.add(request_conn.stream)
         self._busy.discard(request_conn.stream)
-        return _ClientMessage(self, request_conn)
+        return _RequestReader(self, request_conn)
--- a/src/railfold/_internal/forwarding/requests/relocation.py
+++ b/src/railfold/_internal/forwarding/requests/relocation.py
@@ -1,4 +1,4 @@
-"""Ending an attempt on suspicion, once its answer can go on elsewhere."""
+"""Moving a request away from a suspected backend server if another can finish it."""
 
 from __future__ import annotations
 
@@ -11,77 +11,83 @@
 
 
 class MovableAttempt(Protocol):
-    """The attempt under way of a request."""
+    """The current attempt of a request."""
 
     @property
     def repeatable(self) -> bool:
         """Whether the request may run again."""
 
     @property
-    def begun(self) -> bool:
-        """Whether the client has a part of the answer."""
+    def answer_begun(self) -> bool:
+        """Whether a part of the answer was sent to the client."""
 
-    def reserve_place(self) -> bool:
-        """Reserve another place for the answer; return whether there is one."""
+    def reserve_destination(self) -> bool:
+        """Reserve a destination that can continue the answer.
+
+        Returns False if there is none.
+        """
 
     def end_attempt(self, reason: str) -> None:
-        """End it; the request goes to the place that is reserved, if there is one."""
+        """End the attempt; the request is sent to the reserved destination, if any."""
 
     def attempt_kept(self, reason: str) -> None:
-        """It goes on for now, although it was to be ended."""
+        """Record that the attempt continues since no other server can finish it."""
 
 
 class Relocation:
-    """Moves one request's attempts, one after the other.
+    """Moves one request from suspected backend servers to other destinations.
 
-    An attempt goes on if only its own engine can finish it. That is so for a request
-    that may not run again, and for an answer that has begun and couldn't go on
-    elsewhere now. Its engine may send again, and its client leaves when it likes;
-    nothing mends an answer that was cut.
+    An attempt continues if only its own backend server can finish it: if the request
+    isn't repeatable, or if the answer has begun and no other destination can continue
+    it now. The server may still send the rest, and the client can disconnect at any
+    time, whereas an answer that was aborted can't be repaired.
     """
 
     def __init__(self, attempt: MovableAttempt) -> None:
         self._attempt = attempt
         self._loop = asyncio.get_running_loop()
-        # Why its engine is given up, while its answer waits for another place.
-        self._lost = ""
-        self._kept = ""
-        self._recheck: asyncio.TimerHandle | None = None
+        # Why the attempt's backend server counts as lost, while the answer waits for
+        # another destination; empty otherwise.
+        self._loss_reason = ""
+        self._kept_reason = ""
+        self._recheck_timer: asyncio.TimerHandle | None = None
 
     def move(self, reason: str) -> None:
-        """End the attempt on suspicion, if its answer can go on elsewhere."""
+        """End the attempt if another destination can finish the answer."""
         attempt = self._attempt
         if not attempt.repeatable:
             return
-        if attempt.begun and not attempt.reserve_place():
-            self._keep(reason)
+        if attempt.answer_begun and not attempt.reserve_destination():
+            self._keep_attempt(reason)
             return
         attempt.end_attempt(reason)
 
-    def move_from_lost(self, reason: str) -> None:
-        """The same of an engine that is lost: look for a place until there is one."""
-        self._lost = reason
+    def move_from_lost_server(self, reason: str) -> None:
+        """Leave a lost backend server: look for a destination until there is one."""
+        self._loss_reason = reason
         self.move(reason)
 
-    def _keep(self, reason: str) -> None:
-        if reason != self._kept:
-            self._kept = reason
+    def _keep_attempt(self, reason: str) -> None:
+        if reason != self._kept_reason:
+            self._kept_reason = reason
             self._attempt.attempt_kept(reason)
-        if self._lost and self._recheck is None:
-            self._recheck = self._loop.call_later(PLACE_INTERVAL_S, self._move_again)
+        if self._loss_reason and self._recheck_timer is None:
+            self._recheck_timer = self._loop.call_later(
+                PLACE_INTERVAL_S, self._move_again
+            )
 
     def _move_again(self) -> None:
-        self._recheck = None
-        if self._lost:
-            self.move(self._lost)
-
-    def progressed(self) -> None:
-        """The answer goes on: its engine isn't lost."""
-        self._lost = self._kept = ""
-
-    def clear(self) -> None:
-        """The attempt has ended."""
-        self.progressed()
-        if self._recheck is not None:
-            self._recheck.cancel()
-            self._recheck = None
+        self._recheck_timer = None
+        if self._loss_reason:
+            self.move(self._loss_reason)
+
+    def record_progress(self) -> None:
+        """Record that the answer continues, so that its server isn't lost."""
+        self._loss_reason = self._kept_reason = ""
+
+    def reset(self) -> None:
+        """Forget the attempt, which has ended."""
+        self.record_progress()
+        if self._recheck_timer is not None:
+            self._recheck_timer.cancel()
+            self._recheck_timer = None
--- a/tests/forwarding/test_incarnations.py
+++ b/tests/forwarding/test_incarnations.py
@@ -67,7 +67,7 @@
     server: Engine = getattr(deployment_with_start_times, kind)[0]
     server.born = SECOND_START  # Not registered yet.
     before = entry_of(deployment_with_start_times, server)
-    deployment_with_start_times.entry._prober.doubt(before.server_id)
+    deployment_with_start_times.entry._prober.record_broken_answer(before.server_id)
     await until(lambda: before.suspect_since_s is not None)
 
 
@@ -117,7 +117,7 @@
     engine = deployment_with_start_times.engines[0]
     entry = entry_of(deployment_with_start_times, engine)
     engine.born, engine.pace = SECOND_START, 8.0
-    await deployment_with_start_times.entry._prober.calls.ask_slowness(entry)
+    await deployment_with_start_times.entry._prober.calls.update_slowness(entry)
     assert entry.slowness == 1.0
 
 
@@ -144,6 +144,6 @@
     directory = deployment_with_start_times.entry.router.directory
     await until(lambda: directory.get_by_registered_id(engine.server_id) is None)
     prober = deployment_with_start_times.entry._prober
-    assert await prober.calls.serves_on(stage, 0.5)
+    assert await prober.calls.still_serves(stage, 0.5)
     engine.born = SECOND_START
-    assert not await prober.calls.serves_on(stage, 0.5)
+    assert not await prober.calls.still_serves(stage, 0.5)
