--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -52,8 +52,8 @@
 from railfold._internal.forwarding.store.leadership import (
     LEASE_S,
     MEMBER_LEASE_S,
-    LeadershipKeeper,
-    MembershipKeeper,
+    LeadershipController,
+    MembershipRenewer,
 )
 from railfold._internal.forwarding.store.registration_pace import (
     default_pace,
@@ -175,7 +175,7 @@
         self._prober = ServerProber(self.router, calls)
         self._leadership = Leadership(LEASE_S)
         self._candidacy = Candidacy(MEMBER_LEASE_S)
-        self._leadership_keeper = LeadershipKeeper(
+        self._leadership_controller = LeadershipController(
             settings.name,
             self._leadership,
             adapter.new_lease_client(_PLACEMENT_DUTY),
@@ -185,7 +185,7 @@
             self._candidacy,
             self._on_leadership_stopped,
         )
-        self._membership = MembershipKeeper(
+        self._membership = MembershipRenewer(
             settings.name,
             adapter.new_member_client(_PLACEMENT_DUTY),
             self.metrics,
@@ -230,7 +230,7 @@
             fleet_limits=self._fleet_limits,
             on_epoch=self._on_epoch,
             proofs=self._proofs,
-            on_leadership_stopped=self._leadership_keeper.holder_stopped,
+            on_leadership_stopped=self._leadership_controller.holder_stopped,
         )
         calls.on_connection_refused = self._peering.quarantine.server_refused
         self._prober.on_healthy = self._peering.quarantine.server_answered
@@ -267,7 +267,7 @@
             ChildSpec("proofs", self._proofs.run),
             ChildSpec("registrations", self._registrations.run),
             ChildSpec("membership", self._membership.run),
-            ChildSpec("leadership", self._leadership_keeper.run),
+            ChildSpec("leadership", self._leadership_controller.run),
             ChildSpec("placement", self._placement.run),
             ChildSpec("slow engines", self._slow_engines.run),
             *self._peering.children(),
@@ -562,7 +562,7 @@
         # Runs concurrently, since the store may not answer.
         leave_task = self._loop.create_task(self._peering.leave())
         await asyncio.gather(
-            self._leadership_keeper.release(), self._membership.release()
+            self._leadership_controller.release(), self._membership.release()
         )
         end_s = started_s + self._settings.grace_s - _EXIT_RESERVE_S
         await asyncio.sleep(_BALANCER_DRAIN_S)
--- a/src/railfold/_internal/forwarding/servers/probes.py
+++ b/src/railfold/_internal/forwarding/servers/probes.py
@@ -141,12 +141,16 @@
         if not refusal.address:
             entry = self._router.directory.get(server_id)
             if entry is not None and not backed_off:
-                self._record_refusal(entry, request_tokens, misplaced=refusal.lacks_layers)
+                self._record_refusal(
+                    entry, request_tokens, misplaced=refusal.lacks_layers
+                )
             return
         entry = self._router.directory.get_by_address(refusal.address)
         if entry is not None:
             if entry.server_id != server_id or not backed_off:
-                self._record_refusal(entry, request_tokens, misplaced=refusal.lacks_layers)
+                self._record_refusal(
+                    entry, request_tokens, misplaced=refusal.lacks_layers
+                )
             if refusal.lacks_layers:
                 until_s = self._loop.time() + _MISPLACED_AVOID_S
                 self._router.avoidance.avoid(entry.server_id, until_s)
--- a/src/railfold/_internal/forwarding/store/leadership.py
+++ b/src/railfold/_internal/forwarding/store/leadership.py
@@ -19,9 +19,9 @@
 __all__ = [
     "LEASE_S",
     "MEMBER_LEASE_S",
-    "LeadershipKeeper",
+    "LeadershipController",
     "LeaseClient",
-    "MembershipKeeper",
+    "MembershipRenewer",
 ]
 
 # How long the store counts an entry as a member after its last renewal: at least
@@ -69,7 +69,7 @@
         """
 
 
-class MembershipKeeper:
+class MembershipRenewer:
     """Child that renews this entry's membership in the group of all entries.
 
     :param on_renewed: called with each answer and the time at which its renewal was
@@ -127,7 +127,7 @@
             self._metrics.count("members.release_failed")  # The membership expires.
 
 
-class LeadershipKeeper:
+class LeadershipController:
     """Child that requests the lease while this process is a candidate, and renews it.
 
     A holder that can't renew the lease stops leading at once, reports the member id
--- a/tests/unit/test_leadership_handover.py
+++ b/tests/unit/test_leadership_handover.py
@@ -20,7 +20,7 @@
 from railfold._internal.forwarding.store.leadership import (
     LEASE_S,
     MEMBER_LEASE_S,
-    LeadershipKeeper,
+    LeadershipController,
 )
 from railfold._internal.observability.decision_log import DecisionLog
 from railfold._internal.observability.metrics import Metrics
@@ -103,7 +103,7 @@
 
     def __post_init__(self) -> None:
         self.leadership = Leadership(LEASE_S)
-        self.keeper = LeadershipKeeper(
+        self.keeper = LeadershipController(
             self.name,
             self.leadership,
             self,
--- a/tests/unit/test_suspension.py
+++ b/tests/unit/test_suspension.py
@@ -17,7 +17,7 @@
 from railfold._internal import clock
 from railfold._internal.commands import forward
 from railfold._internal.decisions.leadership import Leadership, LeaseGrant
-from railfold._internal.forwarding.store.leadership import LEASE_S, LeadershipKeeper
+from railfold._internal.forwarding.store.leadership import LEASE_S, LeadershipController
 from railfold._internal.observability.decision_log import DecisionLog
 from railfold._internal.observability.metrics import Metrics
 from standins.cluster import free_port
@@ -150,7 +150,7 @@
     async def renew() -> int | None:
         leadership = Leadership(LEASE_S)
         lease_store = SuspendingLeaseStore(host, suspended_s)
-        keeper = LeadershipKeeper(
+        keeper = LeadershipController(
             "entry-1",
             leadership,
             lease_store,
