--- a/benchmarks/fleet_load.py
+++ b/benchmarks/fleet_load.py
@@ -58,11 +58,11 @@
         """All entries' names."""
         return tuple(self.fleet)
 
-    def tell_one(self, name: str, message: PeerMessage) -> None:
+    def send_to(self, name: str, message: PeerMessage) -> None:
         """Send to one entry."""
-        self.tell_each((name,), message)
+        self.send_to_each((name,), message)
 
-    def tell_each(self, names: Any, message: PeerMessage) -> None:
+    def send_to_each(self, names: Any, message: PeerMessage) -> None:
         """Send to some entries."""
         sent_ms = int(clock.unix_time_s() * 1000)
         envelope = Envelope(self.name, self.rng.randbytes(8), sent_ms, message, True)
@@ -76,7 +76,7 @@
         """Take a datagram."""
         self.received_bytes += len(datagram) + _NETWORK_BYTES
         envelope = self.codec.decode(datagram, clock.unix_time_s())
-        self.exchange.received(envelope.message)
+        self.exchange.message_received(envelope.message)
 
 
 def _router(domain: str, entries: int, engines: list[Any], rng: random.Random) -> Any:
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -17,12 +17,12 @@
 from railfold._internal.forwarding.peers.peer_messages import (
     DomainLoadNotice,
     Envelope,
-    LoadPartNotice,
+    LoadContributionNotice,
     LoadRows,
     LoadSumNotice,
     PeerMessageCodec,
 )
-from railfold._internal.forwarding.quarantine.content_digest import derived_key
+from railfold._internal.forwarding.quarantine.content_digest import derive_key
 from railfold._internal.forwarding.store.shared_records import KEY_NAME, decode_key
 from soak.world import Injected, World
 from standins.chaining_engine import Engine
@@ -306,7 +306,7 @@
     records = world.store.topic("keyed.railfold-quarantine").newest
     if KEY_NAME not in records:
         return
-    key = derived_key(decode_key(records[KEY_NAME][1]), b"peers")
+    key = derive_key(decode_key(records[KEY_NAME][1]), b"peers")
     codec = PeerMessageCodec(key)
     names = [entry.name for entry in world.entries]
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
@@ -322,7 +322,7 @@
 
 def _load_lie(
     rng: random.Random, names: list[str], zones: list[str]
-) -> LoadPartNotice | LoadSumNotice | DomainLoadNotice:
+) -> LoadContributionNotice | LoadSumNotice | DomainLoadNotice:
     number = rng.choice([rng.randrange(200), 2 ** rng.randrange(62)])
     amounts = [rng.randrange(2**32) for _ in range(rng.randint(1, 4))]
     rows = LoadRows([[rng.randrange(2**32), *amounts] for _ in range(60)])
@@ -333,7 +333,7 @@
     ]
     return rng.choice(
         [
-            LoadPartNotice(name, number, rows),
+            LoadContributionNotice(name, number, rows),
             LoadSumNotice(name, number, digests, rng.randint(1, 2000), rows),
             DomainLoadNotice(rng.choice(zones), number, 9, rows, {zones[0]: number}),
         ]
--- a/src/railfold/_internal/forwarding/peers/load_exchange.py
+++ b/src/railfold/_internal/forwarding/peers/load_exchange.py
@@ -32,9 +32,9 @@
 )
 from railfold._internal.forwarding.peers.peer_channel import PeerChannel
 from railfold._internal.forwarding.peers.peer_messages import (
-    MOST_ROWS_BYTES,
+    MAX_ROWS_BYTES,
     DomainLoadNotice,
-    LoadPartNotice,
+    LoadContributionNotice,
     LoadRows,
     LoadSumNotice,
 )
@@ -43,17 +43,17 @@
 
 __all__ = ["LoadExchange", "LoadMessage"]
 
-LoadMessage = LoadPartNotice | LoadSumNotice | DomainLoadNotice
+LoadMessage = LoadContributionNotice | LoadSumNotice | DomainLoadNotice
 
 # What an entry sends and receives for this; 6 KB/s are for all of control.
-_BYTES_PER_S = 4500.0
+_BUDGET_BYTES_PER_S = 4500.0
 
 # Requests stay for seconds, so that sums that are younger change little.
-_SHORTEST_INTERVAL_S = 0.4
-_LONGEST_INTERVAL_S = 10.0
+_MIN_INTERVAL_S = 0.4
+_MAX_INTERVAL_S = 10.0
 
 # A round is this part of the interval long if nothing is lost.
-_USUAL_ROUND = 0.75
+_TYPICAL_ROUND_SHARE = 0.75
 
 # After so many intervals without a sum an entry reckons by itself.
 _LIFETIME_INTERVALS = 6
@@ -61,31 +61,31 @@
 _STEPS_PER_INTERVAL = 8
 
 # Of code, envelope, names and headers of the network.
-_MESSAGE_BYTES = 200
+_MESSAGE_OVERHEAD_BYTES = 200
 
 # What tokens are counted in, so that most amounts take one or two bytes.
-_TOKENS_UNIT = 16
+_TOKENS_PER_UNIT = 16
 
 # The busiest ranks and workspaces of an entry, and of a sum.
-_MOST_DEMAND_ROWS = 32
-_MOST_DEMAND_ROWS_OF_SUM = 64
+_MAX_OWN_DEMAND_ROWS = 32
+_MAX_SUM_DEMAND_ROWS = 64
 
-_LOAD_AMOUNTS = 4
-_DEMAND_AMOUNTS = 1
+_LOAD_AMOUNT_COUNT = 4
+_DEMAND_AMOUNT_COUNT = 1
 
 # Messages whose pages haven't all come.
-_INCOMPLETE_KEPT = 32
+_MAX_INCOMPLETE_MESSAGES = 32
 
 # Below this share of entries whose load is known, the exchange is logged as lost.
-_KNOWN_SHARE = 0.5
+_MIN_KNOWN_SHARE = 0.5
 
 # How long a server counts as full that rejected requests of others lately.
-_FULL_S = 0.1
+_FULL_DURATION_S = 0.1
 
 # A sum of another domain that arrives as a round ends is passed on once more.
-_MOST_HOPS = 2
+_MAX_HOPS = 2
 
-_OTHERS = "others"
+_OTHER_ENTRIES = "others"
 
 
 class LoadExchange:
@@ -100,10 +100,12 @@
         self._channel = channel
         self._loop = asyncio.get_running_loop()
         self._rounds = LoadRounds(
-            name, router.failure_domain, _SHORTEST_INTERVAL_S, router.rng.random
+            name, router.failure_domain, _MIN_INTERVAL_S, router.rng.random
         )
-        self._pages: OrderedDict[tuple[str, str, int], dict[int, LoadRows]]
-        self._pages = OrderedDict()
+        self._incomplete_messages: OrderedDict[
+            tuple[str, str, int], dict[int, LoadRows]
+        ]
+        self._incomplete_messages = OrderedDict()
         self._demand_version: int | None = None
         self._demand_keys: dict[int, DemandKey] = {}
         self._knows_others: bool | None = None
@@ -118,15 +120,17 @@
     def _step(self) -> None:
         now_s = self._loop.time()
         members = self._channel.names_by_domain if self._channel.peers else {}
-        self._note_known(now_s, others=sum(map(len, members.values())) > 1)
+        self._update_known_share(now_s, others=sum(map(len, members.values())) > 1)
         if sum(map(len, members.values())) < 2:
             return
-        for action in self._rounds.step(now_s, members, lambda: self._own(now_s)):
+        for action in self._rounds.step(
+            now_s, members, lambda: self._own_amounts(now_s)
+        ):
             match action:
-                case SendContribution(to=to, round=number, contribution=part):
-                    for rows in _pages(part):
-                        message = LoadPartNotice(self._name, number, rows)
-                        self._channel.tell_one(to, message)
+                case SendContribution(to=to, round=number, contribution=contribution):
+                    for rows in _split_into_pages(contribution):
+                        message = LoadContributionNotice(self._name, number, rows)
+                        self._channel.send_to(to, message)
                 case PublishSum():
                     self._publish(action, members, now_s)
 
@@ -134,8 +138,8 @@
         self, action: PublishSum, members: Mapping[str, Sequence[str]], now_s: float
     ) -> None:
         included = [_short_digest(name) for name in action.included]
-        total = _bounded(action.total)
-        for rows in _pages(total):
+        total = _limit_demand_rows(action.total)
+        for rows in _split_into_pages(total):
             message = LoadSumNotice(
                 self._name,
                 action.round,
@@ -145,9 +149,9 @@
                 math.ceil(action.age_s * 1000),
                 dict(action.known_rounds),
             )
-            self._channel.tell_each(action.to, message)
+            self._channel.send_to_each(action.to, message)
         for rows in (
-            _pages(_bounded(action.domain_total))
+            _split_into_pages(_limit_demand_rows(action.domain_total))
             if action.other_domain_receivers
             else ()
         ):
@@ -158,11 +162,11 @@
                 rows,
                 dict(action.known_rounds),
             )
-            self._channel.tell_each(action.other_domain_receivers, domain_message)
-        for known in action.forwarded_sums:
-            self._hand_over(known, action.next_collector)
+            self._channel.send_to_each(action.other_domain_receivers, domain_message)
+        for domain_sum in action.forwarded_sums:
+            self._forward_domain_sum(domain_sum, action.next_collector)
         self._router.metrics.count("load.sums_published")
-        taken = self._rounds.sum_received(
+        others_load = self._rounds.sum_received(
             self._name,
             action.round,
             total,
@@ -172,61 +176,74 @@
             age_s=action.age_s,
             known_rounds=action.known_rounds,
         )
-        self._pace(total, members)
-        if taken is not None:
-            self._take(taken, now_s)
-
-    def _hand_over(self, known: DomainSum, collector: str) -> None:
-        seen = (
-            {self._router.failure_domain: known.known_round}
-            if known.known_round
+        self._adjust_interval(total, members)
+        if others_load is not None:
+            self._apply_others_load(others_load, now_s)
+
+    def _forward_domain_sum(self, domain_sum: DomainSum, collector: str) -> None:
+        known_rounds = (
+            {self._router.failure_domain: domain_sum.known_round}
+            if domain_sum.known_round
             else {}
         )
-        for rows in _pages(known.amounts_by_key) if collector != self._name else ():
+        for rows in (
+            _split_into_pages(domain_sum.amounts_by_key)
+            if collector != self._name
+            else ()
+        ):
             message = DomainLoadNotice(
-                known.domain, known.round, known.entries, rows, seen, hops=1
+                domain_sum.domain,
+                domain_sum.round,
+                domain_sum.entries,
+                rows,
+                known_rounds,
+                hops=1,
             )
-            self._channel.tell_one(collector, message)
+            self._channel.send_to(collector, message)
 
     # Messages of other entries
 
-    def received(self, message: LoadMessage) -> None:
+    def message_received(self, message: LoadMessage) -> None:
         """Take a message, once all its pages are there."""
         now_s = self._loop.time()
-        if isinstance(message, DomainLoadNotice) and message.hops < _MOST_HOPS:
-            home = self._channel.names_by_domain.get(self._router.failure_domain, ())
-            collector = self._rounds.next_collector(home, now_s)
+        if isinstance(message, DomainLoadNotice) and message.hops < _MAX_HOPS:
+            domain_members = self._channel.names_by_domain.get(
+                self._router.failure_domain, ()
+            )
+            collector = self._rounds.next_collector(domain_members, now_s)
             if collector != self._name:
-                passed_on = msgspec.structs.replace(message, hops=message.hops + 1)
-                self._channel.tell_one(collector, passed_on)
+                forwarded = msgspec.structs.replace(message, hops=message.hops + 1)
+                self._channel.send_to(collector, forwarded)
                 return
-        parts = self._assemble(message)
-        if parts is None:
+        amounts_by_key = self._assemble(message)
+        if amounts_by_key is None:
             return
         match message:
-            case LoadPartNotice(name=name, round=number):
-                if self._rounds.contribution_received(name, number, parts):
+            case LoadContributionNotice(name=name, round=number):
+                if self._rounds.contribution_received(name, number, amounts_by_key):
                     self._step()  # It may be the last one.
                 else:
                     self._router.metrics.count("load.parts_late")
             case DomainLoadNotice(domain=domain, round=number, entries=entries):
-                seen = message.seen.get(self._router.failure_domain)
-                foreign = DomainSum(domain, number, entries, parts, seen)
-                self._rounds.domain_sum_received(foreign, now_s)
+                known_round = message.seen.get(self._router.failure_domain)
+                domain_sum = DomainSum(
+                    domain, number, entries, amounts_by_key, known_round
+                )
+                self._rounds.domain_sum_received(domain_sum, now_s)
             case LoadSumNotice(name=name, round=number, entries=entries):
-                taken = self._rounds.sum_received(
+                others_load = self._rounds.sum_received(
                     name,
                     number,
-                    parts,
+                    amounts_by_key,
                     entries,
                     now_s,
                     includes_own=_short_digest(self._name) in message.included,
                     age_s=message.age_ms / 1000.0,
                     known_rounds=message.seen,
                 )
-                self._pace(parts, self._channel.names_by_domain)
-                if taken is not None:
-                    self._take(taken, now_s)
+                self._adjust_interval(amounts_by_key, self._channel.names_by_domain)
+                if others_load is not None:
+                    self._apply_others_load(others_load, now_s)
 
     def _assemble(self, message: LoadMessage) -> AmountsByKey | None:
         sender = (
@@ -234,73 +251,82 @@
         )
         content = message.content
         key = (type(message).__name__, sender, message.round)
-        pages = self._pages.pop(key, {})
+        pages = self._incomplete_messages.pop(key, {})
         pages[content.page] = content
         if len(pages) < content.pages:
-            self._pages[key] = pages
-            if len(self._pages) > _INCOMPLETE_KEPT:
-                self._pages.popitem(last=False)
+            self._incomplete_messages[key] = pages
+            if len(self._incomplete_messages) > _MAX_INCOMPLETE_MESSAGES:
+                self._incomplete_messages.popitem(last=False)
             return None
-        parts: dict[int, tuple[int, ...]] = {}
+        amounts_by_key: dict[int, tuple[int, ...]] = {}
         for page in pages.values():
             for digest, *amounts in page.rows:
-                wanted = _DEMAND_AMOUNTS if digest % 2 else _LOAD_AMOUNTS
-                if len(amounts) > wanted:
-                    self._refuse(f"a row of {len(amounts)} amounts")
+                amount_count = (
+                    _DEMAND_AMOUNT_COUNT if digest % 2 else _LOAD_AMOUNT_COUNT
+                )
+                if len(amounts) > amount_count:
+                    self._reject(f"a row of {len(amounts)} amounts")
                     return None
-                parts[digest] = (*amounts, *(0,) * (wanted - len(amounts)))
-        return parts
+                amounts_by_key[digest] = (
+                    *amounts,
+                    *(0,) * (amount_count - len(amounts)),
+                )
+        return amounts_by_key
 
-    def _refuse(self, cause: str) -> None:
+    def _reject(self, cause: str) -> None:
         self._router.metrics.count("peers.refused")
         logging.info("another entry's load is passed over: %s", cause)
 
-    def _take(self, taken: OtherEntriesLoad, now_s: float) -> None:
+    def _apply_others_load(self, others_load: OtherEntriesLoad, now_s: float) -> None:
         """Take what the other entries have under way, and what arrives there."""
         router = self._router
         loads: dict[str, EntryLoad] = {}
         servers = {_load_key(e.server_id): e.server_id for e in router.directory}
         demand_keys = self._known_demand_keys()
         demand: dict[DemandKey, float] = {}
-        for digest, amounts in taken.amounts_by_key.items():
+        for digest, amounts in others_load.amounts_by_key.items():
             if digest % 2:
                 if digest in demand_keys:
                     demand[demand_keys[digest]] = float(amounts[0])
             elif digest in servers:
                 tokens, sequences, pending_prompt_tokens, full = amounts
                 loads[servers[digest]] = EntryLoad(
-                    tokens * _TOKENS_UNIT,
+                    tokens * _TOKENS_PER_UNIT,
                     sequences,
-                    pending_prompt_tokens * _TOKENS_UNIT,
+                    pending_prompt_tokens * _TOKENS_PER_UNIT,
                 )
                 if full:
-                    router.fleet_load.announced_full(servers[digest], now_s + _FULL_S)
-        entries = taken.entries
+                    router.fleet_load.announced_full(
+                        servers[digest], now_s + _FULL_DURATION_S
+                    )
+        entries = others_load.entries
         if entries:
             load, arrivals = router.fleet_load, router.fleet_demand
-            load.announced(_OTHERS, loads, taken.at_s, now_s, entries)
-            arrivals.announced(_OTHERS, demand, taken.at_s, now_s, entries)
+            load.announced(_OTHER_ENTRIES, loads, others_load.at_s, now_s, entries)
+            arrivals.announced(_OTHER_ENTRIES, demand, others_load.at_s, now_s, entries)
         router.metrics.count("load.sums_taken")
 
     # This entry's own part
 
-    def _own(self, now_s: float) -> AmountsByKey:
+    def _own_amounts(self, now_s: float) -> AmountsByKey:
         router = self._router
         own: dict[int, tuple[int, ...]] = {}
         full = set(router.fleet_load.full_servers(now_s))
         for server_id in full | set(router.fleet_load.own):
-            part = router.fleet_load.own_load(server_id)
+            load = router.fleet_load.own_load(server_id)
             own[_load_key(server_id)] = (
-                _units(part.tokens),
-                part.sequences,
-                _units(part.pending_prompt_tokens),
+                _token_units(load.tokens),
+                load.sequences,
+                _token_units(load.pending_prompt_tokens),
                 int(server_id in full),
             )
-        arriving = router.fleet_demand.own_per_s(now_s)
-        busiest = sorted(arriving, key=lambda key: -arriving[key])[:_MOST_DEMAND_ROWS]
+        arrival_rates = router.fleet_demand.own_per_s(now_s)
+        busiest = sorted(arrival_rates, key=lambda key: -arrival_rates[key])[
+            :_MAX_OWN_DEMAND_ROWS
+        ]
         for key in busiest:
-            if round(arriving[key]):
-                own[_demand_key(key)] = (round(arriving[key]),)
+            if round(arrival_rates[key]):
+                own[_demand_key(key)] = (round(arrival_rates[key]),)
         return own
 
     def _known_demand_keys(self) -> Mapping[int, DemandKey]:
@@ -313,39 +339,43 @@
 
     # Pace
 
-    def _pace(self, total: AmountsByKey, members: Mapping[str, Sequence[str]]) -> None:
+    def _adjust_interval(
+        self, total: AmountsByKey, members: Mapping[str, Sequence[str]]
+    ) -> None:
         """Let the interval follow from what a round takes of the budget.
 
         On average an entry sends a part and a sum, and receives as much, where parts
         are about half as large. Sums of other domains come, are passed on and handed
         over, once a domain.
         """
-        pages = _pages(total)
-        sum_bytes = len(pages) * _MESSAGE_BYTES + sum(map(_row_bytes, total.items()))
-        home = max(1, len(members.get(self._router.failure_domain, ())))
-        messages = 2.5 + 4.0 * max(0, len(members) - 1) / home
-        interval_s = messages * sum_bytes / (_BYTES_PER_S * _USUAL_ROUND)
-        interval_s = min(_LONGEST_INTERVAL_S, max(_SHORTEST_INTERVAL_S, interval_s))
+        pages = _split_into_pages(total)
+        sum_bytes = len(pages) * _MESSAGE_OVERHEAD_BYTES + sum(
+            map(_row_bytes, total.items())
+        )
+        domain_size = max(1, len(members.get(self._router.failure_domain, ())))
+        messages = 2.5 + 4.0 * max(0, len(members) - 1) / domain_size
+        interval_s = messages * sum_bytes / (_BUDGET_BYTES_PER_S * _TYPICAL_ROUND_SHARE)
+        interval_s = min(_MAX_INTERVAL_S, max(_MIN_INTERVAL_S, interval_s))
         self._rounds.interval_s = interval_s
         lifetime_s = _LIFETIME_INTERVALS * interval_s
         self._router.fleet_load.lifetime_s = lifetime_s
         self._router.fleet_demand.lifetime_s = lifetime_s
         self._router.metrics.gauge("load.interval_s", interval_s)
 
-    def _note_known(self, now_s: float, *, others: bool) -> None:
+    def _update_known_share(self, now_s: float, *, others: bool) -> None:
         load, metrics = self._router.fleet_load, self._router.metrics
-        known = load.known_entries(now_s)
+        known_entries = load.known_entries(now_s)
         age_s = load.age_s(now_s)
-        share = min(1.0, known / max(1, self._router.entries))
+        share = min(1.0, known_entries / max(1, self._router.entries))
         metrics.gauge("load.known_share", share)
         metrics.gauge("load.age_s", age_s)
-        knows_others = share >= _KNOWN_SHARE
+        knows_others = share >= _MIN_KNOWN_SHARE
         if not others or knows_others == self._knows_others:
             return
         self._knows_others = knows_others
         state = "known" if knows_others else "lost"
         event = LoadNewsChanged(
-            state, known, self._router.entries, round(age_s * 1000, 1)
+            state, known_entries, self._router.entries, round(age_s * 1000, 1)
         )
         self._router.log.write(event)
 
@@ -379,41 +409,46 @@
     for route in table.routes:
         for choice in route.services:
             ranks.setdefault((choice.service, route.priority), route)
-    found: set[DemandKey] = set()
+    demand_keys: set[DemandKey] = set()
     for (service, _), route in ranks.items():
         for workspace, priorities in workspaces.items():
             for priority in priorities:
                 rank = admission_rank(route, priority)
-                found.add(DemandKey(service, rank, workspace))
-    return sorted(found)
+                demand_keys.add(DemandKey(service, rank, workspace))
+    return sorted(demand_keys)
 
 
-def _bounded(parts: AmountsByKey) -> AmountsByKey:
-    """Return parts without arrivals but the largest."""
-    demand = sorted((key for key in parts if key % 2), key=lambda key: -parts[key][0])
-    left_out = set(demand[_MOST_DEMAND_ROWS_OF_SUM:])
-    if not left_out:
-        return parts
-    return {key: amounts for key, amounts in parts.items() if key not in left_out}
+def _limit_demand_rows(amounts_by_key: AmountsByKey) -> AmountsByKey:
+    """Return amounts without arrivals but the largest."""
+    demand = sorted(
+        (key for key in amounts_by_key if key % 2),
+        key=lambda key: -amounts_by_key[key][0],
+    )
+    excluded = set(demand[_MAX_SUM_DEMAND_ROWS:])
+    if not excluded:
+        return amounts_by_key
+    return {
+        key: amounts for key, amounts in amounts_by_key.items() if key not in excluded
+    }
 
 
-def _units(tokens: int) -> int:
-    return -(-tokens // _TOKENS_UNIT)
+def _token_units(tokens: int) -> int:
+    return -(-tokens // _TOKENS_PER_UNIT)
 
 
-def _pages(parts: AmountsByKey) -> list[LoadRows]:
+def _split_into_pages(amounts_by_key: AmountsByKey) -> list[LoadRows]:
     """Return rows in pages that fit in a datagram each."""
     pages: list[list[list[int]]] = [[]]
-    left = MOST_ROWS_BYTES
-    for key, amounts in parts.items():
+    remaining_bytes = MAX_ROWS_BYTES
+    for key, amounts in amounts_by_key.items():
         row = [key, *amounts]
         while len(row) > 2 and not row[-1]:
             row.pop()
-        size = _row_bytes((key, row[1:]))
-        if size > left:
+        row_bytes = _row_bytes((key, row[1:]))
+        if row_bytes > remaining_bytes:
             pages.append([])
-            left = MOST_ROWS_BYTES
-        left -= size
+            remaining_bytes = MAX_ROWS_BYTES
+        remaining_bytes -= row_bytes
         pages[-1].append(row)
     return [LoadRows(rows, page, len(pages)) for page, rows in enumerate(pages)]
 
--- a/src/railfold/_internal/forwarding/peers/peer_channel.py
+++ b/src/railfold/_internal/forwarding/peers/peer_channel.py
@@ -22,15 +22,15 @@
     PeerMessage,
     PeerMessageCodec,
 )
-from railfold._internal.forwarding.quarantine.content_digest import derived_key
+from railfold._internal.forwarding.quarantine.content_digest import derive_key
 from railfold._internal.observability.metrics import Metrics
 
 __all__ = ["PeerChannel"]
 
-_PURPOSE = b"peers"
+_KEY_PURPOSE = b"peers"
 
 # Another process may hold the port for as long as it takes to end.
-_OPEN_AGAIN_S = 5.0
+_OPEN_RETRY_S = 5.0
 _MESSAGE_ID_BYTES = 8
 
 
@@ -55,18 +55,18 @@
         self._rng = rng
         self._on_message = on_message
         self._codec: PeerMessageCodec | None = None
-        self._memory = SeenMessages()
+        self._seen_messages = SeenMessages()
         self._transport: asyncio.DatagramTransport | None = None
-        self._refused_before = ""
+        self._last_refusal = ""
 
     def set_key(self, shared_key: bytes) -> None:
         """Take the key that all entries share; nothing is sent or heard before."""
-        self._codec = PeerMessageCodec(derived_key(shared_key, _PURPOSE))
+        self._codec = PeerMessageCodec(derive_key(shared_key, _KEY_PURPOSE))
 
     async def run(self, ready: asyncio.Event) -> None:
         """Listen until cancelled."""
         ready.set()
-        transport = await self._open()
+        transport = await self._open_socket()
         self._transport = transport
         try:
             await asyncio.Event().wait()
@@ -74,7 +74,7 @@
             self._transport = None
             transport.close()
 
-    async def _open(self) -> asyncio.DatagramTransport:
+    async def _open_socket(self) -> asyncio.DatagramTransport:
         """Open the socket; an entry without it serves, and the store tells it."""
         loop = asyncio.get_running_loop()
         local = (self._address.ip, self._address.port)
@@ -86,7 +86,7 @@
             except OSError as error:
                 self._metrics.count("peers.unreachable")
                 logging.warning("%s can't be opened: %s", self._address, error)
-                await asyncio.sleep(_OPEN_AGAIN_S)
+                await asyncio.sleep(_OPEN_RETRY_S)
             else:
                 return transport
 
@@ -95,31 +95,31 @@
         """The other entries' names, if they can be told anything now."""
         return self._view.names if self._codec is not None else ()
 
-    def tell(self, message: PeerMessage) -> None:
+    def broadcast(self, message: PeerMessage) -> None:
         """Tell other entries something, which they pass on."""
-        self._tell(message, self._view.sample(self._rng, ()), direct=False)
+        self._send_message(message, self._view.sample(self._rng, ()), direct=False)
 
-    def tell_some(self, message: PeerMessage) -> None:
+    def send_to_sample(self, message: PeerMessage) -> None:
         """Tell some other entries something, which they don't pass on."""
-        self._tell(message, self._view.sample(self._rng, ()), direct=True)
+        self._send_message(message, self._view.sample(self._rng, ()), direct=True)
 
-    def tell_one(self, name: str, message: PeerMessage) -> None:
+    def send_to(self, name: str, message: PeerMessage) -> None:
         """Tell one entry something."""
         peer = self._view.get(name)
         if peer is not None:
-            self._tell(message, [peer], direct=True)
+            self._send_message(message, [peer], direct=True)
 
-    def tell_each(self, names: Iterable[str], message: PeerMessage) -> None:
+    def send_to_each(self, names: Iterable[str], message: PeerMessage) -> None:
         """Tell some entries the same, which they don't pass on."""
         peers = [peer for name in names if (peer := self._view.get(name)) is not None]
-        self._tell(message, peers, direct=True)
+        self._send_message(message, peers, direct=True)
 
     @property
     def names_by_domain(self) -> dict[str, list[str]]:
         """Who announces load, by failure domain, with this entry."""
         return self._view.names_by_domain()
 
-    def _tell(
+    def _send_message(
         self, message: PeerMessage, peers: Iterable[Peer], *, direct: bool
     ) -> None:
         envelope = Envelope(
@@ -129,11 +129,11 @@
             message,
             direct,
         )
-        self._memory.add(envelope.message_id)
+        self._seen_messages.add(envelope.message_id)
         if self._codec is not None:
-            self._send(self._codec.encode(envelope), peers)
+            self._send_datagram(self._codec.encode(envelope), peers)
 
-    def _send(self, datagram: bytes, peers: Iterable[Peer]) -> None:
+    def _send_datagram(self, datagram: bytes, peers: Iterable[Peer]) -> None:
         if self._transport is None:
             return
         for peer in peers:
@@ -151,17 +151,17 @@
         except PeerMessageError as error:
             self._refuse(str(error), addr)
             return
-        if not self._memory.add(envelope.message_id):
+        if not self._seen_messages.add(envelope.message_id):
             return
         self._metrics.count("peers.received")
         if self._view.needs_relay and not envelope.direct:
-            self._send(data, self._view.sample(self._rng, (envelope.sender,)))
+            self._send_datagram(data, self._view.sample(self._rng, (envelope.sender,)))
         self._on_message(envelope.message)
 
     def _refuse(self, cause: str, addr: tuple[str, int]) -> None:
         self._metrics.count("peers.refused")
-        if cause != self._refused_before:  # Whoever sends such may send many.
-            self._refused_before = cause
+        if cause != self._last_refusal:  # Whoever sends such may send many.
+            self._last_refusal = cause
             logging.warning("a datagram of %s is refused: %s", addr[0], cause)
 
     def error_received(self, exc: Exception) -> None:
--- a/src/railfold/_internal/forwarding/peers/peer_keeper.py
+++ b/src/railfold/_internal/forwarding/peers/peer_list_sync.py
@@ -23,21 +23,21 @@
 from railfold._internal.observability.metrics import Metrics
 from railfold._internal.store.records import NEWEST_OF_EACH_KEY
 
-__all__ = ["PeerKeeper"]
+__all__ = ["PeerListSync"]
 
 # Entries that start tell the others; the list only mends what was lost. Two calls an
 # entry and minute are a fiftieth of its calls for the lease of placement.
-_READ_S = 60.0
+_READ_INTERVAL_S = 60.0
 
 # An entry writes its row again so often; a row that is three times as old is of one
 # that is gone for good.
-_WRITE_S = 600.0
-_OLDEST_S = 3.0 * _WRITE_S
+_WRITE_INTERVAL_S = 600.0
+_MAX_ROW_AGE_S = 3.0 * _WRITE_INTERVAL_S
 
 _MAX_BACKOFF_S = 10.0
 
 
-class PeerKeeper:
+class PeerListSync:
     """Keeps this entry's row in the store's list, and reads the others'.
 
     :param tell: tells the other entries something.
@@ -51,23 +51,23 @@
         stream: str,
         metrics: Metrics,
         rng: random.Random,
-        tell: Callable[[PeerMessage], None],
-        on_listed: Callable[[int], None],
+        broadcast: Callable[[PeerMessage], None],
+        on_entry_count: Callable[[int], None],
     ) -> None:
         self._view = view
         self._log = log
         self._stream = stream
         self._metrics = metrics
         self._rng = rng
-        self._tell = tell
-        self._on_listed = on_listed
+        self._broadcast = broadcast
+        self._on_entry_count = on_entry_count
         self._backoff = Backoff(max_s=_MAX_BACKOFF_S)
         self._written_s: float | None = None
         self._has_read = False
-        self._may_tell = False
-        self._has_told = False
+        self._is_channel_ready = False
+        self._has_announced = False
         self._leaving = False
-        self._due = asyncio.Event()
+        self._sync_requested = asyncio.Event()
         # Until then the list may lack entries that are there.
         self._incomplete_until_s = float("-inf")
 
@@ -77,74 +77,74 @@
         failures = 0
         while True:
             try:
-                await self._look()
+                await self._sync()
                 failures = 0
-                delay_s = _READ_S * (0.8 + 0.4 * self._rng.random())
+                delay_s = _READ_INTERVAL_S * (0.8 + 0.4 * self._rng.random())
             except LogUnavailableError as error:
                 failures += 1
                 delay_s = self._backoff.delay_s(failures)
                 logging.info("the entries' list can't be read: %s", error)
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._due.wait(), delay_s)
+                await asyncio.wait_for(self._sync_requested.wait(), delay_s)
 
     def log_went_back(self) -> None:
         """The store may have lost rows of the list: write this entry's own again."""
         self._written_s = None
-        self._incomplete_until_s = asyncio.get_running_loop().time() + _READ_S
-        self._due.set()
+        self._incomplete_until_s = asyncio.get_running_loop().time() + _READ_INTERVAL_S
+        self._sync_requested.set()
 
-    async def _look(self) -> None:
+    async def _sync(self) -> None:
         """Write before reading: of two that start together one sees the other."""
-        self._due.clear()
+        self._sync_requested.clear()
         now_s = asyncio.get_running_loop().time()
-        if not self._leaving and self._is_due(now_s):
+        if not self._leaving and self._is_write_due(now_s):
             own = self._view.own
             value = encode_entry(own, clock.unix_time_s())
             await self._log.put(self._stream, own.name, value)
             self._written_s = now_s
         page = await self._log.read(self._stream, NEWEST_OF_EACH_KEY, 0.0)
-        rows = [self._row(record.body) for record in page.records]
-        found = [row for row in rows if row is not None]
+        rows = [self._decode_row(record.body) for record in page.records]
+        peers = [row for row in rows if row is not None]
         if now_s < self._incomplete_until_s:
-            for row in found:
-                self._view.join(row)
+            for peer in peers:
+                self._view.join(peer)
         else:
-            self._view.replace(found)
-        self._on_listed(len(self._view) + 1)
+            self._view.replace(peers)
+        self._on_entry_count(len(self._view) + 1)
         self._metrics.gauge("peers.known", len(self._view))
         self._has_read = True
         self._announce()
 
-    def may_tell(self) -> None:
+    def channel_ready(self) -> None:
         """The others understand from now on what this entry tells."""
-        self._may_tell = True
+        self._is_channel_ready = True
         self._announce()
 
     def _announce(self) -> None:
         """Tell the others once that this entry has started."""
-        if self._has_told or not (self._may_tell and self._has_read):
+        if self._has_announced or not (self._is_channel_ready and self._has_read):
             return
-        self._has_told = True
+        self._has_announced = True
         own = self._view.own
         started = EntryStarted(
             own.name, str(own.address), own.started_at_ms, own.failure_domain
         )
-        self._tell(started)
+        self._broadcast(started)
 
-    def _is_due(self, now_s: float) -> bool:
-        return self._written_s is None or now_s - self._written_s >= _WRITE_S
+    def _is_write_due(self, now_s: float) -> bool:
+        return self._written_s is None or now_s - self._written_s >= _WRITE_INTERVAL_S
 
-    def _row(self, item: KeyedValue) -> Peer | None:
+    def _decode_row(self, item: KeyedValue) -> Peer | None:
         if not item.value:
             return None
-        oldest_unix_s = clock.unix_time_s() - _OLDEST_S
+        oldest_unix_s = clock.unix_time_s() - _MAX_ROW_AGE_S
         try:
             return decode_entry(item.key, item.value, oldest_unix_s)
         except PeerMessageError as error:
             logging.warning("a row of the entries' list is passed over: %s", error)
             return None
 
-    def started(self, message: EntryStarted) -> None:
+    def entry_started(self, message: EntryStarted) -> None:
         """Another entry has started."""
         try:
             address = parse_address(message.address)
@@ -157,7 +157,7 @@
         self._view.join(peer)
         self._metrics.gauge("peers.known", len(self._view))
         if self._has_read:
-            self._on_listed(len(self._view) + 1)
+            self._on_entry_count(len(self._view) + 1)
 
     async def leave(self) -> None:
         """Take this entry's row away: it ends as planned."""
--- a/src/railfold/_internal/forwarding/peers/peer_messages.py
+++ b/src/railfold/_internal/forwarding/peers/peer_messages.py
@@ -17,43 +17,43 @@
 from railfold._internal.errors import PeerMessageError
 
 __all__ = [
-    "MOST_CRASHES_SENT",
-    "MOST_ROWS_BYTES",
+    "MAX_CRASHES_SENT",
+    "MAX_ROWS_BYTES",
     "ArrivalsNotice",
     "BackoffNotice",
-    "ContentCleared",
     "CrashNotice",
     "CrashesNotice",
     "DomainLoadNotice",
     "EntryStarted",
     "LeadershipReleased",
     "LeavingNotice",
-    "LoadPartNotice",
+    "LoadContributionNotice",
     "LoadRows",
     "LoadSumNotice",
     "PeerMessage",
     "PeerMessageCodec",
     "PermitReply",
     "PermitRequest",
-    "PlacementLed",
+    "PlacementLeaderNotice",
     "ProofReply",
     "ProofRequest",
     "RateLimitNotice",
-    "TrialBegun",
+    "SuccessNotice",
     "TrialNotRun",
+    "TrialStarted",
 ]
 
 # A datagram that isn't cut into packets on any usual network.
-_MOST_BYTES = 1400
+_MAX_DATAGRAM_BYTES = 1400
 
 # So many crashes of one content fit beside the rest: each takes up to 70 bytes.
-MOST_CRASHES_SENT = 12
+MAX_CRASHES_SENT = 12
 
-_CODE_BYTES = 16
+_MAC_BYTES = 16
 
 # A recorded message that is sent again later would tell of old crashes as new ones.
 # Hosts' times of day differ by seconds, and may jump by some.
-_MOST_AGE_S = 30.0
+_MAX_AGE_S = 30.0
 
 _Name = Annotated[str, Meta(min_length=1, max_length=128)]
 _Text = Annotated[str, Meta(max_length=128)]
@@ -65,25 +65,25 @@
 _RateLimit = Annotated[float, Meta(ge=0.0, le=1e9)]
 
 # What the rows of one message may take, so that the entries that are included fit too.
-MOST_ROWS_BYTES = 800
+MAX_ROWS_BYTES = 800
 
-_MOST_LOAD_ROWS = MOST_ROWS_BYTES // 6
+_MAX_LOAD_ROWS = MAX_ROWS_BYTES // 6
 
 # 16 pages hold the rows of 600 engines and as many of workspaces.
-_MOST_PAGES = 16
-_MOST_INCLUDED = 128
+_MAX_PAGES = 16
+_MAX_INCLUDED = 128
 
 _Key = Annotated[int, Meta(ge=0, lt=2**32)]
 _ShortKey = Annotated[int, Meta(ge=0, lt=2**16)]
 _Round = Annotated[int, Meta(ge=0, le=2**62)]
 _Rounds = Annotated[dict[_Text, _Round], Meta(max_length=16)]
-_Page = Annotated[int, Meta(ge=0, lt=_MOST_PAGES)]
+_Page = Annotated[int, Meta(ge=0, lt=_MAX_PAGES)]
 _Entries = Annotated[int, Meta(ge=1, le=2000)]
 _Amount = Annotated[int, Meta(ge=0, lt=2**32)]
 _LoadRow = Annotated[list[_Amount], Meta(min_length=2, max_length=5)]
 
 # The busiest services of an entry; the users plan for eight models.
-_MOST_SERVICES_SENT = 16
+_MAX_SERVICES = 16
 
 
 class CrashNotice(msgspec.Struct, frozen=True, array_like=True):
@@ -107,14 +107,14 @@
     crashes: Annotated[list[CrashNotice], Meta(min_length=1, max_length=64)]
 
 
-class ContentCleared(msgspec.Struct, frozen=True, tag="cleared"):
+class SuccessNotice(msgspec.Struct, frozen=True, tag="cleared"):
     """A request of this content ran well."""
 
     digest: _Digest
     ago_ms: _AgeMs
 
 
-class TrialBegun(msgspec.Struct, frozen=True, tag="trial"):
+class TrialStarted(msgspec.Struct, frozen=True, tag="trial"):
     """The sender lets one request of a content that is held back through."""
 
     digest: _Digest
@@ -135,7 +135,7 @@
     failure_domain: _Text = ""
 
 
-class PlacementLed(msgspec.Struct, frozen=True, tag="placement"):
+class PlacementLeaderNotice(msgspec.Struct, frozen=True, tag="placement"):
     """An entry places layers, and wants to know what arrives at the others."""
 
     name: _Name
@@ -155,7 +155,7 @@
     """Requests a second that arrive at an entry, by service."""
 
     name: _Name
-    per_s: Annotated[dict[_Name, _Rate], Meta(max_length=_MOST_SERVICES_SENT)]
+    per_s: Annotated[dict[_Name, _Rate], Meta(max_length=_MAX_SERVICES)]
 
 
 class ProofRequest(msgspec.Struct, frozen=True, tag="proof?"):
@@ -237,12 +237,12 @@
     :param pages: how many there are.
     """
 
-    rows: Annotated[list[_LoadRow], Meta(max_length=_MOST_LOAD_ROWS)]
+    rows: Annotated[list[_LoadRow], Meta(max_length=_MAX_LOAD_ROWS)]
     page: _Page = 0
-    pages: Annotated[int, Meta(ge=1, le=_MOST_PAGES)] = 1
+    pages: Annotated[int, Meta(ge=1, le=_MAX_PAGES)] = 1
 
 
-class LoadPartNotice(msgspec.Struct, frozen=True, tag="load"):
+class LoadContributionNotice(msgspec.Struct, frozen=True, tag="load"):
     """What the sender has under way, for a round of sums."""
 
     name: _Name
@@ -262,7 +262,7 @@
 
     name: _Name
     round: _Round
-    included: Annotated[list[_ShortKey], Meta(max_length=_MOST_INCLUDED)]
+    included: Annotated[list[_ShortKey], Meta(max_length=_MAX_INCLUDED)]
     entries: _Entries
     content: LoadRows
     age_ms: _AgeMs = 0
@@ -286,11 +286,11 @@
 
 PeerMessage = (
     CrashesNotice
-    | ContentCleared
-    | TrialBegun
+    | SuccessNotice
+    | TrialStarted
     | TrialNotRun
     | EntryStarted
-    | PlacementLed
+    | PlacementLeaderNotice
     | LeadershipReleased
     | ArrivalsNotice
     | ProofRequest
@@ -300,7 +300,7 @@
     | PermitReply
     | BackoffNotice
     | LeavingNotice
-    | LoadPartNotice
+    | LoadContributionNotice
     | LoadSumNotice
     | DomainLoadNotice
 )
@@ -334,26 +334,26 @@
     def encode(self, envelope: Envelope) -> bytes:
         """Return a datagram."""
         body = self._encoder.encode(envelope)
-        return self._code(body) + body
+        return self._mac(body) + body
 
     def decode(self, datagram: bytes, now_unix_s: float) -> Envelope:
         """Return what a datagram holds.
 
         :raises PeerMessageError: it isn't from an entry, or can't be read.
         """
-        if len(datagram) > _MOST_BYTES:
+        if len(datagram) > _MAX_DATAGRAM_BYTES:
             raise PeerMessageError("a message is too large")
-        code, body = datagram[:_CODE_BYTES], datagram[_CODE_BYTES:]
-        if not hmac.compare_digest(code, self._code(body)):
+        mac, body = datagram[:_MAC_BYTES], datagram[_MAC_BYTES:]
+        if not hmac.compare_digest(mac, self._mac(body)):
             raise PeerMessageError("a message has a wrong authentication code")
         try:
             envelope = self._decoder.decode(body)
         except msgspec.DecodeError as error:
             raise PeerMessageError("a message can't be read", why=str(error)) from error
-        if abs(now_unix_s - envelope.sent_unix_ms / 1000.0) > _MOST_AGE_S:
+        if abs(now_unix_s - envelope.sent_unix_ms / 1000.0) > _MAX_AGE_S:
             raise PeerMessageError("a message is too old, or its sender's clock is off")
         return envelope
 
-    def _code(self, body: bytes) -> bytes:
-        code = hashlib.blake2b(body, key=self._key, digest_size=_CODE_BYTES)
-        return code.digest()
+    def _mac(self, body: bytes) -> bytes:
+        mac = hashlib.blake2b(body, key=self._key, digest_size=_MAC_BYTES)
+        return mac.digest()
--- a/src/railfold/_internal/forwarding/peers/peering.py
+++ b/src/railfold/_internal/forwarding/peers/peering.py
@@ -18,29 +18,29 @@
 from railfold._internal.forwarding.peers.arrival_exchange import ArrivalExchange
 from railfold._internal.forwarding.peers.load_exchange import LoadExchange
 from railfold._internal.forwarding.peers.peer_channel import PeerChannel
-from railfold._internal.forwarding.peers.peer_keeper import PeerKeeper
+from railfold._internal.forwarding.peers.peer_list_sync import PeerListSync
 from railfold._internal.forwarding.peers.peer_messages import (
     ArrivalsNotice,
     BackoffNotice,
-    ContentCleared,
     CrashesNotice,
     DomainLoadNotice,
     EntryStarted,
     LeadershipReleased,
     LeavingNotice,
-    LoadPartNotice,
+    LoadContributionNotice,
     LoadSumNotice,
     PeerMessage,
     PermitReply,
     PermitRequest,
-    PlacementLed,
+    PlacementLeaderNotice,
     ProofReply,
     ProofRequest,
     RateLimitNotice,
-    TrialBegun,
+    SuccessNotice,
     TrialNotRun,
+    TrialStarted,
 )
-from railfold._internal.forwarding.peers.proof_keeper import ProofKeeper
+from railfold._internal.forwarding.peers.proof_refresher import ProofRefresher
 from railfold._internal.forwarding.quarantine.request_quarantine import (
     RequestQuarantine,
 )
@@ -54,10 +54,10 @@
 
 # Records come rarely, and a read that waits is answered at once. Four reads an entry
 # and minute are a twentieth of its calls for the lease of placement.
-_WAIT_S = 15.0
+_READ_WAIT_S = 15.0
 
 # Records in quick succession are read in batches.
-_INTERVAL_S = 0.25
+_READ_INTERVAL_S = 0.25
 
 _MAX_BACKOFF_S = 2.0
 
@@ -65,10 +65,10 @@
 class Peering:
     """The parts by which an entry shares knowledge with others.
 
-    :param reachable: set while the store answers others' reads.
-    :param on_known: called when all that the store holds was read once.
+    :param store_reachable: set while the store answers others' reads.
+    :param on_quarantine_known: called when all that the store holds was read once.
     :param fleet_limits: this entry's part of what all may do.
-    :param on_leadership_stopped: takes the member id under which another entry placed
+    :param on_leadership_released: takes the member id under which another entry placed
         layers, and doesn't any more.
     """
 
@@ -78,30 +78,30 @@
         adapter: PlatformAdapter,
         router: Router,
         leadership: Leadership,
-        reachable: asyncio.Event,
-        on_known: Callable[[], None],
+        store_reachable: asyncio.Event,
+        on_quarantine_known: Callable[[], None],
         fleet_limits: FleetLimits,
         on_epoch: Callable[[int], None],
-        proofs: ProofKeeper,
-        on_leadership_stopped: Callable[[str], None],
+        proofs: ProofRefresher,
+        on_leadership_released: Callable[[str], None],
     ) -> None:
         self._proofs = proofs
         self._name = settings.name
-        self._on_leadership_stopped = on_leadership_stopped
-        self._limits = router.limits
+        self._on_leadership_released = on_leadership_released
+        self._rate_limits = router.limits
         self._backoffs = router.backoffs
         self._statements = router.statements
-        self._given_key = settings.peer_key
+        self._configured_key = settings.peer_key
         self._channel: PeerChannel | None = None
-        self._keeper: PeerKeeper | None = None
-        self._arrivals: ArrivalExchange | None = None
-        self._load: LoadExchange | None = None
+        self._peer_list_sync: PeerListSync | None = None
+        self._arrival_exchange: ArrivalExchange | None = None
+        self._load_exchange: LoadExchange | None = None
         self.quarantine = RequestQuarantine(
             router,
             adapter.new_log(),
             adapter.quarantine_stream,
-            self._tell,
-            keeps_key=settings.peer_key is None,
+            self._broadcast,
+            stores_key=settings.peer_key is None,
         )
         if settings.peers is not None:
             started_at_ms = int(clock.unix_time_s() * 1000)
@@ -112,122 +112,122 @@
             self._channel = PeerChannel(
                 settings.peers, view, router.metrics, router.rng, self._on_message
             )
-            proofs.use(self._channel)
+            proofs.set_channel(self._channel)
             router.limits.use(settings.name, self._channel)
             router.backoffs.use(settings.name, self._channel)
             router.statements.use(self._channel)
-            self._keeper = PeerKeeper(
+            self._peer_list_sync = PeerListSync(
                 view,
                 adapter.new_log(),
                 adapter.entries_stream,
                 router.metrics,
                 router.rng,
-                self._tell,
+                self._broadcast,
                 fleet_limits.listed,
             )
-            self._arrivals = ArrivalExchange(
+            self._arrival_exchange = ArrivalExchange(
                 settings.name, router, leadership, self._channel
             )
-            self._load = LoadExchange(settings.name, router, self._channel)
-        if self._given_key is not None:
-            self._use_key(self._given_key)
+            self._load_exchange = LoadExchange(settings.name, router, self._channel)
+        if self._configured_key is not None:
+            self._set_key(self._configured_key)
         self._follower = StreamFollower(
             adapter.new_log(),
             adapter.quarantine_stream,
-            QuarantineFeed(self.quarantine, self._on_stored_key, on_known),
+            QuarantineFeed(self.quarantine, self._on_stored_key, on_quarantine_known),
             router.metrics,
-            FollowerPace(_WAIT_S, _INTERVAL_S, _MAX_BACKOFF_S),
-            reachable=reachable,
+            FollowerPace(_READ_WAIT_S, _READ_INTERVAL_S, _MAX_BACKOFF_S),
+            reachable=store_reachable,
             on_epoch=on_epoch,
         )
 
     def children(self) -> list[ChildSpec]:
         """Return what runs as long as the entry does."""
-        found = [
+        children = [
             ChildSpec("quarantine records", self._follower.run),
             ChildSpec("quarantine", self.quarantine.run),
         ]
         if self._channel is not None:
-            found.append(ChildSpec("peer channel", self._channel.run))
-        if self._keeper is not None:
-            found.append(ChildSpec("peers", self._keeper.run))
-        if self._arrivals is not None:
-            found.append(ChildSpec("arrivals", self._arrivals.run))
-        if self._load is not None:
-            found.append(ChildSpec("load", self._load.run))
-        return found
+            children.append(ChildSpec("peer channel", self._channel.run))
+        if self._peer_list_sync is not None:
+            children.append(ChildSpec("peers", self._peer_list_sync.run))
+        if self._arrival_exchange is not None:
+            children.append(ChildSpec("arrivals", self._arrival_exchange.run))
+        if self._load_exchange is not None:
+            children.append(ChildSpec("load", self._load_exchange.run))
+        return children
 
     def log_went_back(self) -> None:
         """The store may have lost what entries wrote of late."""
         self.quarantine.log_went_back()
-        if self._keeper is not None:
-            self._keeper.log_went_back()
+        if self._peer_list_sync is not None:
+            self._peer_list_sync.log_went_back()
 
     async def leave(self) -> None:
         """The entry ends as planned."""
-        if self._keeper is not None:
-            await self._keeper.leave()
+        if self._peer_list_sync is not None:
+            await self._peer_list_sync.leave()
 
-    def tell_leadership_stopped(self, member: str) -> None:
+    def announce_leadership_released(self, member: str) -> None:
         """Tell others that this entry places layers no more, under this member id."""
-        self._tell(LeadershipReleased(self._name, member))
+        self._broadcast(LeadershipReleased(self._name, member))
 
     def _on_stored_key(self, key: bytes) -> None:
-        if self._given_key is None:
-            self._use_key(key)
+        if self._configured_key is None:
+            self._set_key(key)
 
-    def _use_key(self, key: bytes) -> None:
+    def _set_key(self, key: bytes) -> None:
         self.quarantine.set_key(key)
         if self._channel is not None:
             self._channel.set_key(key)
-        if self._keeper is not None:
-            self._keeper.may_tell()
+        if self._peer_list_sync is not None:
+            self._peer_list_sync.channel_ready()
 
-    def _tell(self, message: PeerMessage) -> None:
+    def _broadcast(self, message: PeerMessage) -> None:
         if self._channel is not None:
-            self._channel.tell(message)
+            self._channel.broadcast(message)
 
     def _on_message(self, message: PeerMessage) -> None:
         match message:
             case CrashesNotice():
-                self.quarantine.take_crashes(message)
-            case ContentCleared():
-                self.quarantine.take_success(message)
-            case TrialBegun():
-                self.quarantine.take_trial_begun(message)
+                self.quarantine.crashes_received(message)
+            case SuccessNotice():
+                self.quarantine.success_received(message)
+            case TrialStarted():
+                self.quarantine.trial_start_received(message)
             case TrialNotRun():
-                self.quarantine.take_trial_not_run(message)
+                self.quarantine.trial_withdrawal_received(message)
             case RateLimitNotice():
-                self._limits.record_notice(message)
+                self._rate_limits.record_notice(message)
             case PermitRequest():
-                self._limits.permit_asked(message)
+                self._rate_limits.permit_asked(message)
             case PermitReply():
-                self._limits.permit_replied(message)
+                self._rate_limits.permit_replied(message)
             case BackoffNotice():
                 self._backoffs.record_notice(message)
             case LeavingNotice():
                 self._statements.record_leaving_notice(message)
             case _:
-                self._on_message_of_entries(message)
+                self._on_entry_message(message)
 
-    def _on_message_of_entries(self, message: PeerMessage) -> None:
+    def _on_entry_message(self, message: PeerMessage) -> None:
         """Take what an entry says of itself."""
         match message:
             case EntryStarted():
-                if self._keeper is not None:
-                    self._keeper.started(message)
-            case PlacementLed():
-                if self._arrivals is not None:
-                    self._arrivals.led(message)
+                if self._peer_list_sync is not None:
+                    self._peer_list_sync.entry_started(message)
+            case PlacementLeaderNotice():
+                if self._arrival_exchange is not None:
+                    self._arrival_exchange.leader_announced(message)
             case LeadershipReleased():
-                self._on_leadership_stopped(message.member)
+                self._on_leadership_released(message.member)
             case ArrivalsNotice():
-                if self._arrivals is not None:
-                    self._arrivals.told(message)
+                if self._arrival_exchange is not None:
+                    self._arrival_exchange.arrivals_received(message)
             case ProofRequest():
-                self._proofs.asked(message)
+                self._proofs.question_received(message)
             case ProofReply():
-                self._proofs.told(message)
-            case LoadPartNotice() | LoadSumNotice() | DomainLoadNotice():
-                if self._load is not None:
-                    self._load.received(message)
+                self._proofs.reply_received(message)
+            case LoadContributionNotice() | LoadSumNotice() | DomainLoadNotice():
+                if self._load_exchange is not None:
+                    self._load_exchange.message_received(message)
--- a/src/railfold/_internal/forwarding/peers/proof_keeper.py
+++ b/src/railfold/_internal/forwarding/peers/proof_refresher.py
@@ -27,26 +27,26 @@
 from railfold._internal.store.follower import ReadableLog
 from railfold._internal.store.records import NEWEST_OF_EACH_KEY
 
-__all__ = ["ProofKeeper"]
+__all__ = ["ProofRefresher"]
 
-_LOOK_S = 0.1
+_STEP_INTERVAL_S = 0.1
 
 # A configuration that another entry knows is read within this time, unless something
 # keeps this entry from it.
-_BEHIND_S = 1.0
+_BEHIND_LOG_DELAY_S = 1.0
 
 # After a read that failed, or didn't bring what others know, the next one waits, so
 # that an outage isn't probed by all.
-_AGAIN_S = 0.6
+_READ_RETRY_S = 0.6
 
 # An older proof isn't told; younger ones tell that nobody has a better one.
-_OLDEST_S = 60.0
+_MAX_REPLY_AGE_S = 60.0
 
 # Questions whose answers may still come.
-_QUESTIONS_KEPT = 16
+_MAX_PENDING_QUESTIONS = 16
 
 
-class ProofKeeper:
+class ProofRefresher:
     """Asks other entries and the store, and answers other entries.
 
     :param log: a client of the store's log, beside the follower's.
@@ -67,9 +67,9 @@
         epoch: LogEpoch,
         on_epoch: Callable[[int], None],
         on_failure: Callable[[], None],
-        is_followed: Callable[[], bool],
+        follower_succeeded: Callable[[], bool],
     ) -> None:
-        self._is_followed = is_followed
+        self._follower_succeeded = follower_succeeded
         self._on_failure = on_failure
         self._name = name
         self._router = router
@@ -81,13 +81,13 @@
         self._loop = asyncio.get_running_loop()
         self._exchange = ProofExchange(name, router.lease.duration_s, router.rng)
         self._channel: PeerChannel | None = None
-        self._questions: dict[int, float] = {}
-        self._behind = False
+        self._pending_questions: dict[int, float] = {}
+        self._is_newer_known = False
         self._behind_since_s: float | None = None
         self._behind_logged = False
         self._read_due_s = float("-inf")
 
-    def use(self, channel: PeerChannel) -> None:
+    def set_channel(self, channel: PeerChannel) -> None:
         """Ask over this channel from now on."""
         self._channel = channel
 
@@ -96,22 +96,22 @@
         ready.set()
         while True:
             if self._router.table is not None:
-                await self._look()
-                self._note_behind()
-            await asyncio.sleep(_LOOK_S)
+                await self._refresh()
+                self._report_lag()
+            await asyncio.sleep(_STEP_INTERVAL_S)
 
-    async def _look(self) -> None:
+    async def _refresh(self) -> None:
         now_s = self._loop.time()
         self._exchange.lease_s = self._router.lease.duration_s
         may_read = now_s >= self._read_due_s
-        if self._behind and may_read:
-            self._behind = False
-            if await self._read() and self._feed.lacks_newest:
+        if self._is_newer_known and may_read:
+            self._is_newer_known = False
+            if await self._read_store() and self._feed.lacks_newest:
                 # The store answers, and doesn't hold what another entry has read from
                 # it: it went back right before this entry started. Or this one refuses
                 # what is there: each question would lead to a read, 7 a second.
                 self._router.lease.revoke()
-                self._read_due_s = self._loop.time() + _AGAIN_S
+                self._read_due_s = self._loop.time() + _READ_RETRY_S
             return
         peers = self._channel.peers if self._channel is not None else ()
         match self._exchange.step(now_s, self._router.lease.age_s(now_s), peers):
@@ -119,18 +119,18 @@
                 pass
             case ReadStore():
                 if may_read:
-                    await self._read()
+                    await self._read_store()
             case AskPeer(name=name):
                 self._ask(name, now_s)
 
-    async def _read(self) -> bool:
+    async def _read_store(self) -> bool:
         """Read what has come since the follower's last read, without waiting.
 
         :return: whether all was read.
         """
         sent_s = self._loop.time()
         offset = self._feed.next_offset()
-        if offset < 0 or not self._is_followed():
+        if offset < 0 or not self._follower_succeeded():
             return False  # The follower reads first.
         self._router.metrics.count("proofs.read")
         try:
@@ -142,7 +142,7 @@
         except LogUnavailableError:
             self._on_failure()
             self._router.metrics.count("proofs.read_failures")
-            self._read_due_s = self._loop.time() + _AGAIN_S
+            self._read_due_s = self._loop.time() + _READ_RETRY_S
             return False
         self._on_epoch(page.epoch)
         if page.epoch != self._epoch.newest or offset != self._feed.next_offset():
@@ -152,7 +152,7 @@
         self._feed.caught_up(page.next_offset, sent_s)
         return True
 
-    def _note_behind(self) -> None:
+    def _report_lag(self) -> None:
         """Tell when another entry's configuration stays out of reach, and its end."""
         now_s = self._loop.time()
         elsewhere = self._feed.version_elsewhere
@@ -166,7 +166,7 @@
         since_s = self._behind_since_s if self._behind_since_s is not None else now_s
         behind_s = now_s - since_s
         self._router.metrics.gauge("configuration.behind_s", behind_s)
-        if behind_s >= _BEHIND_S and not self._behind_logged:
+        if behind_s >= _BEHIND_LOG_DELAY_S and not self._behind_logged:
             self._behind_logged = True
             self._router.log.write(
                 ConfigurationBehind(
@@ -174,7 +174,7 @@
                     elsewhere,
                     round(behind_s * 1000),
                     round(lease.age_s(now_s) * 1000) if lease.valid(now_s) else None,
-                    "" if self._is_followed() else "reads of the store fail",
+                    "" if self._follower_succeeded() else "reads of the store fail",
                 )
             )
 
@@ -183,35 +183,37 @@
     def _ask(self, name: str, now_s: float) -> None:
         assert self._channel is not None
         question = secrets.randbits(32)
-        self._questions[question] = now_s
-        while len(self._questions) > _QUESTIONS_KEPT:
-            del self._questions[next(iter(self._questions))]
+        self._pending_questions[question] = now_s
+        while len(self._pending_questions) > _MAX_PENDING_QUESTIONS:
+            del self._pending_questions[next(iter(self._pending_questions))]
         self._router.metrics.count("proofs.asked")
         table = self._router.table
         version = table.version if table is not None else 0
         epoch = self._epoch.newest or 0
-        asked = ProofRequest(self._name, question, version, epoch)
-        self._channel.tell_one(name, asked)
+        request = ProofRequest(self._name, question, version, epoch)
+        self._channel.send_to(name, request)
 
-    def asked(self, message: ProofRequest) -> None:
+    def question_received(self, message: ProofRequest) -> None:
         """Another entry asks what this one has read, and how long ago."""
         now_s = self._loop.time()
         self._on_epoch(message.epoch)
         if message.epoch == self._epoch.newest:
-            self._note_version(message.version)
+            self._record_peer_version(message.version)
         table, lease = self._router.table, self._router.lease
         age_s = lease.age_s(now_s)
-        known = table is not None and age_s < _OLDEST_S and self._channel is not None
+        known = (
+            table is not None and age_s < _MAX_REPLY_AGE_S and self._channel is not None
+        )
         if not known or not self._exchange.question_received(now_s):
             return
         assert table is not None
         assert self._channel is not None
         age_ms = int(age_s * 1000) + 1
         epoch = self._epoch.newest or 0
-        told = ProofReply(self._name, message.question, table.version, epoch, age_ms)
-        self._channel.tell_one(message.name, told)
+        reply = ProofReply(self._name, message.question, table.version, epoch, age_ms)
+        self._channel.send_to(message.name, reply)
 
-    def told(self, message: ProofReply) -> None:
+    def reply_received(self, message: ProofReply) -> None:
         """Another entry answers.
 
         Its proof is one for this entry too if both know the same configuration, of the
@@ -219,7 +221,7 @@
         what it knows isn't in force any more. If the other one knows an older one, it
         may have read that from a store that went back.
         """
-        asked_s = self._questions.get(message.question)
+        asked_s = self._pending_questions.get(message.question)
         table = self._router.table
         if asked_s is None or table is None:
             return
@@ -229,24 +231,24 @@
         now_s = self._loop.time()
         proved_s = asked_s - message.age_ms / 1000.0
         self._exchange.reply_received(message.name, now_s, now_s - proved_s)
-        self._note_version(message.version)
+        self._record_peer_version(message.version)
         if message.version == table.version:
             self._router.lease.renew(proved_s)
 
-    def _note_version(self, version: int) -> None:
+    def _record_peer_version(self, version: int) -> None:
         """Take which configuration another entry knows, of the same history."""
         table = self._router.table
         if table is not None and version > table.version:
             self._router.metrics.count("proofs.behind")
             self._feed.version_elsewhere = version
-            self._behind = True
+            self._is_newer_known = True
 
     def others_have_proof(self, now_s: float) -> bool:
         """Return whether others can tell that credentials hold."""
         alone = self._channel is None or not self._channel.peers
         return not alone and self._exchange.others_have_proof(now_s)
 
-    def lapses_alone(self, now_s: float) -> bool:
+    def is_expiring_alone(self, now_s: float) -> bool:
         """Return whether credentials soon can't be checked here, but elsewhere."""
         if self._channel is None or not self._channel.peers:
             return False
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -29,7 +29,7 @@
 from railfold._internal.forwarding.listeners import Listeners
 from railfold._internal.forwarding.messages import Header
 from railfold._internal.forwarding.peers.peering import Peering
-from railfold._internal.forwarding.peers.proof_keeper import ProofKeeper
+from railfold._internal.forwarding.peers.proof_refresher import ProofRefresher
 from railfold._internal.forwarding.reload import SettingsWatcher
 from railfold._internal.forwarding.requests.destinations import DestinationChooser
 from railfold._internal.forwarding.requests.driver import RequestDriver
@@ -85,7 +85,7 @@
 _PLACEMENT_DUTY = "placement"
 
 # A read of the configuration is answered as soon as there is a newer one. That the one
-# that is known is in force is proved beside it (:class:`ProofKeeper`); with reads of
+# that is known is in force is proved beside it (:class:`ProofRefresher`); with reads of
 # 1.85 s that were to prove it too, half of an entry's calls to the store were these.
 _CONFIGURATION_WAIT_S = 10.0
 
@@ -200,7 +200,7 @@
             adapter.decode_configuration,
             self._on_configuration,
         )
-        self._proofs = ProofKeeper(
+        self._proofs = ProofRefresher(
             settings.name,
             self.router,
             adapter.new_log(),
@@ -220,13 +220,13 @@
             self.router,
             self._leadership,
             self._store_reachable,
-            on_known=self._on_quarantine,
+            on_quarantine_known=self._on_quarantine,
             fleet_limits=self._fleet_limits,
             on_epoch=self._on_epoch,
             proofs=self._proofs,
-            on_leadership_stopped=self._leadership_keeper.holder_stopped,
+            on_leadership_released=self._leadership_keeper.holder_stopped,
         )
-        calls.on_refused = self._peering.quarantine.server_refused
+        calls.on_refused = self._peering.quarantine.server_refused_connection
         self._prober.on_well = self._peering.quarantine.server_answered
         self._held = MemoryQuota(int(settings.memory_bytes * _HELD_SHARE))
         self._clients = ClientServer(
@@ -322,12 +322,12 @@
             known
             and not self._draining
             and self.router.lease.valid(now_s)
-            and not self._proofs.lapses_alone(now_s)
+            and not self._proofs.is_expiring_alone(now_s)
         )
 
     def _look_whether_useful(self, now_s: float) -> None:
         """Lead clients elsewhere while only this entry can't check credentials."""
-        lapses = self._proofs.lapses_alone(now_s)
+        lapses = self._proofs.is_expiring_alone(now_s)
         if lapses != (self._lapsing_since_s is not None):
             self._lapsing_since_s = now_s if lapses else None
             self.metrics.count("readiness.lapses" if lapses else "readiness.regained")
@@ -345,7 +345,7 @@
     @property
     def recognizes_requests(self) -> bool:
         """Whether requests that come again are recognized by their content."""
-        return self._peering.quarantine.ready
+        return self._peering.quarantine.has_key
 
     def _on_settings(self, settings: ForwardingSettings) -> None:
         """Take new bounds; addresses and the place stay until a restart."""
@@ -391,7 +391,7 @@
             self._fleet_limits.dealt(grant.deal, sent_s)
 
     def _on_leadership_stopped(self, member: str) -> None:
-        self._peering.tell_leadership_stopped(member)
+        self._peering.announce_leadership_released(member)
 
     def _on_registrations_regained(self) -> None:
         self.router.directory.store_recovered(self._loop.time())
--- a/src/railfold/_internal/forwarding/quarantine/content_digest.py
+++ b/src/railfold/_internal/forwarding/quarantine/content_digest.py
@@ -17,13 +17,13 @@
 
 # Of a larger body so much counts at either end. Bodies that differ only between are
 # taken for the same if the same caller sends them to the same path.
-_PART_BYTES = 64 * 1024
+_HASHED_END_BYTES = 64 * 1024
 
 _DIGEST_BYTES = 16
 _KEY_BYTES = 32
 
 # Tells this use of the entries' common key from others.
-_PURPOSE = b"content"
+_KEY_PURPOSE = b"content"
 
 
 class ContentDigests:
@@ -34,14 +34,14 @@
         self.shared_key: bytes | None = None
 
     @property
-    def ready(self) -> bool:
+    def has_key(self) -> bool:
         """Whether the key is known."""
         return self._key is not None
 
     def set_key(self, shared_key: bytes) -> None:
         """Take the key that all entries share."""
         self.shared_key = shared_key
-        self._key = derived_key(shared_key, _PURPOSE)
+        self._key = derive_key(shared_key, _KEY_PURPOSE)
 
     def of(self, request: ClientRequest, owner: CredentialOwner | None) -> str:
         """Return the digest of a request's content, as text.
@@ -51,18 +51,18 @@
         """
         assert self._key is not None
         caller = owner.workspace if owner is not None else request.credential
-        found = hashlib.blake2b(key=self._key, digest_size=_DIGEST_BYTES)
+        hasher = hashlib.blake2b(key=self._key, digest_size=_DIGEST_BYTES)
         for text in (request.method, request.host, request.target, caller):
             part = text.encode("utf-8", "surrogateescape")
-            found.update(len(part).to_bytes(4))
-            found.update(part)
+            hasher.update(len(part).to_bytes(4))
+            hasher.update(part)
         body = request.body
-        found.update(len(body).to_bytes(8))
-        found.update(body[:_PART_BYTES])
-        found.update(body[_PART_BYTES:][-_PART_BYTES:])
-        return found.hexdigest()
+        hasher.update(len(body).to_bytes(8))
+        hasher.update(body[:_HASHED_END_BYTES])
+        hasher.update(body[_HASHED_END_BYTES:][-_HASHED_END_BYTES:])
+        return hasher.hexdigest()
 
 
-def derived_key(shared_key: bytes, purpose: bytes) -> bytes:
+def derive_key(shared_key: bytes, purpose: bytes) -> bytes:
     """Return a key for one purpose; one that leaks tells nothing of the others."""
     return hashlib.blake2b(shared_key, person=purpose, digest_size=_KEY_BYTES).digest()
--- a/src/railfold/_internal/forwarding/quarantine/crash_notices.py
+++ b/src/railfold/_internal/forwarding/quarantine/crash_notices.py
@@ -10,7 +10,7 @@
     CrashNotice,
 )
 
-__all__ = ["age_ms", "crashes_in", "crashes_notice"]
+__all__ = ["age_ms", "crashes_from_notice", "crashes_notice"]
 
 
 def age_ms(now_s: float, at_s: float) -> int:
@@ -38,7 +38,7 @@
     )
 
 
-def crashes_in(message: CrashesNotice, now_s: float) -> list[Crash]:
+def crashes_from_notice(message: CrashesNotice, now_s: float) -> list[Crash]:
     """Return the crashes that another entry announces, on this process's clock."""
     return [
         Crash(
--- a/src/railfold/_internal/forwarding/quarantine/crash_reports.py
+++ b/src/railfold/_internal/forwarding/quarantine/crash_reports.py
@@ -7,16 +7,16 @@
 
 from railfold._internal.decisions.engine_directory import EngineDirectory
 from railfold._internal.decisions.quarantine import UNKNOWN_VERSION
-from railfold._internal.forwarding.quarantine.crash_watch import reported_name
+from railfold._internal.forwarding.quarantine.crash_watch import without_restart_count
 
 __all__ = ["CrashReports"]
 
 # A crash that another entry reports must show in the registrations by then: they lapse
 # after 3.6 s without a heartbeat, and are read every 2.8 s at the least.
-_CONTRADICTED_S = 10.0
+_CONTRADICTION_DELAY_S = 10.0
 
 # Servers whose ids and versions are remembered, also after they are gone.
-_SERVERS_KEPT = 4096
+_MAX_VERSIONS = 4096
 
 
 class CrashReports:
@@ -27,11 +27,11 @@
         # Versions by server, also of those that are gone.
         self._versions: OrderedDict[str, str] = OrderedDict()
         # Servers that others say have ended, and when that was reported.
-        self._reported_s: dict[str, float] = {}
+        self._reported_at_s: dict[str, float] = {}
 
     def version_of(self, server_id: str) -> str:
         """Return which software a server runs, or ran."""
-        name = reported_name(server_id)
+        name = without_restart_count(server_id)
         entry = self._directory.get(name)
         if entry is not None:
             return entry.registration.version
@@ -40,27 +40,27 @@
     def record(self, server_ids: Iterable[str], now_s: float) -> None:
         """Another entry says that servers have ended."""
         for server_id in server_ids:
-            self._reported_s.setdefault(server_id, now_s)
+            self._reported_at_s.setdefault(server_id, now_s)
 
-    def note_versions(self) -> None:
+    def record_versions(self) -> None:
         """Keep the versions of the servers that are registered now."""
         for entry in self._directory:
             if entry.server_id not in self._versions:
                 self._versions[entry.server_id] = entry.registration.version
-        while len(self._versions) > _SERVERS_KEPT:
+        while len(self._versions) > _MAX_VERSIONS:
             self._versions.popitem(last=False)
 
-    def take_contradicted(self, now_s: float) -> list[str]:
+    def pop_contradicted(self, now_s: float) -> list[str]:
         """Return servers that still run long after they were reported to have ended."""
         due = [
             server_id
-            for server_id, reported_s in self._reported_s.items()
-            if now_s - reported_s >= _CONTRADICTED_S
+            for server_id, reported_at_s in self._reported_at_s.items()
+            if now_s - reported_at_s >= _CONTRADICTION_DELAY_S
         ]
         for server_id in due:
-            del self._reported_s[server_id]
-        return [server_id for server_id in due if self._runs(server_id)]
+            del self._reported_at_s[server_id]
+        return [server_id for server_id in due if self._is_running(server_id)]
 
-    def _runs(self, server_id: str) -> bool:
+    def _is_running(self, server_id: str) -> bool:
         entry = self._directory.get(server_id)
         return entry is not None and entry.routable
--- a/src/railfold/_internal/forwarding/quarantine/quarantine_records.py
+++ b/src/railfold/_internal/forwarding/quarantine/quarantine_records.py
@@ -29,15 +29,15 @@
 
 # Who learns from others that a content is held back waits so long, and up to as much
 # again, for the record of the one that saw it; then it writes the record itself.
-_WAIT_S = 1.0
-_AGAIN_S = 2.0
+_PEER_WRITE_DELAY_S = 1.0
+_RETRY_S = 2.0
 
 # After the store went back, its records are read within about this time; what isn't
 # among them is written again, by one entry after the other.
-_REWRITE_S = 0.5
+_REWRITE_DELAY_S = 0.5
 
 # Entries that start together each wait up to this long for another's key.
-_KEY_WAIT_S = 0.5
+_KEY_WRITE_DELAY_S = 0.5
 _KEY_BYTES = 32
 
 
@@ -56,31 +56,31 @@
         router: Router,
         digests: ContentDigests,
         *,
-        keeps_key: bool,
+        stores_key: bool,
     ) -> None:
-        self._keeps_key = keeps_key
+        self._stores_key = stores_key
         self._log = log
         self._stream = stream
         self._router = router
         self._digests = digests
         self._loop = asyncio.get_running_loop()
         # When a content's record is to be written, if it isn't there by then.
-        self._due_s: dict[str, float] = {}
+        self._write_due_s: dict[str, float] = {}
         self._removals: set[str] = set()
         self._key_missing_at: int | None = None
 
-    def changed(self, change: QuarantineChange, *, from_peer: bool) -> None:
+    def state_changed(self, change: QuarantineChange, *, from_peer: bool) -> None:
         """What is believed of a content has changed."""
         digest = change.content.digest
         match change.state:
             case QuarantineState.HELD_BACK:
                 wait_s = 0.0
                 if from_peer:
-                    wait_s = _WAIT_S * (1.0 + self._router.rng.random())
-                self._due_s[digest] = self._loop.time() + wait_s
+                    wait_s = _PEER_WRITE_DELAY_S * (1.0 + self._router.rng.random())
+                self._write_due_s[digest] = self._loop.time() + wait_s
                 self._removals.discard(digest)
             case QuarantineState.CLEARED | QuarantineState.LIFTED:
-                self._due_s.pop(digest, None)
+                self._write_due_s.pop(digest, None)
                 if change.was_held_back and not from_peer:
                     self._removals.add(digest)
             case (
@@ -90,68 +90,70 @@
             ):
                 pass
 
-    def found(self, digest: str) -> None:
+    def record_found(self, digest: str) -> None:
         """The store holds a content's record."""
-        self._due_s.pop(digest, None)
+        self._write_due_s.pop(digest, None)
 
-    def gone(self, digest: str) -> None:
+    def record_removed(self, digest: str) -> None:
         """The store doesn't hold it any more."""
-        self._due_s.pop(digest, None)
+        self._write_due_s.pop(digest, None)
         self._removals.discard(digest)
 
     def key_missing(self, next_offset: int) -> None:
         """The store holds no key, or not any more; its stream ends at this offset."""
-        if self._keeps_key:
+        if self._stores_key:
             self._key_missing_at = next_offset
 
-    def log_went_back(self, held: Iterable[QuarantineChange]) -> None:
+    def log_went_back(self, held_back: Iterable[QuarantineChange]) -> None:
         """The store may have lost records: write again all that it doesn't show."""
         now_s = self._loop.time()
-        for change in held:
-            due_s = now_s + _REWRITE_S * (1.0 + self._router.rng.random())
-            self._due_s.setdefault(change.content.digest, due_s)
+        for change in held_back:
+            due_s = now_s + _REWRITE_DELAY_S * (1.0 + self._router.rng.random())
+            self._write_due_s.setdefault(change.content.digest, due_s)
 
-    async def write(self, held: Iterable[QuarantineChange]) -> None:
+    async def write_due(self, held_back: Iterable[QuarantineChange]) -> None:
         """Write what is due.
 
         :param held: what is held back now.
         """
         now_s = self._loop.time()
-        known = {change.content.digest: change for change in held}
-        due = [digest for digest, due_s in self._due_s.items() if due_s <= now_s]
+        known = {change.content.digest: change for change in held_back}
+        due = [digest for digest, due_s in self._write_due_s.items() if due_s <= now_s]
         try:
             if self._key_missing_at is not None:
-                await self._make_key(self._key_missing_at)
+                await self._write_key(self._key_missing_at)
             for digest in due:
-                await self._write_one(digest, known.get(digest))
+                await self._write_record(digest, known.get(digest))
             for digest in list(self._removals):
                 await self._log.put(self._stream, digest, b"")
                 self._removals.discard(digest)
         except LogUnavailableError as error:
             self._router.metrics.count("quarantine.write_failures")
             logging.info("a record isn't written yet: %s", error)
-            await asyncio.sleep(_AGAIN_S)
+            await asyncio.sleep(_RETRY_S)
 
-    async def _write_one(self, digest: str, change: QuarantineChange | None) -> None:
-        self._due_s.pop(digest, None)
+    async def _write_record(self, digest: str, change: QuarantineChange | None) -> None:
+        self._write_due_s.pop(digest, None)
         if change is None:
             return  # It isn't held back any more.
         try:
-            await self._log.put(self._stream, digest, encode_hold(_record(change)))
+            await self._log.put(self._stream, digest, encode_hold(_hold_record(change)))
         except LogUnavailableError:
-            self._due_s.setdefault(digest, self._loop.time() + _AGAIN_S)
+            self._write_due_s.setdefault(digest, self._loop.time() + _RETRY_S)
             raise
 
-    async def _make_key(self, next_offset: int) -> None:
+    async def _write_key(self, next_offset: int) -> None:
         """Leave a key in the store, unless another entry does.
 
         Whoever knows the one that the store has lost writes that again at once.
         """
         known = self._digests.shared_key
         if known is None:
-            await asyncio.sleep(_KEY_WAIT_S * (1.0 + self._router.rng.random()) / 2)
+            await asyncio.sleep(
+                _KEY_WRITE_DELAY_S * (1.0 + self._router.rng.random()) / 2
+            )
         self._key_missing_at = None
-        if known is None and self._digests.ready:
+        if known is None and self._digests.has_key:
             return  # Another entry's was read meanwhile.
         key = encode_key(known or secrets.token_bytes(_KEY_BYTES))
         try:
@@ -161,7 +163,7 @@
             raise
 
 
-def _record(change: QuarantineChange) -> HoldRecord:
+def _hold_record(change: QuarantineChange) -> HoldRecord:
     offset_s = clock.unix_time_s() - asyncio.get_running_loop().time()
     return HoldRecord(
         change.content.service,
--- a/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
+++ b/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
@@ -25,24 +25,24 @@
 from railfold._internal.forwarding.adapter import WritableLog
 from railfold._internal.forwarding.messages import ClientRequest
 from railfold._internal.forwarding.peers.peer_messages import (
-    MOST_CRASHES_SENT,
-    ContentCleared,
+    MAX_CRASHES_SENT,
     CrashesNotice,
     PeerMessage,
-    TrialBegun,
+    SuccessNotice,
     TrialNotRun,
+    TrialStarted,
 )
 from railfold._internal.forwarding.quarantine.content_digest import ContentDigests
 from railfold._internal.forwarding.quarantine.crash_notices import (
     age_ms,
-    crashes_in,
+    crashes_from_notice,
     crashes_notice,
 )
 from railfold._internal.forwarding.quarantine.crash_reports import CrashReports
 from railfold._internal.forwarding.quarantine.crash_watch import (
     CrashWatch,
-    EndedRun,
-    RunFigures,
+    InterruptedRun,
+    RunDetails,
 )
 from railfold._internal.forwarding.quarantine.quarantine_records import (
     QuarantineRecords,
@@ -56,14 +56,14 @@
 
 __all__ = ["RequestQuarantine"]
 
-_CHECK_S = 0.25
+_UPKEEP_INTERVAL_S = 0.25
 
 # When a request comes back that wasn't repeated at once: by then all entries know
 # whether its server has ended.
-_REPEAT_LATER_S = 0.5
+_RETRY_DELAY_S = 0.5
 
 # So many contents are announced when a server ends, a datagram each.
-_MOST_CONTENTS_SENT = 8
+_MAX_CONTENTS_SENT = 8
 
 
 class RequestQuarantine:
@@ -83,7 +83,7 @@
         stream: str,
         announce: Callable[[PeerMessage], None],
         *,
-        keeps_key: bool = True,
+        stores_key: bool = True,
     ) -> None:
         self._router = router
         self._announce = announce
@@ -92,7 +92,7 @@
         self._quarantine = Quarantine()
         self._watch = CrashWatch(self._on_crash)
         self._records = QuarantineRecords(
-            log, stream, router, self._digests, keeps_key=keeps_key
+            log, stream, router, self._digests, stores_key=stores_key
         )
         self._reports = CrashReports(router.directory)
         self._confirmer = SuccessConfirmer(self._quarantine, router.rng, announce)
@@ -102,9 +102,9 @@
         self._digests.set_key(shared_key)
 
     @property
-    def ready(self) -> bool:
+    def has_key(self) -> bool:
         """Whether the key is known, without which nothing is recognized."""
-        return self._digests.ready
+        return self._digests.has_key
 
     # Requests
 
@@ -116,20 +116,20 @@
         :raises RepeatedCrashesError: it is held back.
         :raises RequestOnTrialError: another request with its content is on trial.
         """
-        if not self._watching:
+        if not self._has_suspects:
             return False
         digest = self._digests.of(request, owner)
         now_s = self._loop.time()
-        match self._standing(digest, now_s):
+        match self._decide(digest, now_s):
             case QuarantineDecision.ALLOW:
                 return False
             case QuarantineDecision.REFUSE:
-                raise self._refusal(digest)
+                raise self._held_back_error(digest)
             case QuarantineDecision.WAIT:
-                raise self._wait(digest, now_s)
+                raise self._on_trial_error(digest, now_s)
             case QuarantineDecision.ALLOW_TRIAL:
-                self._take(self._quarantine.start_trial(digest, now_s))
-                self._announce(TrialBegun(digest))
+                self._apply_changes(self._quarantine.start_trial(digest, now_s))
+                self._announce(TrialStarted(digest))
                 return True
 
     def check(
@@ -140,23 +140,23 @@
         :raises RepeatedCrashesError: it is held back meanwhile.
         :raises RequestOnTrialError: it would have to wait for another one's trial.
         """
-        if not self._watching or on_trial:
+        if not self._has_suspects or on_trial:
             return
         digest = self._digests.of(request, owner)
         now_s = self._loop.time()
-        match self._standing(digest, now_s):
+        match self._decide(digest, now_s):
             case QuarantineDecision.ALLOW:
                 return
             case QuarantineDecision.WAIT | QuarantineDecision.ALLOW_TRIAL:
-                raise self._wait(digest, now_s)
+                raise self._on_trial_error(digest, now_s)
             case QuarantineDecision.REFUSE:
-                raise self._refusal(digest)
+                raise self._held_back_error(digest)
 
-    def _standing(self, digest: str, now_s: float) -> QuarantineDecision:
-        self._take(self._quarantine.review_probation(now_s, digest))
+    def _decide(self, digest: str, now_s: float) -> QuarantineDecision:
+        self._apply_changes(self._quarantine.review_probation(now_s, digest))
         return self._quarantine.decision(digest, now_s)
 
-    def _wait(self, digest: str, now_s: float) -> RequestOnTrialError:
+    def _on_trial_error(self, digest: str, now_s: float) -> RequestOnTrialError:
         self._router.metrics.count("quarantine.waited")
         wait_s = self._quarantine.wait_s(digest, now_s)
         return RequestOnTrialError(
@@ -166,7 +166,7 @@
             hint="come back after Retry-After",
         )
 
-    def check_repeat(
+    def check_retry(
         self, request: ClientRequest, owner: CredentialOwner | None, *, on_trial: bool
     ) -> None:
         """Look at a request that is to be sent again after its run broke off.
@@ -177,29 +177,29 @@
         :raises RepeatedCrashesError: it is held back.
         :raises RequestOnTrialError: it is suspected.
         """
-        if not self._watching:
+        if not self._has_suspects:
             return
         digest = self._digests.of(request, owner)
-        standing = self._standing(digest, self._loop.time())
-        if standing is QuarantineDecision.REFUSE:
-            raise self._refusal(digest)
+        decision = self._decide(digest, self._loop.time())
+        if decision is QuarantineDecision.REFUSE:
+            raise self._held_back_error(digest)
         is_suspect = self._quarantine.is_near_restriction(digest)
-        if on_trial or is_suspect or standing is not QuarantineDecision.ALLOW:
-            raise self._repeat_later(digest)
+        if on_trial or is_suspect or decision is not QuarantineDecision.ALLOW:
+            raise self._retry_later_error(digest)
 
-    def _repeat_later(self, digest: str) -> RequestOnTrialError:
+    def _retry_later_error(self, digest: str) -> RequestOnTrialError:
         self._router.metrics.count("quarantine.not_repeated")
         crashes = self._quarantine.crashes_of(digest)
         wait_s = self._quarantine.wait_s(digest, self._loop.time())
         return RequestOnTrialError(
             "the request's run broke off, and requests with the same path, caller and "
             "body may have ended backend servers",
-            left_s=max(_REPEAT_LATER_S, wait_s),
+            left_s=max(_RETRY_DELAY_S, wait_s),
             why=f"{len(crashes)} servers ended under content {digest}",
             hint="come back after Retry-After",
         )
 
-    def may_end_servers(
+    def may_crash_servers(
         self, request: ClientRequest, owner: CredentialOwner | None
     ) -> bool:
         """Return whether servers ended one after the other under a request's content.
@@ -207,7 +207,7 @@
         After one end, most of what was there is innocent; so is what only ran where
         another content did that is held back.
         """
-        if not self._watching:
+        if not self._has_suspects:
             return False
         digest = self._digests.of(request, owner)
         quarantine = self._quarantine
@@ -215,7 +215,7 @@
             digest
         )
 
-    def trial_not_run(
+    def withdraw_trial(
         self, request: ClientRequest, owner: CredentialOwner | None
     ) -> None:
         """Let the next request be tried: one that was let through wasn't run."""
@@ -224,7 +224,7 @@
             self._router.metrics.count("quarantine.trials_not_run")
             self._announce(TrialNotRun(digest))
 
-    def _refusal(self, digest: str) -> RepeatedCrashesError:
+    def _held_back_error(self, digest: str) -> RepeatedCrashesError:
         self._router.metrics.count("quarantine.refused")
         crashes = self._quarantine.crashes_of(digest)
         servers = ", ".join(crash.server_id for crash in crashes)
@@ -235,28 +235,28 @@
         )
 
     @property
-    def _watching(self) -> bool:
-        return self._digests.ready and len(self._quarantine) > 0
+    def _has_suspects(self) -> bool:
+        return self._digests.has_key and len(self._quarantine) > 0
 
     # What becomes of runs and servers
 
-    def run_ended(
+    def run_interrupted(
         self,
         request: ClientRequest,
         route: Route,
         owner: CredentialOwner | None,
-        figures: RunFigures,
+        details: RunDetails,
     ) -> None:
         """A run broke off."""
-        if not self._digests.ready:
+        if not self._digests.has_key:
             return
         content = RequestContent(
             self._digests.of(request, owner),
-            figures.service,
+            details.service,
             route.name,
             owner.workspace if owner is not None else "",
         )
-        self._watch.run_ended(EndedRun(content, figures, self._loop.time()))
+        self._watch.run_interrupted(InterruptedRun(content, details, self._loop.time()))
 
     def record_success(
         self,
@@ -269,20 +269,20 @@
         Also of contents that nobody suspects: one that many clients send isn't to be
         held back when several of its servers end for other reasons.
         """
-        unsure = last_event is not None and not self._watching
-        if unsure or not self._digests.ready:
+        unsure = last_event is not None and not self._has_suspects
+        if unsure or not self._digests.has_key:
             return
         digest = self._digests.of(request, owner)
         changes = self._quarantine.record_success(digest, self._loop.time(), last_event)
         if changes:
-            self._take(changes)
-            self._announce(ContentCleared(digest, 0))
+            self._apply_changes(changes)
+            self._announce(SuccessNotice(digest, 0))
 
-    def server_refused(self, server_id: str) -> None:
+    def server_refused_connection(self, server_id: str) -> None:
         """A backend server's address refuses connections."""
         entry = self._router.directory.get(server_id)
         if entry is None or not entry.draining:
-            self._watch.server_ended(server_id, self._loop.time())
+            self._watch.server_crashed(server_id, self._loop.time())
 
     def server_answered(self, server_id: str) -> None:
         """A backend server answers, so that it runs."""
@@ -291,9 +291,9 @@
     def server_departed(self, entry: DirectoryEntry) -> None:
         """A backend server's registration lapsed, or another took its place."""
         if not entry.draining:
-            self._watch.server_ended(entry.server_id, self._loop.time())
+            self._watch.server_crashed(entry.server_id, self._loop.time())
 
-    def _on_crash(self, server_id: str, runs: list[EndedRun]) -> None:
+    def _on_crash(self, server_id: str, runs: list[InterruptedRun]) -> None:
         now_s = self._loop.time()
         version = self._reports.version_of(server_id)
         seen: dict[RequestContent, list[Crash]] = {}
@@ -308,59 +308,61 @@
                 round((now_s - runs[-1].ended_s) * 1000, 1),
             )
         )
-        self._take(self._quarantine.record_crashes(seen, now_s))
+        self._apply_changes(self._quarantine.record_crashes(seen, now_s))
         for content in self._most_suspicious(runs):
             self._announce_crashes(content, now_s)
 
-    def _most_suspicious(self, runs: list[EndedRun]) -> list[RequestContent]:
+    def _most_suspicious(self, runs: list[InterruptedRun]) -> list[RequestContent]:
         """Return which contents to announce: first those that ended servers before.
 
         Then those without an event, and those that began last.
         """
 
-        def suspicion(run: EndedRun) -> tuple[int, bool, float]:
+        def suspicion(run: InterruptedRun) -> tuple[int, bool, float]:
             known = len(self._quarantine.crashes_of(run.content.digest))
-            return (known, run.figures.moved_s == 0.0, run.figures.began_s)
+            return (known, run.details.events_duration_s == 0.0, run.details.began_s)
 
         ordered = sorted(runs, key=suspicion, reverse=True)
-        return list(dict.fromkeys(run.content for run in ordered))[:_MOST_CONTENTS_SENT]
+        return list(dict.fromkeys(run.content for run in ordered))[:_MAX_CONTENTS_SENT]
 
     def _announce_crashes(self, content: RequestContent, now_s: float) -> None:
-        crashes = self._quarantine.crashes_of(content.digest)[-MOST_CRASHES_SENT:]
+        crashes = self._quarantine.crashes_of(content.digest)[-MAX_CRASHES_SENT:]
         if not crashes:
             return
         self._announce(crashes_notice(content, crashes, now_s))
 
     # What other entries say
 
-    def take_crashes(self, message: CrashesNotice) -> None:
+    def crashes_received(self, message: CrashesNotice) -> None:
         """Another entry saw servers end under a content."""
         now_s = self._loop.time()
         content = RequestContent(
             message.digest, message.service, message.route, message.workspace
         )
-        crashes = crashes_in(message, now_s)
+        crashes = crashes_from_notice(message, now_s)
         self._reports.record((crash.server_id for crash in crashes), now_s)
         self._confirmer.suspected_elsewhere(content.digest, now_s)
-        self._take(
+        self._apply_changes(
             self._quarantine.record_crashes({content: crashes}, now_s), from_peer=True
         )
 
-    def take_success(self, message: ContentCleared) -> None:
+    def success_received(self, message: SuccessNotice) -> None:
         """Another entry saw a request run well."""
         now_s = self._loop.time()
         at_s = now_s - message.ago_ms / 1000.0
         self._confirmer.confirmed_elsewhere(message.digest, now_s)
-        self._take(
+        self._apply_changes(
             self._quarantine.record_success(message.digest, at_s), from_peer=True
         )
 
-    def take_trial_begun(self, message: TrialBegun) -> None:
+    def trial_start_received(self, message: TrialStarted) -> None:
         """Another entry lets one request of a content through."""
         now_s = self._loop.time()
-        self._take(self._quarantine.start_trial(message.digest, now_s), from_peer=True)
+        self._apply_changes(
+            self._quarantine.start_trial(message.digest, now_s), from_peer=True
+        )
 
-    def take_trial_not_run(self, message: TrialNotRun) -> None:
+    def trial_withdrawal_received(self, message: TrialNotRun) -> None:
         """Another entry's trial wasn't run."""
         self._quarantine.withdraw_trial(message.digest, self._loop.time())
 
@@ -375,14 +377,14 @@
             record.held_at_unix_ms / 1000.0 - offset_s,
             record.holds,
         )
-        self._take(changes, from_peer=True)
-        self._records.found(digest)
+        self._apply_changes(changes, from_peer=True)
+        self._records.record_found(digest)
 
     def record_removed(self, digest: str) -> None:
         """A content's record was taken from the store: by an entry or the operator."""
         reason = "its record was removed"
-        self._take(self._quarantine.lift(digest, self._loop.time(), reason))
-        self._records.gone(digest)
+        self._apply_changes(self._quarantine.lift(digest, self._loop.time(), reason))
+        self._records.record_removed(digest)
 
     def key_missing(self, next_offset: int) -> None:
         """The store holds no key yet; it ends at this offset."""
@@ -398,19 +400,19 @@
         """Look after what is held back until cancelled."""
         ready.set()
         while True:
-            await asyncio.sleep(_CHECK_S)
-            self._check()
-            await self._records.write(self._quarantine.held_back)
+            await asyncio.sleep(_UPKEEP_INTERVAL_S)
+            self._perform_upkeep()
+            await self._records.write_due(self._quarantine.held_back)
 
-    def _check(self) -> None:
+    def _perform_upkeep(self) -> None:
         now_s = self._loop.time()
         for entry in self._router.directory.pop_departed():
             self.server_departed(entry)
-        self._reports.note_versions()
-        for server_id in self._reports.take_contradicted(now_s):
+        self._reports.record_versions()
+        for server_id in self._reports.pop_contradicted(now_s):
             self._router.metrics.count("peers.contradicted")
-            self._take(self._quarantine.retract_crash(server_id))
-        self._take(self._quarantine.review_probation(now_s))
+            self._apply_changes(self._quarantine.retract_crash(server_id))
+        self._apply_changes(self._quarantine.review_probation(now_s))
         self._lift_for_versions(now_s)
         self._quarantine.expire(now_s)
         self._confirmer.expire(now_s)
@@ -424,16 +426,18 @@
                 for entry in self._router.directory.servers_of(service)
                 if entry.routable
             )
-            self._take(self._quarantine.lift_for_versions(service, versions, now_s))
+            self._apply_changes(
+                self._quarantine.lift_for_versions(service, versions, now_s)
+            )
 
-    def _take(
+    def _apply_changes(
         self, changes: Iterable[QuarantineChange], *, from_peer: bool = False
     ) -> None:
         """Log and count changes, and see to their records."""
         now_s = self._loop.time()
         for change in changes:
             self._log_change(change, now_s, from_peer=from_peer)
-            self._records.changed(change, from_peer=from_peer)
+            self._records.state_changed(change, from_peer=from_peer)
 
     def _log_change(
         self, change: QuarantineChange, now_s: float, *, from_peer: bool
--- a/src/railfold/_internal/forwarding/quarantine/success_confirmer.py
+++ b/src/railfold/_internal/forwarding/quarantine/success_confirmer.py
@@ -8,8 +8,8 @@
 
 from railfold._internal.decisions.quarantine import Quarantine
 from railfold._internal.forwarding.peers.peer_messages import (
-    ContentCleared,
     PeerMessage,
+    SuccessNotice,
 )
 from railfold._internal.forwarding.quarantine.crash_notices import age_ms
 
@@ -18,8 +18,8 @@
 # A content that ran well here within this time is confirmed when others suspect it;
 # within so short a time that it isn't held back for long, and by few of many entries.
 _RECENT_SUCCESS_S = 60.0
-_CONFIRM_WITHIN_S = 0.1
-_CONFIRM_AGAIN_S = 1.0
+_MAX_CONFIRM_DELAY_S = 0.1
+_CONFIRM_INTERVAL_S = 1.0
 
 
 class SuccessConfirmer:
@@ -39,7 +39,7 @@
         self._announce = announce
         self._loop = asyncio.get_running_loop()
         # When this or another entry announced last that a content runs well.
-        self._announced_s: dict[str, float] = {}
+        self._announced_at_s: dict[str, float] = {}
 
     def suspected_elsewhere(self, digest: str, now_s: float) -> None:
         """Confirm a content that another entry suspects, if it ran well here before.
@@ -47,24 +47,29 @@
         After a moment drawn by chance, in which another entry may do so.
         """
         if now_s - self._quarantine.last_success_s(digest) < _RECENT_SUCCESS_S:
-            delay_s = _CONFIRM_WITHIN_S * self._rng.random()
+            delay_s = _MAX_CONFIRM_DELAY_S * self._rng.random()
             self._loop.call_later(delay_s, self._confirm, digest)
 
     def confirmed_elsewhere(self, digest: str, now_s: float) -> None:
         """Another entry announced that a content runs well."""
-        self._announced_s[digest] = now_s
+        self._announced_at_s[digest] = now_s
 
     def expire(self, now_s: float) -> None:
         """Forget what was announced too long ago to matter."""
-        since_s = now_s - _CONFIRM_AGAIN_S
-        self._announced_s = {
-            digest: at_s for digest, at_s in self._announced_s.items() if at_s > since_s
+        since_s = now_s - _CONFIRM_INTERVAL_S
+        self._announced_at_s = {
+            digest: at_s
+            for digest, at_s in self._announced_at_s.items()
+            if at_s > since_s
         }
 
     def _confirm(self, digest: str) -> None:
         now_s = self._loop.time()
-        if now_s - self._announced_s.get(digest, float("-inf")) < _CONFIRM_AGAIN_S:
+        if (
+            now_s - self._announced_at_s.get(digest, float("-inf"))
+            < _CONFIRM_INTERVAL_S
+        ):
             return
-        self._announced_s[digest] = now_s
+        self._announced_at_s[digest] = now_s
         ago_ms = age_ms(now_s, self._quarantine.last_success_s(digest))
-        self._announce(ContentCleared(digest, ago_ms))
+        self._announce(SuccessNotice(digest, ago_ms))
--- a/src/railfold/_internal/forwarding/requests/destination_search.py
+++ b/src/railfold/_internal/forwarding/requests/destination_search.py
@@ -109,7 +109,7 @@
             self.contender = self._room.enter(routed)
         try:
             if broke_off:
-                self._quarantine.check_repeat(
+                self._quarantine.check_retry(
                     routed.request, routed.owner, on_trial=routed.on_trial
                 )
         except RequestError as found:
@@ -155,7 +155,7 @@
             exclude,
             routed.request.size,
             is_new=is_new,
-            is_suspect=self._quarantine.may_end_servers(routed.request, routed.owner),
+            is_suspect=self._quarantine.may_crash_servers(routed.request, routed.owner),
             max_wait_s=self._max_wait_s(begun=begun),
             waits_for_room=self.contender is not None and not begun,
         )
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -43,7 +43,7 @@
 from railfold._internal.forwarding.messages import ResponseHead
 from railfold._internal.forwarding.quarantine.crash_watch import (
     CLEARED_AFTER_S,
-    RunFigures,
+    RunDetails,
 )
 from railfold._internal.forwarding.quarantine.request_quarantine import (
     RequestQuarantine,
@@ -339,7 +339,7 @@
         destination = self._destination
         assert destination is not None
         self._broke_off = True
-        figures = RunFigures(
+        figures = RunDetails(
             destination.service,
             destination.server_ids,
             self._sent_s,
@@ -347,7 +347,9 @@
             self._resumed_after,
             streams=self._route.kind is RouteKind.STREAM,
         )
-        self._quarantine.run_ended(self._request, self._route, self._owner, figures)
+        self._quarantine.run_interrupted(
+            self._request, self._route, self._owner, figures
+        )
 
     def answer_head(self, kind: AnswerKind, head: ResponseHead) -> None:
         """The head of an answer came."""
@@ -604,7 +606,7 @@
         self._release()
         self._router.active.discard(self)
         if self._routed.on_trial and isinstance(outcome, NotRun):
-            self._quarantine.trial_not_run(self._request, self._owner)
+            self._quarantine.withdraw_trial(self._request, self._owner)
         status = self._answer.conclude(outcome)
         self._log.request_ended(
             outcome,
--- a/src/railfold/_internal/forwarding/servers/backoffs.py
+++ b/src/railfold/_internal/forwarding/servers/backoffs.py
@@ -182,7 +182,7 @@
             return
         self._announced_s[service] = now_s
         left_ms = int(1000 * min(_MAX_NOTICE_S, left_s))
-        self._channel.tell_some(BackoffNotice(self._name, service, left_ms))
+        self._channel.send_to_sample(BackoffNotice(self._name, service, left_ms))
 
     def record_notice(self, message: BackoffNotice) -> None:
         """Take another entry's notice."""
--- a/src/railfold/_internal/forwarding/servers/rate_limits.py
+++ b/src/railfold/_internal/forwarding/servers/rate_limits.py
@@ -128,7 +128,7 @@
     def _announce(self, server_id: str, now_s: float) -> None:
         self._announced_s[server_id] = now_s
         if self._channel is not None:
-            self._channel.tell(self._notice(server_id, now_s))
+            self._channel.broadcast(self._notice(server_id, now_s))
 
     def _notice(self, server_id: str, now_s: float) -> RateLimitNotice:
         per_s = self._limits.limit_per_s(server_id)
@@ -289,7 +289,7 @@
         self._metrics.count("rate_limits.permits_asked")
         limit = self._notice(server_id, _now_s())
         message = PermitRequest(self._name, question, limit, int(max_wait_s * 1000))
-        self._channel.tell_one(name, message)
+        self._channel.send_to(name, message)
         try:
             outcome = await asyncio.wait_for(answer, _ANSWER_S)
         except TimeoutError:
@@ -318,7 +318,7 @@
         granted = isinstance(outcome, PermitGranted)
         wait_ms = int(outcome.wait_s * 1000)
         reply = PermitReply(self._name, message.question, granted, wait_ms)
-        self._channel.tell_one(message.name, reply)
+        self._channel.send_to(message.name, reply)
 
     def permit_replied(self, message: PermitReply) -> None:
         """A holder answers."""
--- a/src/railfold/_internal/forwarding/servers/statements.py
+++ b/src/railfold/_internal/forwarding/servers/statements.py
@@ -79,7 +79,7 @@
         if not self._dialect.says_leaving(head):
             return
         if self._note_leaving(server_id, _BY_SERVER) and self._channel is not None:
-            self._channel.tell(LeavingNotice(server_id))
+            self._channel.broadcast(LeavingNotice(server_id))
 
     def record_leaving_notice(self, message: LeavingNotice) -> None:
         """Take another entry's notice; it may be of a server that isn't known yet."""
--- a/tests/forwarding/test_crashes_beside_popular.py
+++ b/tests/forwarding/test_crashes_beside_popular.py
@@ -24,12 +24,12 @@
 from tests.lib.forwarding import Deployment, running
 
 # What one entry has seen reaches all others within this time.
-CONTACT_S = 3.0
-MOST_LATE_CRASHES = 3
-LONGEST_REFUSED_S = 1.0
-PLAYED_S = 9.0
+PROPAGATION_S = 3.0
+MAX_LATE_CRASHES = 3
+MAX_REFUSAL_S = 1.0
+DURATION_S = 9.0
 
-STREAM, SAFE, UNSAFE = "/draft/1", "/tray/1", "/slip/1"
+STREAM_PATH, SAFE_PATH, UNSAFE_PATH = "/draft/1", "/tray/1", "/slip/1"
 
 
 @pytest.fixture(params=[1, 2])
@@ -39,17 +39,18 @@
 
 
 @pytest.mark.parametrize(
-    ("path", "after_s"), [(STREAM, 0.0), (SAFE, 0.3), (UNSAFE, 0.3)]
+    ("path", "poison_delay_s"),
+    [(STREAM_PATH, 0.0), (SAFE_PATH, 0.3), (UNSAFE_PATH, 0.3)],
 )
 @pytest.mark.parametrize("same_id", [True, False], ids=["same-id", "new-id"])
-async def test_the_one_that_ends_its_servers_is_held_back_and_no_other(
-    entries: Deployment, path: str, after_s: float, same_id: bool
+async def test_only_the_request_that_crashes_its_servers_is_held_back(
+    entries: Deployment, path: str, poison_delay_s: float, same_id: bool
 ) -> None:
     outcome = await run_poison_beside_popular(
-        entries, path, PLAYED_S, same_id=same_id, poison_delay_s=after_s
+        entries, path, DURATION_S, same_id=same_id, poison_delay_s=poison_delay_s
     )
     popular, single = outcome.other_senders
-    assert outcome.late_crashes(CONTACT_S) <= MOST_LATE_CRASHES
-    assert popular.longest_refusal_s <= LONGEST_REFUSED_S
-    assert single.longest_refusal_s <= LONGEST_REFUSED_S
-    assert outcome.other_served_share(window_s=PLAYED_S - 5.0) >= 0.95
+    assert outcome.late_crashes(PROPAGATION_S) <= MAX_LATE_CRASHES
+    assert popular.longest_refusal_s <= MAX_REFUSAL_S
+    assert single.longest_refusal_s <= MAX_REFUSAL_S
+    assert outcome.other_served_share(window_s=DURATION_S - 5.0) >= 0.95
--- a/tests/forwarding/test_proofs_from_peers.py
+++ b/tests/forwarding/test_proofs_from_peers.py
@@ -33,7 +33,7 @@
         yield deployment
 
 
-def turn_away(entry: ForwardingEntry) -> None:
+def fail_store_reads(entry: ForwardingEntry) -> None:
     """Let the store not answer an entry that reads the configuration."""
 
     async def read(stream: str, offset: int, wait_s: float) -> LogPage:
@@ -53,19 +53,21 @@
         connection.close()
 
 
-async def test_an_entry_that_is_turned_away_serves_on(two_entries: Deployment) -> None:
+async def test_entry_without_the_store_serves_by_proofs_of_its_peers(
+    two_entries: Deployment,
+) -> None:
     """It refused all that have a credential once its lease had lapsed."""
-    turn_away(two_entries.entry)
+    fail_store_reads(two_entries.entry)
     for number in range(int(2.5 * LEASE_S / 0.1)):
         assert (await ask(two_entries, 0, f"r-{number}")).status == 200
         await asyncio.sleep(0.1)
 
 
-async def test_it_stops_when_another_knows_of_a_newer_configuration(
+async def test_entry_stops_serving_when_a_peer_has_a_newer_configuration(
     two_entries: Deployment,
 ) -> None:
     """Which it can't read: a credential may have been taken away."""
-    turn_away(two_entries.entry)
+    fail_store_reads(two_entries.entry)
     two_entries.store.put("keyed.op", "config", configuration(2))
     loop = asyncio.get_running_loop()
     lease = two_entries.entry.router.lease
@@ -79,7 +81,7 @@
     assert (await ask(two_entries, 1, "elsewhere")).status == 200
 
 
-async def test_nobody_serves_for_longer_when_the_store_is_lost_for_all(
+async def test_no_entry_serves_beyond_its_lease_when_the_store_is_lost_for_all(
     two_entries: Deployment,
 ) -> None:
     two_entries.store.mode = "out"
@@ -94,36 +96,36 @@
     assert float(replies[0].headers["Retry-After"]) >= 0.15
 
 
-async def test_an_answer_that_comes_late_proves_what_held_when_it_was_asked(
+async def test_late_reply_counts_from_when_its_question_was_sent(
     two_entries: Deployment,
 ) -> None:
     """Also if this host stood still meanwhile."""
     entry = two_entries.entry
     proofs = entry._proofs
-    turn_away(entry)
+    fail_store_reads(entry)
     loop = asyncio.get_running_loop()
-    told: list[ProofReply] = []
-    take, proofs.told = proofs.told, told.append  # type: ignore[method-assign, assignment]
-    await until(lambda: bool(told))
-    first = told[0]
+    replies: list[ProofReply] = []
+    process_reply, proofs.reply_received = proofs.reply_received, replies.append  # type: ignore[method-assign, assignment]
+    await until(lambda: bool(replies))
+    first_reply = replies[0]
     await asyncio.sleep(LEASE_S + 0.3)
     # Later questions may have fresh answers; only the first one is taken now.
-    take(first)
+    process_reply(first_reply)
     assert not entry.router.lease.valid(loop.time())
     assert entry.router.lease.age_s(loop.time()) >= LEASE_S + 0.3
 
 
-async def test_a_store_that_went_back_is_learned_of_from_others(
+async def test_entry_learns_from_peers_that_the_store_went_back(
     two_entries: Deployment,
 ) -> None:
     """Proofs of the history before don't count, whoever tells them."""
     entry = two_entries.entry
-    turn_away(entry)
+    fail_store_reads(entry)
     two_entries.store.go_back(two_entries.store.copy())
     await until(lambda: entry.metrics.counters["store.went_back"] > 0)
 
 
-async def test_an_entry_that_stays_behind_reads_the_store_no_more_often(
+async def test_entry_that_refuses_a_newer_configuration_limits_its_store_reads(
     two_entries: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It refuses what the others accept, and each question told it of the newer one."""
@@ -140,23 +142,25 @@
     assert entry.metrics.counters["proofs.read"] - before <= 6
 
 
-async def test_an_entry_that_falls_behind_sends_its_clients_elsewhere(
+async def test_entry_that_falls_behind_closes_client_connections(
     two_entries: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """They kept their connections to it, and were refused until they gave up."""
     monkeypatch.setattr(process, "_BALANCER_ASKS_S", 0.3)
     entry = two_entries.entry
-    kept: Connection = await two_entries.connect(0)
-    assert (await kept.ask("/tray/1", "before")).headers.get("Connection") != "close"
-    turn_away(entry)
+    connection: Connection = await two_entries.connect(0)
+    assert (await connection.ask("/tray/1", "before")).headers.get(
+        "Connection"
+    ) != "close"
+    fail_store_reads(entry)
     two_entries.store.put("keyed.op", "config", configuration(2))
     loop = asyncio.get_running_loop()
     await until(lambda: not entry.ready())
     assert entry.router.lease.valid(loop.time())
     assert two_entries.entries[1].ready()
     await until(lambda: not entry.router.lease.valid(loop.time()))
-    reply = await kept.ask("/tray/1", "late")
-    kept.close()
+    reply = await connection.ask("/tray/1", "late")
+    connection.close()
     assert reply.status == 503
     assert reply.headers["Connection"] == "close"
 
--- a/tests/forwarding/test_repeated_crashes.py
+++ b/tests/forwarding/test_repeated_crashes.py
@@ -30,7 +30,10 @@
 from railfold._internal.decisions.quarantine import RequestContent
 from railfold._internal.forwarding.peers.peer_messages import CrashesNotice, CrashNotice
 from railfold._internal.forwarding.quarantine import crash_reports
-from railfold._internal.forwarding.quarantine.crash_watch import EndedRun, RunFigures
+from railfold._internal.forwarding.quarantine.crash_watch import (
+    InterruptedRun,
+    RunDetails,
+)
 from standins.chaining_engine import Engine
 from tests.lib.crashing_fleet import (
     POISON_BODY,
@@ -41,14 +44,14 @@
 from tests.lib.forwarding import Deployment, Reply, running, until
 
 # What one entry has seen reaches all others within this time.
-CONTACT_S = 3.0
+PROPAGATION_S = 3.0
 
 # Later than that it may be tried again so often, to see whether it still ends servers.
-MOST_LATE_SENDS = 3
+MAX_LATE_SENDS = 3
 
-PLAYED_S = 8.0
+DURATION_S = 8.0
 
-STREAM, SAFE, UNSAFE = "/draft/1", "/tray/1", "/slip/1"
+STREAM_PATH, SAFE_PATH, UNSAFE_PATH = "/draft/1", "/tray/1", "/slip/1"
 
 
 @pytest.fixture
@@ -57,57 +60,57 @@
         yield deployment
 
 
-async def test_a_stream_that_ends_its_engines_is_held_back(
+async def test_stream_that_crashes_its_engines_is_held_back(
     two_entries: Deployment,
 ) -> None:
-    outcome = await run_poison_requests(two_entries, "/draft/1", PLAYED_S)
-    assert outcome.late_sends(CONTACT_S) <= MOST_LATE_SENDS
+    outcome = await run_poison_requests(two_entries, "/draft/1", DURATION_S)
+    assert outcome.late_sends(PROPAGATION_S) <= MAX_LATE_SENDS
     assert outcome.other_served_share(window_s=2.0) >= 0.95
 
 
-@pytest.mark.parametrize("path", [SAFE, UNSAFE])
-async def test_a_call_that_ends_its_servers_is_held_back(
+@pytest.mark.parametrize("path", [SAFE_PATH, UNSAFE_PATH])
+async def test_call_that_crashes_its_servers_is_held_back(
     two_entries: Deployment, path: str
 ) -> None:
     # There are two servers; the third one that ends is one that came back.
-    outcome = await run_poison_requests(two_entries, path, PLAYED_S + 3.0)
-    assert outcome.late_sends(CONTACT_S) <= MOST_LATE_SENDS
+    outcome = await run_poison_requests(two_entries, path, DURATION_S + 3.0)
+    assert outcome.late_sends(PROPAGATION_S) <= MAX_LATE_SENDS
     assert outcome.other_served_share(window_s=2.0) >= 0.95
 
 
-async def test_few_engines_end_wherever_its_client_sends_it(
+async def test_few_engines_crash_when_the_client_uses_all_entries(
     four_entries: Deployment,
 ) -> None:
     """Each entry that learned by itself would cost two or three."""
-    outcome = await run_poison_requests(four_entries, STREAM, 5.0)
+    outcome = await run_poison_requests(four_entries, STREAM_PATH, 5.0)
     assert len(outcome.fleet.crash_times_s) <= 5
 
 
-async def test_entries_tell_each_other_while_the_store_is_out(
+async def test_entries_share_crashes_while_the_store_is_unavailable(
     two_entries: Deployment,
 ) -> None:
-    await recognizing(two_entries)
+    await wait_until_recognizing(two_entries)
     fleet = CrashingFleet(two_entries)
     fleet.enable_crashes()
-    await send(two_entries, STREAM, "poison-1")
+    await send_poison(two_entries, STREAM_PATH, "poison-1")
     assert len(fleet.crash_times_s) == 2
     await until(
-        lambda: len(fleet.replaced_servers) == 2 and placed_anew(two_entries), 15.0
+        lambda: len(fleet.replaced_servers) == 2 and is_placed_again(two_entries), 15.0
     )
     two_entries.store.mode = "silent"
-    await send(two_entries, STREAM, "poison-2")
+    await send_poison(two_entries, STREAM_PATH, "poison-2")
     assert len(fleet.crash_times_s) == 3
-    await until(lambda: all(map(held_at, two_entries.entries)), 1.0)
+    await until(lambda: all(map(held_back_digests, two_entries.entries)), 1.0)
     await fleet.stop()
 
 
-def placed_anew(deployment: Deployment) -> bool:
+def is_placed_again(deployment: Deployment) -> bool:
     """Return whether some engine holds the first layers, and all entries know it."""
     known = all(deployment.all_known(entry) for entry in deployment.entries)
     return known and bool(deployment.first_engines)
 
 
-async def recognizing(deployment: Deployment) -> None:
+async def wait_until_recognizing(deployment: Deployment) -> None:
     """Wait until all entries know all others and the common key."""
 
     def known() -> bool:
@@ -120,27 +123,29 @@
     await until(known)
 
 
-def held_at(entry: object) -> list[str]:
+def held_back_digests(entry: object) -> list[str]:
     """Return what an entry holds back."""
     quarantine = entry._peering.quarantine._quarantine  # type: ignore[attr-defined]
     return [change.content.digest for change in quarantine.held_back]
 
 
-async def hold_back(deployment: Deployment, path: str = SAFE) -> CrashingFleet:
+async def crash_until_held_back(
+    deployment: Deployment, path: str = SAFE_PATH
+) -> CrashingFleet:
     """Let a request end servers until the first entry holds it back."""
-    await recognizing(deployment)
+    await wait_until_recognizing(deployment)
     fleet = CrashingFleet(deployment)
     fleet.enable_crashes()
     number = 0
-    while not held_at(deployment.entry):
+    while not held_back_digests(deployment.entry):
         number += 1
-        await send(deployment, path, f"poison-{number}")
+        await send_poison(deployment, path, f"poison-{number}")
         await asyncio.sleep(0.1)
         assert number < 100
     return fleet
 
 
-async def send(
+async def send_poison(
     deployment: Deployment, path: str, request_id: str, entry: int = 0
 ) -> Reply | None:
     """Send the poison request; return its answer, or nothing if it was cut off."""
@@ -153,12 +158,14 @@
         connection.close()
 
 
-async def test_its_client_is_told_at_once_what_happened(deployment: Deployment) -> None:
+async def test_client_of_a_held_back_request_gets_an_error_at_once(
+    deployment: Deployment,
+) -> None:
     """Not with a status that promises it may go better the next time."""
-    fleet = await hold_back(deployment)
+    fleet = await crash_until_held_back(deployment)
     arrived = len(fleet.arrivals_s("last"))
     began_s = asyncio.get_running_loop().time()
-    reply = await send(deployment, SAFE, "last")
+    reply = await send_poison(deployment, SAFE_PATH, "last")
     assert asyncio.get_running_loop().time() - began_s < 0.5
     assert reply is not None
     assert reply.status == 502
@@ -169,17 +176,17 @@
     await fleet.stop()
 
 
-async def test_a_suspected_request_is_not_answered_as_one_that_ends_servers(
+async def test_suspected_request_is_not_refused_for_repeated_crashes(
     deployment: Deployment,
 ) -> None:
     """Most of what runs where a server ends is innocent."""
-    await recognizing(deployment)
+    await wait_until_recognizing(deployment)
     fleet = CrashingFleet(deployment)
     fleet.enable_crashes()
     suspected: list[Reply] = []
-    while not held_at(deployment.entry):
-        reply = await send(deployment, SAFE, f"suspect-{len(suspected)}")
-        if reply is not None and not held_at(deployment.entry):
+    while not held_back_digests(deployment.entry):
+        reply = await send_poison(deployment, SAFE_PATH, f"suspect-{len(suspected)}")
+        if reply is not None and not held_back_digests(deployment.entry):
             suspected.append(reply)
         await asyncio.sleep(0.1)
     errors = {json.loads(reply.body)["error"] for reply in suspected}
@@ -189,9 +196,11 @@
     await fleet.stop()
 
 
-async def test_others_with_the_same_path_are_served(deployment: Deployment) -> None:
-    fleet = await hold_back(deployment)
-    sender = RequestSender(deployment, SAFE, random.Random(1))
+async def test_other_requests_with_the_same_path_are_served(
+    deployment: Deployment,
+) -> None:
+    fleet = await crash_until_held_back(deployment)
+    sender = RequestSender(deployment, SAFE_PATH, random.Random(1))
     # All servers of the service are back by then, and known.
     await until(lambda: deployment.all_known(), 10.0)
     await sender.send("another", b"another body", 1)
@@ -199,40 +208,40 @@
     await fleet.stop()
 
 
-async def test_an_entry_that_starts_later_knows_before_it_sends(
+async def test_entry_that_starts_later_knows_held_back_requests(
     two_entries: Deployment,
 ) -> None:
     """Also if all entries were started again meanwhile: the store keeps it."""
-    fleet = await hold_back(two_entries)
-    (content,) = held_at(two_entries.entry)
+    fleet = await crash_until_held_back(two_entries)
+    (content,) = held_back_digests(two_entries.entry)
     store = two_entries.store
     await until(lambda: content in store.topic("keyed.railfold-quarantine").newest)
     two_entries._settings.append(two_entries._entry_settings(2))
     await two_entries.add_entry(2)
-    reply = await send(two_entries, SAFE, "late", entry=2)
+    reply = await send_poison(two_entries, SAFE_PATH, "late", entry=2)
     assert reply is not None
     assert reply.status == 502
     assert fleet.arrivals_s("late") == []
     await fleet.stop()
 
 
-async def test_entries_that_are_cut_from_each_other_learn_it_from_the_store(
+async def test_entries_cut_off_from_each_other_learn_holds_from_the_store(
     two_entries: Deployment,
 ) -> None:
     for entry in two_entries.entries:
         channel = entry._peering._channel
         assert channel is not None
         channel.set_key(bytes(32) + entry.router.failure_domain.encode())
-    fleet = await hold_back(two_entries)
-    await until(lambda: bool(held_at(two_entries.entries[1])))
+    fleet = await crash_until_held_back(two_entries)
+    await until(lambda: bool(held_back_digests(two_entries.entries[1])))
     await fleet.stop()
 
 
-async def test_the_operator_sees_it_and_lets_it_run_again(
+async def test_operator_can_list_and_lift_a_hold(
     two_entries: Deployment, tmp_path_factory: pytest.TempPathFactory
 ) -> None:
-    fleet = await hold_back(two_entries)
-    (content,) = held_at(two_entries.entry)
+    fleet = await crash_until_held_back(two_entries)
+    (content,) = held_back_digests(two_entries.entry)
     stream = two_entries.store.topic("keyed.railfold-quarantine")
     await until(lambda: content in stream.newest)
     settings = tmp_path_factory.mktemp("held") / "settings.toml"
@@ -253,21 +262,25 @@
     shown = json.loads(await command("held", "--json"))
     assert [row["content"] for row in shown] == [content]
     assert "lifted" in await command("lift", content)
-    await until(lambda: not any(map(held_at, two_entries.entries)))
+    await until(lambda: not any(map(held_back_digests, two_entries.entries)))
     assert "nothing is held back" in await command("held")
     await fleet.stop()
 
 
-async def test_a_popular_request_is_never_turned_away(two_entries: Deployment) -> None:
+async def test_popular_request_is_not_held_back_for_unrelated_crashes(
+    two_entries: Deployment,
+) -> None:
     """Many clients send it, while servers end one after the other for other reasons."""
-    await recognizing(two_entries)
+    await wait_until_recognizing(two_entries)
     fleet = CrashingFleet(two_entries)
     fleet.enable_crashes()
     for server in fleet.servers:
         server.crash_body = None
-    senders = [RequestSender(two_entries, SAFE, random.Random(n)) for n in range(6)]
+    senders = [
+        RequestSender(two_entries, SAFE_PATH, random.Random(n)) for n in range(6)
+    ]
 
-    async def keep_asking(sender: RequestSender) -> None:
+    async def send_popular(sender: RequestSender) -> None:
         for number in range(80):
             await sender.send(f"popular-{number}", b"the same for all", 1)
             await asyncio.sleep(0.02)
@@ -278,51 +291,53 @@
             await until(lambda: any(s.runs_now for s in two_entries.plain))
             next(s for s in two_entries.plain if s.runs_now).crash()
 
-    await asyncio.gather(crash_in_turn(), *map(keep_asking, senders))
+    await asyncio.gather(crash_in_turn(), *map(send_popular, senders))
     replies = [reply for sender in senders for reply in sender.replies if reply]
     assert len(fleet.crash_times_s) >= 3
     assert not any(b"repeated_crashes" in reply.body for reply in replies)
     await fleet.stop()
 
 
-async def test_a_lying_entry_cant_have_a_request_held_back_for_long(
+async def test_false_crash_reports_of_an_entry_are_retracted(
     two_entries: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """What it says of servers that run is struck out, and what follows from it."""
-    monkeypatch.setattr(crash_reports, "_CONTRADICTED_S", 0.5)
-    await recognizing(two_entries)
-    liar, entry = two_entries.entries
+    monkeypatch.setattr(crash_reports, "_CONTRADICTION_DELAY_S", 0.5)
+    await wait_until_recognizing(two_entries)
+    lying_entry, entry = two_entries.entries
     servers: list[Engine] = [*two_entries.engines, *two_entries.plain]
     crashes = [
         CrashNotice(server.server_id, 1000 - 200 * n, 900 - 200 * n)
         for n, server in enumerate(servers[:4])
     ]
-    told = CrashesNotice("0" * 32, "llm", "draft", "quality", crashes)
-    liar._peering._tell(told)
-    await until(lambda: bool(held_at(entry)))
-    await until(lambda: not held_at(entry))
+    notice = CrashesNotice("0" * 32, "llm", "draft", "quality", crashes)
+    lying_entry._peering._broadcast(notice)
+    await until(lambda: bool(held_back_digests(entry)))
+    await until(lambda: not held_back_digests(entry))
     assert entry.metrics.counters["peers.contradicted"] > 0
 
 
-async def test_of_many_that_had_begun_the_most_suspicious_are_told(
+async def test_only_the_most_suspicious_contents_are_announced(
     two_entries: Deployment,
 ) -> None:
     """An entry may have begun more there than it tells of."""
-    await recognizing(two_entries)
+    await wait_until_recognizing(two_entries)
     quarantine = two_entries.entry._peering.quarantine
     now_s = asyncio.get_running_loop().time()
     old = RequestContent("f" * 32, "llm", "draft", "quality")
-    quarantine._on_crash("gone-1", [ended_run(old, now_s - 1.0)])
-    runs = [ended_run(old, now_s - 0.9)]
+    quarantine._on_crash("gone-1", [interrupted_run(old, now_s - 1.0)])
+    runs = [interrupted_run(old, now_s - 0.9)]
     for number in range(30):
         content = RequestContent(f"{number:032x}", "llm", "draft", "quality")
-        runs.append(ended_run(content, now_s - 0.1))
+        runs.append(interrupted_run(content, now_s - 0.1))
     quarantine._on_crash("gone-2", runs)
     other = two_entries.entries[1]._peering.quarantine._quarantine
     await until(lambda: len(other.crashes_of(old.digest)) == 2)
     assert len(other) <= 9
 
 
-def ended_run(content: RequestContent, began_s: float) -> EndedRun:
-    figures = RunFigures("llm", ("gone",), began_s, moved_s=0.0, after_event=0)
-    return EndedRun(content, figures, began_s + 0.05)
+def interrupted_run(content: RequestContent, began_s: float) -> InterruptedRun:
+    details = RunDetails(
+        "llm", ("gone",), began_s, events_duration_s=0.0, after_event=0
+    )
+    return InterruptedRun(content, details, began_s + 0.05)
--- a/tests/unit/test_peers.py
+++ b/tests/unit/test_peers.py
@@ -19,23 +19,23 @@
 from railfold._internal.decisions.peers import Peer, PeerView, SeenMessages
 from railfold._internal.errors import PeerMessageError
 from railfold._internal.forwarding.peers.peer_messages import (
-    MOST_CRASHES_SENT,
+    MAX_CRASHES_SENT,
     ArrivalsNotice,
-    ContentCleared,
     CrashesNotice,
     CrashNotice,
     DomainLoadNotice,
     EntryStarted,
     Envelope,
-    LoadPartNotice,
+    LoadContributionNotice,
     LoadRows,
     LoadSumNotice,
     PeerMessageCodec,
     PermitReply,
     PermitRequest,
-    PlacementLed,
+    PlacementLeaderNotice,
     RateLimitNotice,
-    TrialBegun,
+    SuccessNotice,
+    TrialStarted,
 )
 from railfold._internal.forwarding.store.shared_records import (
     decode_entry,
@@ -140,7 +140,7 @@
     "llm",
     "draft",
     "quality",
-    [CrashNotice("i-" + "7" * 40, 10, 5, "v" * 30, 2**40)] * MOST_CRASHES_SENT,
+    [CrashNotice("i-" + "7" * 40, 10, 5, "v" * 30, 2**40)] * MAX_CRASHES_SENT,
 )
 
 
@@ -148,16 +148,16 @@
     "message",
     [
         CRASHES,
-        ContentCleared(DIGEST, 10),
-        TrialBegun(DIGEST),
+        SuccessNotice(DIGEST, 10),
+        TrialStarted(DIGEST),
         EntryStarted("entry-1", "10.0.0.1:7355", 1),
-        PlacementLed("entry-1"),
+        PlacementLeaderNotice("entry-1"),
         ArrivalsNotice("entry-1", {"s" * 30 + str(n): 1.5 for n in range(16)}),
         RateLimitNotice("i-1@5", 1.4, 20),
         RateLimitNotice("i-1@5", None, 20),
         PermitRequest("entry-1", 7, RateLimitNotice("i-1@5", 1.4, 20), 100),
         PermitReply("entry-1", 7, granted=True, wait_ms=20),
-        LoadPartNotice("entry-1", 3, LoadRows([[6, 50, 1, 40, 1], [7, 900]])),
+        LoadContributionNotice("entry-1", 3, LoadRows([[6, 50, 1, 40, 1], [7, 900]])),
         LoadSumNotice("entry-1", 3, [5], 2, LoadRows([[6, 5]], 1, 2), 5, {"west-a": 1}),
         DomainLoadNotice("west-b", 3, 2, LoadRows([]), {"west-a": 1}, hops=1),
     ],
@@ -181,7 +181,7 @@
 
 
 def test_message_with_a_wrong_key_is_refused(codec: PeerMessageCodec) -> None:
-    envelope = Envelope("entry-1", b"8 bytes.", int(NOW_S * 1000), TrialBegun(DIGEST))
+    envelope = Envelope("entry-1", b"8 bytes.", int(NOW_S * 1000), TrialStarted(DIGEST))
     forged = PeerMessageCodec(b"x" * 32).encode(envelope)
     with pytest.raises(PeerMessageError, match="authentication"):
         codec.decode(forged, NOW_S)
@@ -190,7 +190,7 @@
 def test_replayed_message_is_refused(
     codec: PeerMessageCodec,
 ) -> None:
-    envelope = Envelope("entry-1", b"8 bytes.", int(NOW_S * 1000), TrialBegun(DIGEST))
+    envelope = Envelope("entry-1", b"8 bytes.", int(NOW_S * 1000), TrialStarted(DIGEST))
     datagram = codec.encode(envelope)
     codec.decode(datagram, NOW_S + 5.0)
     with pytest.raises(PeerMessageError, match="too old"):
