--- a/tests/unit/test_peers.py
+++ b/tests/unit/test_peers.py
@@ -238,14 +238,14 @@
         }
     )
     with pytest.raises(PeerMessageError):
-        codec.decode(codec._code(body) + body, NOW_S)
+        codec.decode(codec._mac(body) + body, NOW_S)
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=2000))
 def test_arbitrary_bytes_raise_only_peer_message_errors(data: bytes) -> None:
     codec = PeerMessageCodec(b"k" * 32)
-    for datagram in (data, codec._code(data) + data):
+    for datagram in (data, codec._mac(data) + data):
         with pytest.raises(PeerMessageError):
             codec.decode(datagram, NOW_S)
 
