--- a/tests/forwarding/test_rate_limits.py
+++ b/tests/forwarding/test_rate_limits.py
@@ -56,7 +56,7 @@
     for entry in deployment.entries:
         channel = entry._peering._channel
         assert channel is not None
-        channel._send = lambda datagram, peers: None  # type: ignore[method-assign]
+        channel._send_datagram = lambda datagram, peers: None  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("entries", [1, 5])
