--- a/src/railfold/_internal/forwarding/peers/__init__.py
+++ b/src/railfold/_internal/forwarding/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Other entries: what is told and asked between them."""
+"""Communication between the entries: datagrams and shared records."""
--- a/src/railfold/_internal/forwarding/peers/arrival_exchange.py
+++ b/src/railfold/_internal/forwarding/peers/arrival_exchange.py
@@ -1,7 +1,8 @@
-"""Child that tells the entry which places layers what arrives here.
+"""Child that sends arrival rates to the entry that places layers.
 
-Placing needs the load of all entries, and only one of them places. It says so every few
-seconds; the others send it their figures. Who isn't heard is reckoned with the mean.
+Placement needs the arrival rates of all entries, but only one entry, the leader, places
+layers. The leader announces itself every few seconds, and the other entries send it
+their rates. An entry whose rates are missing is assumed to have the average rates.
 """
 
 from __future__ import annotations
@@ -18,25 +19,28 @@
 
 __all__ = ["ArrivalExchange"]
 
-# Rates follow a burst within seconds; so should what is told of them.
+# The shortest interval between two messages with rates. Rates rise within seconds of a
+# burst, and the leader should know them as quickly.
 _MIN_SEND_INTERVAL_S = 1.0
 
-# What the entry that places layers takes in for this: 60 messages of 100 bytes a second
-# are the 6 KB/s that a daemon has for control. 380 entries tell every 6.3 s.
+# The rate at which the leader can receive these messages: 60 messages of 100 bytes per
+# second use the 6 KB/s that a daemon has for control traffic. With 380 entries, each
+# therefore sends its rates every 6.3 s.
 _MAX_LEADER_MESSAGES_PER_S = 60.0
 
-# The one that places says so this often; after three times as long it is forgotten.
+# How often the leader announces itself, and how long after its last announcement the
+# other entries stop sending to it.
 _LEADER_ANNOUNCE_INTERVAL_S = 5.0
 _LEADER_TIMEOUT_S = 3 * _LEADER_ANNOUNCE_INTERVAL_S
 
-# A datagram holds the rates of so many services.
+# The maximum number of services whose rates fit in a datagram.
 _MAX_SERVICES_SENT = 16
 
 
 class ArrivalExchange:
-    """Tells arrivals to the one that places layers, or gathers them.
+    """Sends arrival rates to the leader, or collects those of the others as leader.
 
-    :param name: this entry's.
+    :param name: name of this entry.
     """
 
     def __init__(
@@ -52,7 +56,7 @@
         self._announced_s = float("-inf")
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Tell until cancelled."""
+        """Send announcements or rates until cancelled."""
         ready.set()
         while True:
             await asyncio.sleep(self._send_interval_s)
@@ -71,7 +75,7 @@
                 self._announced_s = now_s
                 self._channel.broadcast(PlacementLeaderNotice(self._name))
             return
-        self._announced_s = float("-inf")  # Once it leads, it says so at once.
+        self._announced_s = float("-inf")  # A new leader announces itself at once.
         if now_s - self._leader_announced_s < _LEADER_TIMEOUT_S:
             self._channel.send_to(
                 self._leader, ArrivalsNotice(self._name, self._busiest_rates_per_s)
@@ -84,11 +88,11 @@
         return {s: round(rates[s], 3) for s in busiest[:_MAX_SERVICES_SENT]}
 
     def leader_announced(self, message: PlacementLeaderNotice) -> None:
-        """Another entry places layers."""
+        """Process the announcement of the entry that places layers."""
         self._leader = message.name
         self._leader_announced_s = self._loop.time()
 
     def arrivals_received(self, message: ArrivalsNotice) -> None:
-        """Another entry tells what arrives there."""
+        """Process the arrival rates of another entry."""
         now_s = self._loop.time()
         self._router.fleet_arrivals.announced(message.name, message.per_s, now_s)
--- a/src/railfold/_internal/forwarding/peers/load_exchange.py
+++ b/src/railfold/_internal/forwarding/peers/load_exchange.py
@@ -1,7 +1,9 @@
-"""Child that announces this entry's load and arrivals, and takes the others'.
+"""Child that exchanges load and arrival rates with the other entries.
 
-Servers and demand are named by short digests, which each entry finds again among the
-servers and workspaces that it knows itself.
+The load of all entries is added up in rounds (see
+:mod:`railfold._internal.decisions.load_rounds`). Messages name backend servers and the
+keys of demand by short digests. The receiver looks these up among the servers and
+workspaces that it knows itself, and ignores those that it doesn't know.
 """
 
 from __future__ import annotations
@@ -45,53 +47,63 @@
 
 LoadMessage = LoadContributionNotice | LoadSumNotice | DomainLoadNotice
 
-# What an entry sends and receives for this; 6 KB/s are for all of control.
+# The bandwidth that an entry may use for the exchange, for sending and receiving
+# together. All control traffic has 6 KB/s.
 _BUDGET_BYTES_PER_S = 4500.0
 
-# Requests stay for seconds, so that sums that are younger change little.
+# Limits of the interval between rounds. Most requests run for seconds, so that sums
+# change little in a shorter time.
 _MIN_INTERVAL_S = 0.4
 _MAX_INTERVAL_S = 10.0
 
-# A round is this part of the interval long if nothing is lost.
+# The duration of a round, as a share of the interval, if no message is lost.
 _TYPICAL_ROUND_SHARE = 0.75
 
-# After so many intervals without a sum an entry reckons by itself.
+# How many intervals a sum is used. If no newer one arrives by then, the entry estimates
+# the load of the others from its own.
 _LIFETIME_INTERVALS = 6
 
 _STEPS_PER_INTERVAL = 8
 
-# Of code, envelope, names and headers of the network.
+# Bytes of a message besides its rows: authentication code, envelope, names and network
+# headers.
 _MESSAGE_OVERHEAD_BYTES = 200
 
-# What tokens are counted in, so that most amounts take one or two bytes.
+# Tokens are sent in units of this many, so that most amounts take one or two bytes.
 _TOKENS_PER_UNIT = 16
 
-# The busiest ranks and workspaces of an entry, and of a sum.
+# The maximum number of demand rows, each for one service, priority and workspace, in an
+# entry's contribution and in a sum. Those with the highest arrival rates are kept.
 _MAX_OWN_DEMAND_ROWS = 32
 _MAX_SUM_DEMAND_ROWS = 64
 
+# The number of amounts in a row of load, and in a row of demand.
 _LOAD_AMOUNT_COUNT = 4
 _DEMAND_AMOUNT_COUNT = 1
 
-# Messages whose pages haven't all come.
+# The maximum number of messages that are kept while some of their pages are missing.
 _MAX_INCOMPLETE_MESSAGES = 32
 
-# Below this share of entries whose load is known, the exchange is logged as lost.
+# The exchange is logged as lost while the load of fewer entries than this share is
+# known.
 _MIN_KNOWN_SHARE = 0.5
 
-# How long a server counts as full that rejected requests of others lately.
+# How long a server counts as full after another entry announced that it rejects
+# requests.
 _FULL_DURATION_S = 0.1
 
-# A sum of another domain that arrives as a round ends is passed on once more.
+# How often a sum of another domain is forwarded within this domain. The second time is
+# for a sum that reaches the collector as its round ends.
 _MAX_HOPS = 2
 
+# The name under which the load of all other entries is stored.
 _OTHER_ENTRIES = "others"
 
 
 class LoadExchange:
-    """Sends parts and sums of load to other entries, and takes theirs.
+    """Sends contributions and sums of load to other entries, and processes theirs.
 
-    :param name: this entry's.
+    :param name: name of this entry.
     """
 
     def __init__(self, name: str, router: Router, channel: PeerChannel) -> None:
@@ -111,7 +123,7 @@
         self._knows_others: bool | None = None
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Exchange until cancelled."""
+        """Take part in the rounds until cancelled."""
         ready.set()
         while True:
             self._step()
@@ -204,7 +216,10 @@
     # Messages of other entries
 
     def message_received(self, message: LoadMessage) -> None:
-        """Take a message, once all its pages are there."""
+        """Process another entry's message, once all its pages have arrived.
+
+        A sum of another domain is forwarded if this entry isn't the next collector.
+        """
         now_s = self._loop.time()
         if isinstance(message, DomainLoadNotice) and message.hops < _MAX_HOPS:
             domain_members = self._channel.names_by_domain.get(
@@ -221,7 +236,7 @@
         match message:
             case LoadContributionNotice(name=name, round=number):
                 if self._rounds.contribution_received(name, number, amounts_by_key):
-                    self._step()  # It may be the last one.
+                    self._step()  # The round may be complete now.
                 else:
                     self._router.metrics.count("load.parts_late")
             case DomainLoadNotice(domain=domain, round=number, entries=entries):
@@ -246,6 +261,10 @@
                     self._apply_others_load(others_load, now_s)
 
     def _assemble(self, message: LoadMessage) -> AmountsByKey | None:
+        """Return the amounts of a message; ``None`` while pages of it are missing.
+
+        Trailing zeros, which are left out on the wire, are restored.
+        """
         sender = (
             message.domain if isinstance(message, DomainLoadNotice) else message.name
         )
@@ -275,10 +294,10 @@
 
     def _reject(self, cause: str) -> None:
         self._router.metrics.count("peers.refused")
-        logging.info("another entry's load is passed over: %s", cause)
+        logging.info("a load message of another entry is ignored: %s", cause)
 
     def _apply_others_load(self, others_load: OtherEntriesLoad, now_s: float) -> None:
-        """Take what the other entries have under way, and what arrives there."""
+        """Store the load and the arrival rates of the other entries."""
         router = self._router
         loads: dict[str, EntryLoad] = {}
         servers = {_load_key(e.server_id): e.server_id for e in router.directory}
@@ -306,9 +325,10 @@
             arrivals.announced(_OTHER_ENTRIES, demand, others_load.at_s, now_s, entries)
         router.metrics.count("load.sums_taken")
 
-    # This entry's own part
+    # This entry's contribution
 
     def _own_amounts(self, now_s: float) -> AmountsByKey:
+        """Return the load and the arrival rates of this entry, as sent to others."""
         router = self._router
         own: dict[int, tuple[int, ...]] = {}
         full = set(router.fleet_load.full_servers(now_s))
@@ -337,16 +357,16 @@
             self._demand_keys = {_demand_key(key): key for key in keys}
         return self._demand_keys
 
-    # Pace
+    # Interval of the rounds
 
     def _adjust_interval(
         self, total: AmountsByKey, members: Mapping[str, Sequence[str]]
     ) -> None:
-        """Let the interval follow from what a round takes of the budget.
+        """Set the interval so that the exchange stays within its bandwidth.
 
-        On average an entry sends a part and a sum, and receives as much, where parts
-        are about half as large. Sums of other domains come, are passed on and handed
-        over, once a domain.
+        Per round, an entry on average sends one contribution and one sum and receives
+        the same; contributions are about half as large as sums. The sum of each other
+        domain is also received, forwarded and sent to the next collector.
         """
         pages = _split_into_pages(total)
         sum_bytes = len(pages) * _MESSAGE_OVERHEAD_BYTES + sum(
@@ -363,6 +383,10 @@
         self._router.metrics.gauge("load.interval_s", interval_s)
 
     def _update_known_share(self, now_s: float, *, others: bool) -> None:
+        """Record the share of entries whose load is known; log if it is lost or back.
+
+        :param others: whether there are other entries.
+        """
         load, metrics = self._router.fleet_load, self._router.metrics
         known_entries = load.known_entries(now_s)
         age_s = load.age_s(now_s)
@@ -385,22 +409,22 @@
 
 
 def _short_digest(name: str) -> int:
-    """Return a key that lets all entries of a large failure domain fit in a message."""
+    """Return a 16-bit key, so that one message can list a large domain's entries."""
     return _digest(name) & 0xFFFF
 
 
 def _load_key(server_id: str) -> int:
-    """Return an even key."""
+    """Return the key of a backend server's load, an even number."""
     return _digest(server_id) & ~1
 
 
 def _demand_key(key: DemandKey) -> int:
-    """Return an odd key."""
+    """Return the key of an arrival rate, an odd number."""
     return _digest(f"{key.priority}/{key.service}/{key.workspace}") | 1
 
 
 def _demand_keys(table: RoutingTable) -> list[DemandKey]:
-    """Return what may arrive by a configuration."""
+    """Return the keys of all demand that a configuration allows, sorted."""
     owners = set(table.credentials.values()) if table.credentials is not None else ()
     workspaces: dict[str, set[int | None]] = {"": {None}}
     for owner in owners:
@@ -419,7 +443,7 @@
 
 
 def _limit_demand_rows(amounts_by_key: AmountsByKey) -> AmountsByKey:
-    """Return amounts without arrivals but the largest."""
+    """Return the amounts with only the highest arrival rates, up to the maximum."""
     demand = sorted(
         (key for key in amounts_by_key if key % 2),
         key=lambda key: -amounts_by_key[key][0],
@@ -433,11 +457,14 @@
 
 
 def _token_units(tokens: int) -> int:
-    return -(-tokens // _TOKENS_PER_UNIT)
+    return -(-tokens // _TOKENS_PER_UNIT)  # Rounded up.
 
 
 def _split_into_pages(amounts_by_key: AmountsByKey) -> list[LoadRows]:
-    """Return rows in pages that fit in a datagram each."""
+    """Return the amounts as rows, in pages that each fit in a datagram.
+
+    Trailing zeros of a row are left out.
+    """
     pages: list[list[list[int]]] = [[]]
     remaining_bytes = MAX_ROWS_BYTES
     for key, amounts in amounts_by_key.items():
@@ -454,11 +481,13 @@
 
 
 def _row_bytes(row: tuple[int, Sequence[int]]) -> int:
+    """Return the encoded size of a row, given by its key and amounts."""
     key, amounts = row
     return 1 + _int_bytes(key) + sum(map(_int_bytes, amounts))
 
 
 def _int_bytes(value: int) -> int:
+    """Return the size of an integer from 0 to 2^32 - 1 in MessagePack."""
     for size, limit in ((1, 1 << 7), (2, 1 << 8), (3, 1 << 16)):
         if value < limit:
             return size
--- a/src/railfold/_internal/forwarding/peers/peer_channel.py
+++ b/src/railfold/_internal/forwarding/peers/peer_channel.py
@@ -1,7 +1,7 @@
-"""Child that tells other entries news, and hears theirs, in datagrams.
+"""Child that exchanges messages with other entries in datagrams.
 
-A datagram may be lost: what it says must come again with the next one, or from the
-store. Nothing waits for an answer.
+A datagram may be lost, and none is acknowledged. What a lost one said must be repeated
+in the next one, or be read from the store.
 """
 
 from __future__ import annotations
@@ -27,18 +27,23 @@
 
 __all__ = ["PeerChannel"]
 
+# Distinguishes the key of this channel from others derived from the shared key.
 _KEY_PURPOSE = b"peers"
 
-# Another process may hold the port for as long as it takes to end.
+# The delay between attempts to open the socket. Another process may be using the port
+# until it has exited.
 _OPEN_RETRY_S = 5.0
 _MESSAGE_ID_BYTES = 8
 
 
 class PeerChannel(asyncio.DatagramProtocol):
-    """Sends messages to other entries, and passes on what those send.
+    """Sends messages to other entries, and forwards those that need it.
 
-    :param address: where this entry takes messages.
-    :param on_message: takes each message once, whatever way it came.
+    Nothing is sent or received before the shared key is set.
+
+    :param address: where this entry receives messages.
+    :param on_message: called once with each received message, even if several copies
+        of it arrive.
     """
 
     def __init__(
@@ -60,7 +65,7 @@
         self._last_refusal = ""
 
     def set_key(self, shared_key: bytes) -> None:
-        """Take the key that all entries share; nothing is sent or heard before."""
+        """Set the key that all entries share."""
         self._codec = PeerMessageCodec(derive_key(shared_key, _KEY_PURPOSE))
 
     async def run(self, ready: asyncio.Event) -> None:
@@ -75,7 +80,10 @@
             transport.close()
 
     async def _open_socket(self) -> asyncio.DatagramTransport:
-        """Open the socket; an entry without it serves, and the store tells it."""
+        """Open the socket, retrying until it succeeds.
+
+        Meanwhile the entry serves requests, and learns from the store what it must.
+        """
         loop = asyncio.get_running_loop()
         local = (self._address.ip, self._address.port)
         while True:
@@ -85,38 +93,42 @@
                 )
             except OSError as error:
                 self._metrics.count("peers.unreachable")
-                logging.warning("%s can't be opened: %s", self._address, error)
+                logging.warning(
+                    "cannot listen for messages of other entries on %s: %s",
+                    self._address,
+                    error,
+                )
                 await asyncio.sleep(_OPEN_RETRY_S)
             else:
                 return transport
 
     @property
     def peers(self) -> Sequence[str]:
-        """The other entries' names, if they can be told anything now."""
+        """The names of the other entries; none before the key is set."""
         return self._view.names if self._codec is not None else ()
 
     def broadcast(self, message: PeerMessage) -> None:
-        """Tell other entries something, which they pass on."""
+        """Send a message to all other entries, by gossip if the fleet is large."""
         self._send_message(message, self._view.sample(self._rng, ()), direct=False)
 
     def send_to_sample(self, message: PeerMessage) -> None:
-        """Tell some other entries something, which they don't pass on."""
+        """Send a message to some random entries, which don't forward it."""
         self._send_message(message, self._view.sample(self._rng, ()), direct=True)
 
     def send_to(self, name: str, message: PeerMessage) -> None:
-        """Tell one entry something."""
+        """Send a message to one entry, if it is known."""
         peer = self._view.get(name)
         if peer is not None:
             self._send_message(message, [peer], direct=True)
 
     def send_to_each(self, names: Iterable[str], message: PeerMessage) -> None:
-        """Tell some entries the same, which they don't pass on."""
+        """Send a message to the named entries that are known."""
         peers = [peer for name in names if (peer := self._view.get(name)) is not None]
         self._send_message(message, peers, direct=True)
 
     @property
     def names_by_domain(self) -> dict[str, list[str]]:
-        """Who announces load, by failure domain, with this entry."""
+        """Entries that announce load, by failure domain, including this entry."""
         return self._view.names_by_domain()
 
     def _send_message(
@@ -143,7 +155,7 @@
     # asyncio.DatagramProtocol
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take a datagram, and pass it on if the first sender can't tell all."""
+        """Process a datagram; forward its message if the sender can't reach all."""
         if self._codec is None:
             return
         try:
@@ -160,11 +172,11 @@
 
     def _refuse(self, cause: str, addr: tuple[str, int]) -> None:
         self._metrics.count("peers.refused")
-        if cause != self._last_refusal:  # Whoever sends such may send many.
+        if cause != self._last_refusal:  # Logs a flood of such datagrams once.
             self._last_refusal = cause
-            logging.warning("a datagram of %s is refused: %s", addr[0], cause)
+            logging.warning("rejected a datagram from %s: %s", addr[0], cause)
 
     def error_received(self, exc: Exception) -> None:
-        """Note that a datagram wasn't taken; whoever runs there may start later."""
+        """Count a datagram that couldn't be delivered; the receiver may start later."""
         self._metrics.count("peers.unreachable")
-        logging.debug("a datagram wasn't taken: %s", exc)
+        logging.debug("a datagram could not be delivered: %s", exc)
--- a/src/railfold/_internal/forwarding/peers/peer_list_sync.py
+++ b/src/railfold/_internal/forwarding/peers/peer_list_sync.py
@@ -1,4 +1,4 @@
-"""Child that knows the other entries: from the store's list, and by their own word."""
+"""Child that keeps the list of entries, from the store and from announcements."""
 
 from __future__ import annotations
 
@@ -25,12 +25,13 @@
 
 __all__ = ["PeerListSync"]
 
-# Entries that start tell the others; the list only mends what was lost. Two calls an
-# entry and minute are a fiftieth of its calls for the lease of placement.
+# How often the list is read from the store. Entries announce themselves to the others
+# when they start, so that the list only makes up for lost announcements. With two calls
+# per minute, an entry calls the store 50 times less often than for its placement lease.
 _READ_INTERVAL_S = 60.0
 
-# An entry writes its row again so often; a row that is three times as old is of one
-# that is gone for good.
+# How often an entry writes its row again. A row that is three times as old belongs to
+# an entry that no longer exists.
 _WRITE_INTERVAL_S = 600.0
 _MAX_ROW_AGE_S = 3.0 * _WRITE_INTERVAL_S
 
@@ -38,10 +39,11 @@
 
 
 class PeerListSync:
-    """Keeps this entry's row in the store's list, and reads the others'.
+    """Keeps this entry's row in the store's list, and reads the rows of the others.
 
-    :param tell: tells the other entries something.
-    :param on_listed: takes how many entries the list holds, with this one.
+    :param stream: the stream of the store's log that holds the list.
+    :param broadcast: sends a message to the other entries.
+    :param on_entry_count: called with the number of entries, including this one.
     """
 
     def __init__(
@@ -68,11 +70,11 @@
         self._has_announced = False
         self._leaving = False
         self._sync_requested = asyncio.Event()
-        # Until then the list may lack entries that are there.
+        # Until then the list may lack entries that are running.
         self._incomplete_until_s = float("-inf")
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Write and read until cancelled."""
+        """Write this entry's row and read the list until cancelled."""
         ready.set()
         failures = 0
         while True:
@@ -83,18 +85,22 @@
             except LogUnavailableError as error:
                 failures += 1
                 delay_s = self._backoff.delay_s(failures)
-                logging.info("the entries' list can't be read: %s", error)
+                logging.info("cannot read or write the list of entries: %s", error)
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._sync_requested.wait(), delay_s)
 
     def log_went_back(self) -> None:
-        """The store may have lost rows of the list: write this entry's own again."""
+        """Write this entry's row again, since the store may have lost rows."""
         self._written_s = None
         self._incomplete_until_s = asyncio.get_running_loop().time() + _READ_INTERVAL_S
         self._sync_requested.set()
 
     async def _sync(self) -> None:
-        """Write before reading: of two that start together one sees the other."""
+        """Write this entry's row if it is due, and read the list.
+
+        It writes before it reads, so that of two entries that start at the same time at
+        least one finds the other.
+        """
         self._sync_requested.clear()
         now_s = asyncio.get_running_loop().time()
         if not self._leaving and self._is_write_due(now_s):
@@ -116,12 +122,12 @@
         self._announce()
 
     def channel_ready(self) -> None:
-        """The others understand from now on what this entry tells."""
+        """Announce this entry from now on: the channel has its key."""
         self._is_channel_ready = True
         self._announce()
 
     def _announce(self) -> None:
-        """Tell the others once that this entry has started."""
+        """Announce once that this entry has started, when the list was read."""
         if self._has_announced or not (self._is_channel_ready and self._has_read):
             return
         self._has_announced = True
@@ -135,21 +141,24 @@
         return self._written_s is None or now_s - self._written_s >= _WRITE_INTERVAL_S
 
     def _decode_row(self, item: KeyedValue) -> Peer | None:
+        """Return the entry of a row; ``None`` if the row is empty, old or malformed."""
         if not item.value:
             return None
         oldest_unix_s = clock.unix_time_s() - _MAX_ROW_AGE_S
         try:
             return decode_entry(item.key, item.value, oldest_unix_s)
         except PeerMessageError as error:
-            logging.warning("a row of the entries' list is passed over: %s", error)
+            logging.warning("ignored a row of the list of entries: %s", error)
             return None
 
     def entry_started(self, message: EntryStarted) -> None:
-        """Another entry has started."""
+        """Process the announcement of an entry that has started."""
         try:
             address = parse_address(message.address)
         except ValueError as error:
-            logging.warning("an entry's address is wrong: %s", error)
+            logging.warning(
+                "invalid address in the announcement of an entry: %s", error
+            )
             return
         peer = Peer(
             message.name, address, message.started_at_ms, message.failure_domain
@@ -160,9 +169,11 @@
             self._on_entry_count(len(self._view) + 1)
 
     async def leave(self) -> None:
-        """Take this entry's row away: it ends as planned."""
+        """Remove this entry's row, since the entry stops as planned."""
         self._leaving = True
         try:
             await self._log.put(self._stream, self._view.own.name, b"")
         except LogUnavailableError as error:
-            logging.info("this entry's row stays until it is too old: %s", error)
+            logging.info(
+                "this entry's row stays in the list until it expires: %s", error
+            )
--- a/src/railfold/_internal/forwarding/peers/peer_messages.py
+++ b/src/railfold/_internal/forwarding/peers/peer_messages.py
@@ -1,8 +1,9 @@
-"""What entries tell each other, and its form on the wire.
+"""Messages between entries, and their wire format.
 
-A datagram is an authentication code and one message in MessagePack. Times are told as
-ages, since clocks differ. What can't be read, is too large, too old or has a wrong code
-is refused whole; unknown fields are passed over, so that versions can differ.
+A datagram consists of an authentication code and one message in MessagePack. Times are
+sent as ages, since clocks differ. A datagram that is malformed, too large, too old or
+has a wrong authentication code is rejected. Unknown fields are ignored, so that entries
+of different versions can communicate.
 """
 
 from __future__ import annotations
@@ -43,16 +44,17 @@
     "TrialStarted",
 ]
 
-# A datagram that isn't cut into packets on any usual network.
+# A datagram of this size isn't fragmented on common networks.
 _MAX_DATAGRAM_BYTES = 1400
 
-# So many crashes of one content fit beside the rest: each takes up to 70 bytes.
+# The maximum number of crashes of one content in a message. Each takes up to 70 bytes.
 MAX_CRASHES_SENT = 12
 
+# The size of the message authentication code.
 _MAC_BYTES = 16
 
-# A recorded message that is sent again later would tell of old crashes as new ones.
-# Hosts' times of day differ by seconds, and may jump by some.
+# The maximum age of a message: one that is recorded and replayed later would report old
+# crashes as new ones. The hosts' clocks differ by seconds, and may jump by seconds.
 _MAX_AGE_S = 30.0
 
 _Name = Annotated[str, Meta(min_length=1, max_length=128)]
@@ -64,12 +66,14 @@
 _Rate = Annotated[float, Meta(ge=0.0, le=1e6)]
 _RateLimit = Annotated[float, Meta(ge=0.0, le=1e9)]
 
-# What the rows of one message may take, so that the entries that are included fit too.
+# The maximum size of the rows in one message. The rest of a datagram is for the keys of
+# the entries that are included in a sum.
 MAX_ROWS_BYTES = 800
 
 _MAX_LOAD_ROWS = MAX_ROWS_BYTES // 6
 
-# 16 pages hold the rows of 600 engines and as many of workspaces.
+# The maximum number of pages of a message: 16 hold the rows of 600 engines and as many
+# workspaces.
 _MAX_PAGES = 16
 _MAX_INCLUDED = 128
 
@@ -82,12 +86,16 @@
 _Amount = Annotated[int, Meta(ge=0, lt=2**32)]
 _LoadRow = Annotated[list[_Amount], Meta(min_length=2, max_length=5)]
 
-# The busiest services of an entry; the users plan for eight models.
+# The maximum number of services in a notice of arrivals. The users plan for eight
+# models.
 _MAX_SERVICES = 16
 
 
 class CrashNotice(msgspec.Struct, frozen=True, array_like=True):
-    """A backend server that ended while a request had just begun there."""
+    """The crash of a backend server shortly after a request was sent to it.
+
+    The fields are those of :class:`railfold._internal.decisions.quarantine.Crash`.
+    """
 
     server_id: _Name
     began_ago_ms: _AgeMs
@@ -98,7 +106,7 @@
 
 
 class CrashesNotice(msgspec.Struct, frozen=True, tag="crashes"):
-    """Crashes under one content, the newest that the sender knows."""
+    """The newest crashes of one content that the sender knows."""
 
     digest: _Digest
     service: _Name
@@ -108,26 +116,32 @@
 
 
 class SuccessNotice(msgspec.Struct, frozen=True, tag="cleared"):
-    """A request of this content ran well."""
+    """A run of this content succeeded.
+
+    :param ago_ms: how long ago.
+    """
 
     digest: _Digest
     ago_ms: _AgeMs
 
 
 class TrialStarted(msgspec.Struct, frozen=True, tag="trial"):
-    """The sender lets one request of a content that is held back through."""
+    """The sender lets one request of a restricted content through, as a trial."""
 
     digest: _Digest
 
 
 class TrialNotRun(msgspec.Struct, frozen=True, tag="trial-not-run"):
-    """The request that the sender let through wasn't run."""
+    """The request that the sender let through as a trial wasn't run."""
 
     digest: _Digest
 
 
 class EntryStarted(msgspec.Struct, frozen=True, tag="entry"):
-    """An entry takes messages at this address."""
+    """An entry has started, and receives messages at this address.
+
+    :param started_at_ms: Unix time of its start.
+    """
 
     name: _Name
     address: _Name
@@ -136,15 +150,16 @@
 
 
 class PlacementLeaderNotice(msgspec.Struct, frozen=True, tag="placement"):
-    """An entry places layers, and wants to know what arrives at the others."""
+    """The sender places layers; the other entries send it their arrival rates."""
 
     name: _Name
 
 
 class LeadershipReleased(msgspec.Struct, frozen=True, tag="unled"):
-    """An entry that placed layers stopped, since it can't renew its lease.
+    """The sender no longer places layers, since it can't renew its lease.
 
-    :param member: its id in the lease's group, which it uses no more.
+    :param member: the id under which it was a member of the lease's group, and which it
+        doesn't use again.
     """
 
     name: _Name
@@ -152,17 +167,19 @@
 
 
 class ArrivalsNotice(msgspec.Struct, frozen=True, tag="arrivals"):
-    """Requests a second that arrive at an entry, by service."""
+    """Requests per second that arrive at the sender, by service."""
 
     name: _Name
     per_s: Annotated[dict[_Name, _Rate], Meta(max_length=_MAX_SERVICES)]
 
 
 class ProofRequest(msgspec.Struct, frozen=True, tag="proof?"):
-    """The sender asks which configuration the receiver knows to be in force.
+    """Asks the receiver for its proof of which configuration is in force.
 
-    :param question: stands in the answer.
-    :param version: the newest that the sender knows, of this history of the store.
+    :param question: identifies the question; the reply repeats it.
+    :param version: the newest configuration version that the sender knows.
+    :param epoch: the newest epoch of the store's log that the sender knows. Versions
+        that were read in different epochs aren't compared.
     """
 
     name: _Name
@@ -172,7 +189,12 @@
 
 
 class ProofReply(msgspec.Struct, frozen=True, tag="proof"):
-    """The answer: the newest version, of which history, as of how long ago."""
+    """The reply to a :class:`ProofRequest`.
+
+    :param version: the newest configuration version that the sender knows.
+    :param epoch: as in the request.
+    :param age_ms: how long ago it was proven that this version is in force.
+    """
 
     name: _Name
     question: Annotated[int, Meta(ge=0, le=2**32)]
@@ -182,10 +204,11 @@
 
 
 class RateLimitNotice(msgspec.Struct, frozen=True, tag="limit"):
-    """How many requests a second a backend server takes from all entries.
+    """The rate limit of a backend server, for the requests of all entries together.
 
-    :param per_s: nothing if the server names no limit any more.
-    :param age_ms: how long ago the server said so.
+    :param per_s: requests per second; ``None`` if the server no longer advertises a
+        limit.
+    :param age_ms: how long ago the server advertised it.
     """
 
     server_id: _Name
@@ -194,11 +217,11 @@
 
 
 class PermitRequest(msgspec.Struct, frozen=True, tag="permit?"):
-    """The sender asks for a permit to send to a server with a limit.
+    """Asks for a permit to send a request to a server with a rate limit.
 
-    :param question: stands in the answer.
-    :param limit: what the sender knows of it, which the receiver may not have heard.
-    :param max_wait_ms: how long the request may wait.
+    :param question: identifies the question; the reply repeats it.
+    :param limit: the limit that the sender knows, since the receiver may not know it.
+    :param max_wait_ms: how long the request may wait for its permit.
     """
 
     name: _Name
@@ -208,7 +231,11 @@
 
 
 class PermitReply(msgspec.Struct, frozen=True, tag="permit"):
-    """The answer: a permit from ``wait_ms`` on, or when there may be one."""
+    """The reply to a :class:`PermitRequest`.
+
+    :param wait_ms: when the permit becomes valid, or, if none is granted, when one may
+        be available; counted from this reply.
+    """
 
     name: _Name
     question: Annotated[int, Meta(ge=0, le=2**32)]
@@ -217,7 +244,7 @@
 
 
 class BackoffNotice(msgspec.Struct, frozen=True, tag="backoff"):
-    """All servers of a service asked the sender to send nothing for ``left_ms``."""
+    """All servers of a service asked the sender to back off for ``left_ms``."""
 
     name: _Name
     service: _Name
@@ -225,16 +252,16 @@
 
 
 class LeavingNotice(msgspec.Struct, frozen=True, tag="leaving"):
-    """A backend server's answers to the sender say that it leaves."""
+    """A backend server announced in its answers to the sender that it is leaving."""
 
     server_id: _Name
 
 
 class LoadRows(msgspec.Struct, frozen=True):
-    """Rows of amounts, with a key first; those of one message may come in pages.
+    """One page of the rows of a message; each row is a key followed by its amounts.
 
     :param page: number of this page, from 0.
-    :param pages: how many there are.
+    :param pages: number of pages of the message.
     """
 
     rows: Annotated[list[_LoadRow], Meta(max_length=_MAX_LOAD_ROWS)]
@@ -243,7 +270,7 @@
 
 
 class LoadContributionNotice(msgspec.Struct, frozen=True, tag="load"):
-    """What the sender has under way, for a round of sums."""
+    """The load of the sender, as its contribution to a round."""
 
     name: _Name
     round: _Round
@@ -251,13 +278,13 @@
 
 
 class LoadSumNotice(msgspec.Struct, frozen=True, tag="load-sum"):
-    """What all entries have under way whose parts a round has collected.
+    """The sum of the contributions that were collected in a round.
 
-    :param included: short keys of the entries of the sender's domain whose parts are
-        in it.
-    :param entries: how many entries' parts are in it.
-    :param age_ms: how much older than the sender's domain's parts the others are.
-    :param seen: the newest rounds of other domains that are known.
+    :param included: short keys of the entries of the sender's domain that are included.
+    :param entries: number of entries that are included.
+    :param age_ms: how much older the sums of other domains are than the contributions
+        of the sender's domain, at most.
+    :param seen: the newest known round of each other domain.
     """
 
     name: _Name
@@ -270,10 +297,11 @@
 
 
 class DomainLoadNotice(msgspec.Struct, frozen=True, tag="load-domain"):
-    """The sum of a failure domain, for the next collector in another one.
+    """The sum of a failure domain, for the next collector of another domain.
 
-    :param seen: the newest rounds of other domains that are known.
-    :param hops: how often it was passed on in the receiver's domain.
+    :param entries: number of entries that are included.
+    :param seen: the newest known round of each other domain.
+    :param hops: how often it was forwarded within the receiver's domain.
     """
 
     domain: _Name
@@ -307,10 +335,10 @@
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """A message, who made it and when.
+    """A message with its sender and the time at which it was sent.
 
-    :param message_id: the same on all ways that it takes.
-    :param direct: whether it is for one entry only, and not to be passed on.
+    :param message_id: the same in all copies of the message that are forwarded.
+    :param direct: whether the message isn't to be forwarded by its receivers.
     """
 
     sender: _Name
@@ -323,7 +351,8 @@
 class PeerMessageCodec:
     """Encodes and decodes datagrams.
 
-    :param key: makes the authentication code; who doesn't have it is not heard.
+    :param key: the key of the authentication code. Datagrams of senders that don't have
+        it are rejected.
     """
 
     def __init__(self, key: bytes) -> None:
@@ -332,26 +361,31 @@
         self._decoder = msgspec.msgpack.Decoder(Envelope)
 
     def encode(self, envelope: Envelope) -> bytes:
-        """Return a datagram."""
+        """Return the datagram of a message in its envelope."""
         body = self._encoder.encode(envelope)
         return self._mac(body) + body
 
     def decode(self, datagram: bytes, now_unix_s: float) -> Envelope:
-        """Return what a datagram holds.
+        """Return the envelope in a datagram.
 
-        :raises PeerMessageError: it isn't from an entry, or can't be read.
+        :param now_unix_s: current Unix time.
+        :raises PeerMessageError: it isn't from an entry, or it is malformed or too old.
         """
         if len(datagram) > _MAX_DATAGRAM_BYTES:
-            raise PeerMessageError("a message is too large")
+            raise PeerMessageError("the message is too large")
         mac, body = datagram[:_MAC_BYTES], datagram[_MAC_BYTES:]
         if not hmac.compare_digest(mac, self._mac(body)):
-            raise PeerMessageError("a message has a wrong authentication code")
+            raise PeerMessageError("the message has a wrong authentication code")
         try:
             envelope = self._decoder.decode(body)
         except msgspec.DecodeError as error:
-            raise PeerMessageError("a message can't be read", why=str(error)) from error
+            raise PeerMessageError(
+                "the message is malformed", why=str(error)
+            ) from error
         if abs(now_unix_s - envelope.sent_unix_ms / 1000.0) > _MAX_AGE_S:
-            raise PeerMessageError("a message is too old, or its sender's clock is off")
+            raise PeerMessageError(
+                "the message is too old, or the clock of its sender is wrong"
+            )
         return envelope
 
     def _mac(self, body: bytes) -> bytes:
--- a/src/railfold/_internal/forwarding/peers/peering.py
+++ b/src/railfold/_internal/forwarding/peers/peering.py
@@ -1,7 +1,8 @@
-"""What entries share: who they are, which requests are held back, and what arrives.
+"""Sets up what an entry shares with the others, and dispatches their messages.
 
-News goes from entry to entry in datagrams, which works while the store is out; the
-store keeps what must outlast them, and reaches entries that are cut off from each
+Entries share the list of entries, held-back requests, load and arrival rates. They send
+each other datagrams, which works while the store is unavailable. The store keeps the
+records that must survive restarts of entries, and reaches entries that can't reach each
 other.
 """
 
@@ -52,24 +53,29 @@
 
 __all__ = ["Peering"]
 
-# Records come rarely, and a read that waits is answered at once. Four reads an entry
-# and minute are a twentieth of its calls for the lease of placement.
+# How long a read of the quarantine's records waits for a new one. Records are rare, and
+# a waiting read is answered as soon as there is one. With four reads per minute, an
+# entry calls the store 20 times less often than for its placement lease.
 _READ_WAIT_S = 15.0
 
-# Records in quick succession are read in batches.
+# The shortest interval between reads, so that records in quick succession are read in
+# batches.
 _READ_INTERVAL_S = 0.25
 
 _MAX_BACKOFF_S = 2.0
 
 
 class Peering:
-    """The parts by which an entry shares knowledge with others.
-
-    :param store_reachable: set while the store answers others' reads.
-    :param on_quarantine_known: called when all that the store holds was read once.
-    :param fleet_limits: this entry's part of what all may do.
-    :param on_leadership_released: takes the member id under which another entry placed
-        layers, and doesn't any more.
+    """The components by which an entry exchanges information with the others.
+
+    :param store_reachable: set while the store answers other reads of this entry.
+    :param on_quarantine_known: called once all held-back contents were read from the
+        store.
+    :param fleet_limits: gets the number of listed entries.
+    :param on_epoch: called with the epoch of the store's log after each read.
+    :param proofs: gets the channel to the other entries.
+    :param on_leadership_released: called with the member id of an entry that no longer
+        places layers.
     """
 
     def __init__(
@@ -142,7 +148,7 @@
         )
 
     def children(self) -> list[ChildSpec]:
-        """Return what runs as long as the entry does."""
+        """Return the children that run as long as the entry does."""
         children = [
             ChildSpec("quarantine records", self._follower.run),
             ChildSpec("quarantine", self.quarantine.run),
@@ -158,18 +164,18 @@
         return children
 
     def log_went_back(self) -> None:
-        """The store may have lost what entries wrote of late."""
+        """Write records again, since the store may have lost recent ones."""
         self.quarantine.log_went_back()
         if self._peer_list_sync is not None:
             self._peer_list_sync.log_went_back()
 
     async def leave(self) -> None:
-        """The entry ends as planned."""
+        """Remove this entry from the list of entries, since it stops as planned."""
         if self._peer_list_sync is not None:
             await self._peer_list_sync.leave()
 
     def announce_leadership_released(self, member: str) -> None:
-        """Tell others that this entry places layers no more, under this member id."""
+        """Announce that this entry, as this member, no longer places layers."""
         self._broadcast(LeadershipReleased(self._name, member))
 
     def _on_stored_key(self, key: bytes) -> None:
@@ -211,7 +217,7 @@
                 self._on_entry_message(message)
 
     def _on_entry_message(self, message: PeerMessage) -> None:
-        """Take what an entry says of itself."""
+        """Process a message about its sender, rather than about requests or servers."""
         match message:
             case EntryStarted():
                 if self._peer_list_sync is not None:
--- a/src/railfold/_internal/forwarding/peers/proof_refresher.py
+++ b/src/railfold/_internal/forwarding/peers/proof_refresher.py
@@ -1,8 +1,8 @@
 """Child that keeps the proof fresh that this entry's configuration is in force.
 
-Its follower's read of the configuration waits for a change, and proves nothing until it
-ends. So the proof comes from short reads beside it, few of them, and from other entries
-that have read (:class:`ProofExchange`).
+The follower's read of the configuration waits for a change, and proves nothing until it
+ends. Therefore the proof comes from a few short reads beside the follower's, and from
+other entries that have read the store (:class:`ProofExchange`).
 """
 
 from __future__ import annotations
@@ -31,30 +31,34 @@
 
 _STEP_INTERVAL_S = 0.1
 
-# A configuration that another entry knows is read within this time, unless something
-# keeps this entry from it.
+# How long this entry may lag behind a newer configuration of another entry before that
+# is logged. Without a fault it reads the newer configuration within this time.
 _BEHIND_LOG_DELAY_S = 1.0
 
-# After a read that failed, or didn't bring what others know, the next one waits, so
-# that an outage isn't probed by all.
+# The delay before the next read after one that failed, or that didn't return the newest
+# configuration that others know, so that not all entries probe the store in an outage.
 _READ_RETRY_S = 0.6
 
-# An older proof isn't told; younger ones tell that nobody has a better one.
+# The maximum age of a proof that is sent in a reply. Even a proof older than the lease
+# is sent, since it shows that the other entries have no newer one either.
 _MAX_REPLY_AGE_S = 60.0
 
-# Questions whose answers may still come.
+# The maximum number of questions whose replies may still arrive.
 _MAX_PENDING_QUESTIONS = 16
 
 
 class ProofRefresher:
-    """Asks other entries and the store, and answers other entries.
+    """Gets proofs from other entries and the store, and replies to other entries.
 
-    :param log: a client of the store's log, beside the follower's.
-    :param feed: takes what the follower's read hasn't brought yet.
-    :param on_epoch: takes the epoch of the store's log that is read or told.
+    :param name: name of this entry.
+    :param log: a client of the store's log, besides the follower's.
+    :param feed: processes the records that the follower hasn't read yet.
+    :param on_epoch: called with each epoch of the store's log that was read from the
+        store or received from another entry.
     :param on_failure: called when the store doesn't answer.
-    :param is_followed: whether the follower's last read succeeded. If not, its next
-        read proves what one beside it would: both would share a link that may be slow.
+    :param follower_succeeded: returns whether the follower's last read succeeded. If
+        not, the follower's next read proves the same as a read beside it would, and the
+        two would share a link that may be slow.
     """
 
     def __init__(
@@ -88,7 +92,7 @@
         self._read_due_s = float("-inf")
 
     def set_channel(self, channel: PeerChannel) -> None:
-        """Ask over this channel from now on."""
+        """Use this channel to ask other entries."""
         self._channel = channel
 
     async def run(self, ready: asyncio.Event) -> None:
@@ -107,9 +111,10 @@
         if self._is_newer_known and may_read:
             self._is_newer_known = False
             if await self._read_store() and self._feed.lacks_newest:
-                # The store answers, and doesn't hold what another entry has read from
-                # it: it went back right before this entry started. Or this one refuses
-                # what is there: each question would lead to a read, 7 a second.
+                # The store answers, but lacks a configuration that another entry has
+                # read: either the log went back right before this entry started, or
+                # this entry refuses that configuration. Without a delay each question
+                # would then lead to a read, 7 per second.
                 self._router.lease.revoke()
                 self._read_due_s = self._loop.time() + _READ_RETRY_S
             return
@@ -124,19 +129,20 @@
                 self._ask(name, now_s)
 
     async def _read_store(self) -> bool:
-        """Read what has come since the follower's last read, without waiting.
+        """Read the records since the follower's last read, without waiting for more.
 
-        :return: whether all was read.
+        :return: whether the end of the stream was reached.
         """
         sent_s = self._loop.time()
         offset = self._feed.next_offset()
         if offset < 0 or not self._follower_succeeded():
-            return False  # The follower reads first.
+            return False  # The follower must read first.
         self._router.metrics.count("proofs.read")
         try:
             page = await self._log.read(self._stream, offset, 0.0)
             if not page.reaches_end(offset):
-                # The follower's read waits on a connection that brings nothing.
+                # The follower is far behind: its read waits on a connection that
+                # delivers nothing.
                 sent_s = self._loop.time()
                 page = await self._log.read(self._stream, NEWEST_OF_EACH_KEY, 0.0)
         except LogUnavailableError:
@@ -146,14 +152,14 @@
             return False
         self._on_epoch(page.epoch)
         if page.epoch != self._epoch.newest or offset != self._feed.next_offset():
-            return False  # The follower reads anew, or has read on meanwhile.
+            return False  # The follower starts over, or has read more meanwhile.
         for record in page.records:
             self._feed.record(record)
         self._feed.caught_up(page.next_offset, sent_s)
         return True
 
     def _report_lag(self) -> None:
-        """Tell when another entry's configuration stays out of reach, and its end."""
+        """Log once when this entry lags behind a newer configuration for too long."""
         now_s = self._loop.time()
         elsewhere = self._feed.version_elsewhere
         table, lease = self._router.table, self._router.lease
@@ -194,7 +200,7 @@
         self._channel.send_to(name, request)
 
     def question_received(self, message: ProofRequest) -> None:
-        """Another entry asks what this one has read, and how long ago."""
+        """Reply to another entry's question, unless this entry's proof is too old."""
         now_s = self._loop.time()
         self._on_epoch(message.epoch)
         if message.epoch == self._epoch.newest:
@@ -214,12 +220,12 @@
         self._channel.send_to(message.name, reply)
 
     def reply_received(self, message: ProofReply) -> None:
-        """Another entry answers.
+        """Process another entry's reply.
 
-        Its proof is one for this entry too if both know the same configuration, of the
-        same history. If the other one knows a newer one, this entry reads by itself:
-        what it knows isn't in force any more. If the other one knows an older one, it
-        may have read that from a store that went back.
+        Its proof also holds for this entry if both know the same configuration version
+        of the same epoch. If the other entry knows a newer version, this entry reads
+        the store, since its own version is no longer in force. If the other entry knows
+        an older version, it may have read that from a store that went back.
         """
         asked_s = self._pending_questions.get(message.question)
         table = self._router.table
@@ -236,7 +242,7 @@
             self._router.lease.renew(proved_s)
 
     def _record_peer_version(self, version: int) -> None:
-        """Take which configuration another entry knows, of the same history."""
+        """Process another entry's configuration version of the same epoch."""
         table = self._router.table
         if table is not None and version > table.version:
             self._router.metrics.count("proofs.behind")
@@ -244,12 +250,12 @@
             self._is_newer_known = True
 
     def others_have_proof(self, now_s: float) -> bool:
-        """Return whether others can tell that credentials hold."""
+        """Return whether other entries can validate credentials if this one can't."""
         alone = self._channel is None or not self._channel.peers
         return not alone and self._exchange.others_have_proof(now_s)
 
     def is_expiring_alone(self, now_s: float) -> bool:
-        """Return whether credentials soon can't be checked here, but elsewhere."""
+        """Return whether soon only other entries can validate credentials."""
         if self._channel is None or not self._channel.peers:
             return False
         return self._exchange.is_expiring_alone(now_s, self._router.lease.age_s(now_s))
--- a/src/railfold/_internal/forwarding/quarantine/__init__.py
+++ b/src/railfold/_internal/forwarding/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Requests that end their servers: recognized, announced, and held back."""
+"""Recognizes, announces and holds back requests that crash backend servers."""
--- a/src/railfold/_internal/forwarding/quarantine/content_digest.py
+++ b/src/railfold/_internal/forwarding/quarantine/content_digest.py
@@ -1,9 +1,9 @@
-"""Recognizing a request that comes again under another id.
+"""Digests that identify a request that is sent again under another id.
 
-Path, caller and body name its content; headers that clients change at will don't. Only
-a keyed hash of them leaves the process: bodies and credentials are in no log, record or
-message. No stream moves while a large body is hashed, so that only its length, its
-beginning and its end count.
+The digest covers path, caller and body, but no headers that clients can change freely.
+Only a keyed hash leaves the process: logs, records and messages contain no bodies and
+no credentials. Hashing blocks the event loop and with it all streams, so that only the
+length, the beginning and the end of a large body are hashed.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 
 __all__ = ["ContentDigests"]
 
-# Of a larger body so much counts at either end. Bodies that differ only between are
-# taken for the same if the same caller sends them to the same path.
+# How much of a larger body is hashed at either end. Bodies that differ only in between
+# have the same digest if the same caller sends them to the same path.
 _HASHED_END_BYTES = 64 * 1024
 
 _DIGEST_BYTES = 16
 _KEY_BYTES = 32
 
-# Tells this use of the entries' common key from others.
+# Distinguishes the key of these digests from others derived from the shared key.
 _KEY_PURPOSE = b"content"
 
 
 class ContentDigests:
-    """Makes digests with a key that all entries share, once it is known."""
+    """Computes digests with a key that all entries share, once it is known."""
 
     def __init__(self) -> None:
         self._key: bytes | None = None
@@ -39,15 +39,15 @@
         return self._key is not None
 
     def set_key(self, shared_key: bytes) -> None:
-        """Take the key that all entries share."""
+        """Set the key that all entries share."""
         self.shared_key = shared_key
         self._key = derive_key(shared_key, _KEY_PURPOSE)
 
     def of(self, request: ClientRequest, owner: CredentialOwner | None) -> str:
-        """Return the digest of a request's content, as text.
+        """Return the digest of a request's content, in hexadecimal.
 
-        The caller is its workspace, if it has one: nobody can bring another's requests
-        into disrepute.
+        The caller is identified by its workspace, if it has one, so that nobody can
+        have the requests of another workspace held back.
         """
         assert self._key is not None
         caller = owner.workspace if owner is not None else request.credential
@@ -64,5 +64,5 @@
 
 
 def derive_key(shared_key: bytes, purpose: bytes) -> bytes:
-    """Return a key for one purpose; one that leaks tells nothing of the others."""
+    """Return the key for one purpose, which reveals nothing about the other keys."""
     return hashlib.blake2b(shared_key, person=purpose, digest_size=_KEY_BYTES).digest()
--- a/src/railfold/_internal/forwarding/quarantine/crash_notices.py
+++ b/src/railfold/_internal/forwarding/quarantine/crash_notices.py
@@ -1,4 +1,7 @@
-"""Crashes as entries announce them to each other: by age, since clocks differ."""
+"""Converts crashes to and from messages, which give times as ages.
+
+Clocks of different hosts differ, so that times themselves can't be compared.
+"""
 
 from __future__ import annotations
 
@@ -14,14 +17,14 @@
 
 
 def age_ms(now_s: float, at_s: float) -> int:
-    """Return how long ago something was, in whole milliseconds."""
+    """Return the time since ``at_s`` in whole milliseconds, at least 0."""
     return max(0, int((now_s - at_s) * 1000))
 
 
 def crashes_notice(
     content: RequestContent, crashes: Sequence[Crash], now_s: float
 ) -> CrashesNotice:
-    """Return what tells other entries of crashes under a content."""
+    """Return the message that announces the crashes of a content."""
     notices = [
         CrashNotice(
             crash.server_id,
@@ -39,7 +42,7 @@
 
 
 def crashes_from_notice(message: CrashesNotice, now_s: float) -> list[Crash]:
-    """Return the crashes that another entry announces, on this process's clock."""
+    """Return the crashes in a message, with times on the clock of this process."""
     return [
         Crash(
             notice.server_id,
--- a/src/railfold/_internal/forwarding/quarantine/crash_reports.py
+++ b/src/railfold/_internal/forwarding/quarantine/crash_reports.py
@@ -1,4 +1,4 @@
-"""What the registrations say of servers that are said to have ended."""
+"""Compares other entries' reports of crashes with the servers' registrations."""
 
 from __future__ import annotations
 
@@ -11,26 +11,27 @@
 
 __all__ = ["CrashReports"]
 
-# A crash that another entry reports must show in the registrations by then: they lapse
-# after 3.6 s without a heartbeat, and are read every 2.8 s at the least.
+# How long after a report of a crash the server's registration must have lapsed.
+# Registrations lapse after 3.6 s without a heartbeat, and are read every 2.8 s or more
+# often.
 _CONTRADICTION_DELAY_S = 10.0
 
-# Servers whose ids and versions are remembered, also after they are gone.
+# The maximum number of servers whose versions are remembered after they have left.
 _MAX_VERSIONS = 4096
 
 
 class CrashReports:
-    """Versions of servers, and reports of crashes that registrations may contradict."""
+    """Versions of servers, and crash reports that registrations may contradict."""
 
     def __init__(self, directory: EngineDirectory) -> None:
         self._directory = directory
-        # Versions by server, also of those that are gone.
+        # Versions by server, including servers that have left.
         self._versions: OrderedDict[str, str] = OrderedDict()
-        # Servers that others say have ended, and when that was reported.
+        # When other entries first reported the crash of each server.
         self._reported_at_s: dict[str, float] = {}
 
     def version_of(self, server_id: str) -> str:
-        """Return which software a server runs, or ran."""
+        """Return the version of a server, which may have left."""
         name = without_restart_count(server_id)
         entry = self._directory.get(name)
         if entry is not None:
@@ -38,12 +39,12 @@
         return self._versions.get(name, UNKNOWN_VERSION)
 
     def record(self, server_ids: Iterable[str], now_s: float) -> None:
-        """Another entry says that servers have ended."""
+        """Record another entry's report that servers have crashed."""
         for server_id in server_ids:
             self._reported_at_s.setdefault(server_id, now_s)
 
     def record_versions(self) -> None:
-        """Keep the versions of the servers that are registered now."""
+        """Remember the versions of the servers that are registered now."""
         for entry in self._directory:
             if entry.server_id not in self._versions:
                 self._versions[entry.server_id] = entry.registration.version
@@ -51,7 +52,10 @@
             self._versions.popitem(last=False)
 
     def pop_contradicted(self, now_s: float) -> list[str]:
-        """Return servers that still run long after they were reported to have ended."""
+        """Return the servers that still run long after their reported crash.
+
+        The reports that are old enough to be judged are removed.
+        """
         due = [
             server_id
             for server_id, reported_at_s in self._reported_at_s.items()
--- a/src/railfold/_internal/forwarding/quarantine/crash_watch.py
+++ b/src/railfold/_internal/forwarding/quarantine/crash_watch.py
@@ -1,8 +1,9 @@
-"""Telling from runs that broke off, and servers that ended, which requests were there.
+"""Matches interrupted runs with crashed servers, to find the requests at fault.
 
-An answer that breaks off is no crash yet: connections are reset, links fail. Only when
-the server surely ended as well, by a refused connection, a registration that lapses or
-another incarnation in its place, do the runs count that had just begun there.
+An interrupted run alone is no evidence of a crash: connections are reset, and links
+fail. Runs count only if their server certainly crashed, which shows by a refused
+connection, a lapsed registration or a new incarnation, and only if they had just
+started there.
 """
 
 from __future__ import annotations
@@ -21,38 +22,42 @@
     "without_restart_count",
 ]
 
-# Whoever brought events for longer than this, or waited longer for the first one, isn't
-# what ended its server: a request that ends servers does so within tenths of a second.
-# The wait leaves room for an engine that queues requests for seconds.
+# A run that produced events for longer than this, or that waited longer than the second
+# time for its first event, didn't crash its server: a request that crashes servers does
+# so within tenths of a second. The wait may be longer, since engines may queue requests
+# for seconds.
 CLEARED_AFTER_S = 1.0
 _MAX_FIRST_EVENT_WAIT_S = 5.0
 
-# A server whose answers broke off is known to have ended within this time: its
+# How long after a run was interrupted the crash of its server may become known. A
 # registration lapses after 3.6 s without a heartbeat, and is read every few seconds.
 _CONFIRMATION_TIMEOUT_S = 10.0
 
-# A server that answers this long after its end has started again: what it had sent
-# before is read by then. It may be back under its id before its registration tells a
-# later start, and end again, which would go unseen without this.
+# A server that answers this long after its crash has restarted, since answers from
+# before the crash have been read by then. It may be back under the same id before its
+# registration shows the later start time. Without this rule, another crash in that time
+# would go unnoticed.
 _MIN_RESTART_S = 0.3
 
-# Stands in such a start's name between what its registration tells and their number.
+# Separates the server id in the registration from the number of such restarts.
 _RESTART_SEPARATOR = "+"
 
-# Runs that broke off and servers that ended, remembered for that time.
+# The maximum number of interrupted runs, and of crashed or restarted servers, that are
+# remembered.
 _MAX_RUNS = 512
 _MAX_SERVERS = 512
 
 
 @dataclass(frozen=True, slots=True)
 class RunDetails:
-    """A run of a request that broke off.
-
-    :param server_ids: the backend servers that worked on it.
-    :param began_s: when it was sent to the first of them.
-    :param moved_s: for how long it had brought events.
-    :param after_event: the event after which it had resumed a stream; 0 if it hadn't.
-    :param streams: whether it was to bring events.
+    """Details of a run of a request that was interrupted.
+
+    :param service: the service that the request was sent to.
+    :param server_ids: the backend servers that the run used.
+    :param began_s: when the request was sent to the first of them.
+    :param events_duration_s: for how long the run had produced events; 0 if it hadn't.
+    :param after_event: the event after which the run resumed a stream; 0 if it didn't.
+    :param streams: whether the request is a stream.
     """
 
     service: str
@@ -65,7 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class InterruptedRun:
-    """What is kept of such a run: not the request itself, which may be large."""
+    """An interrupted run. The request itself, which may be large, isn't kept.
+
+    :param ended_s: when the run was interrupted.
+    """
 
     content: RequestContent
     details: RunDetails
@@ -73,18 +81,18 @@
 
     @property
     def server_ids(self) -> tuple[str, ...]:
-        """The backend servers that worked on it."""
+        """The backend servers that the run used."""
         return self.details.server_ids
 
     @property
     def had_just_started(self) -> bool:
-        """Whether it may be what ended its server."""
+        """Whether the run had started recently enough to have crashed its server."""
         if self.details.events_duration_s > 0.0:
             return self.details.events_duration_s < CLEARED_AFTER_S
         return self.ended_s - self.details.began_s < _MAX_FIRST_EVENT_WAIT_S
 
     def crash(self, server_id: str, version: str) -> Crash:
-        """Return the run as part of a server's end."""
+        """Return the crash of one of the run's servers, with the times of the run."""
         details = self.details
         return Crash(
             server_id,
@@ -97,25 +105,26 @@
 
 
 def without_restart_count(name: str) -> str:
-    """Return the name that a server's registration tells, of any start under it."""
+    """Return the server id in the registration, for any restart under that id."""
     return name.partition(_RESTART_SEPARATOR)[0]
 
 
 class CrashWatch:
-    """Matches runs that broke off with servers that ended.
+    """Matches interrupted runs with crashed servers.
 
-    :param on_crash: takes a server and the runs that had just begun there.
+    :param on_crash: called with the incarnation of a crashed server and the runs that
+        had just started there.
     """
 
     def __init__(self, on_crash: Callable[[str, list[InterruptedRun]], None]) -> None:
         self._on_crash = on_crash
         self._runs: deque[InterruptedRun] = deque(maxlen=_MAX_RUNS)
         self._crashed_at_s: OrderedDict[str, float] = OrderedDict()
-        # How often servers were found well again under the name of their last start.
+        # How often each server restarted before its registration showed it.
         self._restart_counts: OrderedDict[str, int] = OrderedDict()
 
     def run_interrupted(self, run: InterruptedRun) -> None:
-        """A run broke off; whether its servers ended is known before or after."""
+        """Record an interrupted run. The crash may become known before or after it."""
         if not run.had_just_started:
             return
         for server_id in run.server_ids:
@@ -125,7 +134,7 @@
         self._runs.append(run)
 
     def server_crashed(self, server_id: str, now_s: float) -> None:
-        """A server surely ended, and not as planned."""
+        """Record that a server certainly crashed, rather than stopped as planned."""
         if server_id in self._crashed_at_s:
             return
         self._expire(now_s)
@@ -133,7 +142,8 @@
         runs = [run for run in self._runs if server_id in run.server_ids]
         if not runs:
             return
-        # A run ends once: what ends another server of its chain later didn't end it.
+        # A run is interrupted once: a later crash of another server of its chain has
+        # nothing to do with it.
         self._runs = deque(
             (run for run in self._runs if server_id not in run.server_ids),
             maxlen=_MAX_RUNS,
@@ -141,7 +151,7 @@
         self._on_crash(self._incarnation_id(server_id), runs)
 
     def server_answered(self, server_id: str, now_s: float) -> None:
-        """A server answers: if it had ended, it has started again."""
+        """Record that a server answers; if it had crashed, it has restarted."""
         crashed_at_s = self._crashed_at_s.get(server_id)
         if crashed_at_s is None or now_s < crashed_at_s + _MIN_RESTART_S:
             return
@@ -151,7 +161,7 @@
             self._restart_counts.popitem(last=False)
 
     def _incarnation_id(self, server_id: str) -> str:
-        """Return what an incarnation is known by, also if its start isn't known."""
+        """Return the id of the current incarnation, counting unregistered restarts."""
         restart_count = self._restart_counts.get(server_id, 0)
         return (
             f"{server_id}{_RESTART_SEPARATOR}{restart_count}"
--- a/src/railfold/_internal/forwarding/quarantine/quarantine_records.py
+++ b/src/railfold/_internal/forwarding/quarantine/quarantine_records.py
@@ -1,6 +1,7 @@
-"""Writing what is held back into the store, for entries that start later.
+"""Records of held-back contents in the store, for entries that start later.
 
-The entry that saw it writes the record; if that one dies before, another does.
+The entry that held a content back writes the record. If it crashes before that, another
+entry does.
 """
 
 from __future__ import annotations
@@ -27,26 +28,30 @@
 
 __all__ = ["QuarantineRecords"]
 
-# Who learns from others that a content is held back waits so long, and up to as much
-# again, for the record of the one that saw it; then it writes the record itself.
+# An entry that learns of a hold from another entry waits for that entry's record for
+# this time plus a random time of up to the same length. Then it writes the record
+# itself.
 _PEER_WRITE_DELAY_S = 1.0
+# The delay after a write that failed.
 _RETRY_S = 2.0
 
-# After the store went back, its records are read within about this time; what isn't
-# among them is written again, by one entry after the other.
+# After the store went back, its records are read again within about this time. Records
+# that are missing then are written again, by each entry after a different random delay.
 _REWRITE_DELAY_S = 0.5
 
-# Entries that start together each wait up to this long for another's key.
+# Entries that start at the same time each wait up to this long for another entry to
+# write the key.
 _KEY_WRITE_DELAY_S = 0.5
 _KEY_BYTES = 32
 
 
 class QuarantineRecords:
-    """Which records are to be written or removed, and doing so.
+    """Writes and removes the records of held-back contents, and writes the shared key.
 
     :param log: a client of the store's log.
-    :param digests: know whether there is a key yet.
-    :param keeps_key: whether the common key is kept in the store.
+    :param stream: the stream of these records.
+    :param digests: the digests, which know the shared key once it was read.
+    :param stores_key: whether the shared key is kept in the store.
     """
 
     def __init__(
@@ -64,13 +69,13 @@
         self._router = router
         self._digests = digests
         self._loop = asyncio.get_running_loop()
-        # When a content's record is to be written, if it isn't there by then.
+        # When to write the record of each content, unless it is found before.
         self._write_due_s: dict[str, float] = {}
         self._removals: set[str] = set()
         self._key_missing_at: int | None = None
 
     def state_changed(self, change: QuarantineChange, *, from_peer: bool) -> None:
-        """What is believed of a content has changed."""
+        """Schedule the write or the removal of a content's record after a change."""
         digest = change.content.digest
         match change.state:
             case QuarantineState.HELD_BACK:
@@ -91,30 +96,36 @@
                 pass
 
     def record_found(self, digest: str) -> None:
-        """The store holds a content's record."""
+        """Cancel the write of a content's record, which is in the store."""
         self._write_due_s.pop(digest, None)
 
     def record_removed(self, digest: str) -> None:
-        """The store doesn't hold it any more."""
+        """Forget what was to be done with a content's record, which was removed."""
         self._write_due_s.pop(digest, None)
         self._removals.discard(digest)
 
     def key_missing(self, next_offset: int) -> None:
-        """The store holds no key, or not any more; its stream ends at this offset."""
+        """Write the key, unless the settings give it: the store has none.
+
+        :param next_offset: the offset at which the stream ends.
+        """
         if self._stores_key:
             self._key_missing_at = next_offset
 
     def log_went_back(self, held_back: Iterable[QuarantineChange]) -> None:
-        """The store may have lost records: write again all that it doesn't show."""
+        """Schedule the write of all records, since the store may have lost some.
+
+        Records that are found in the store until then aren't written.
+        """
         now_s = self._loop.time()
         for change in held_back:
             due_s = now_s + _REWRITE_DELAY_S * (1.0 + self._router.rng.random())
             self._write_due_s.setdefault(change.content.digest, due_s)
 
     async def write_due(self, held_back: Iterable[QuarantineChange]) -> None:
-        """Write what is due.
+        """Write the records and the key that are due, and remove records.
 
-        :param held: what is held back now.
+        :param held_back: the contents that are held back now.
         """
         now_s = self._loop.time()
         known = {change.content.digest: change for change in held_back}
@@ -129,13 +140,13 @@
                 self._removals.discard(digest)
         except LogUnavailableError as error:
             self._router.metrics.count("quarantine.write_failures")
-            logging.info("a record isn't written yet: %s", error)
+            logging.info("cannot write a record of the quarantine, retrying: %s", error)
             await asyncio.sleep(_RETRY_S)
 
     async def _write_record(self, digest: str, change: QuarantineChange | None) -> None:
         self._write_due_s.pop(digest, None)
         if change is None:
-            return  # It isn't held back any more.
+            return  # The content is no longer held back.
         try:
             await self._log.put(self._stream, digest, encode_hold(_hold_record(change)))
         except LogUnavailableError:
@@ -143,9 +154,11 @@
             raise
 
     async def _write_key(self, next_offset: int) -> None:
-        """Leave a key in the store, unless another entry does.
+        """Write a key to the store, unless another entry does.
+
+        An entry that knows the key that the store has lost writes it again at once.
 
-        Whoever knows the one that the store has lost writes that again at once.
+        :param next_offset: the offset at which the stream ended without a key.
         """
         known = self._digests.shared_key
         if known is None:
@@ -154,7 +167,7 @@
             )
         self._key_missing_at = None
         if known is None and self._digests.has_key:
-            return  # Another entry's was read meanwhile.
+            return  # The key of another entry was read meanwhile.
         key = encode_key(known or secrets.token_bytes(_KEY_BYTES))
         try:
             await self._log.put(self._stream, KEY_NAME, key, expected_end=next_offset)
--- a/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
+++ b/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
@@ -1,9 +1,9 @@
-"""Holding back requests that end each backend server that runs them.
+"""Holds back requests that crash each backend server that runs them.
 
-What this entry saw is announced to the others at once, and what is held back is
-recorded in the store, where entries that start later find it. All of what others say is
-a hint: crashes of servers that turn out to run are retracted, and a content that others
-hold back is tried again like one of this entry's own.
+Crashes are announced to the other entries at once, and holds are recorded in the store
+for entries that start later. Reports of other entries are only hints: crashes of
+servers that turn out to be running are retracted, and a content that another entry
+holds back is tried again like one that this entry holds back.
 """
 
 from __future__ import annotations
@@ -58,22 +58,25 @@
 
 _UPKEEP_INTERVAL_S = 0.25
 
-# When a request comes back that wasn't repeated at once: by then all entries know
-# whether its server has ended.
+# How long a client is asked to wait if its request isn't retried at once. By then all
+# entries know whether its server has crashed.
 _RETRY_DELAY_S = 0.5
 
-# So many contents are announced when a server ends, a datagram each.
+# The maximum number of contents that are announced when a server crashes. Each takes a
+# datagram.
 _MAX_CONTENTS_SENT = 8
 
 
 class RequestQuarantine:
-    """What one entry knows of requests that end servers, and what it does about them.
+    """One entry's quarantine of requests that may crash backend servers.
 
-    :param log: a client of the store's log, to write records.
-    :param stream: the stream of records.
+    No request is recognized before the shared key is set.
+
+    :param log: a client of the store's log, for writing records.
+    :param stream: the stream of these records.
     :param announce: sends a message to the other entries.
-    :param keeps_key: whether the entries' common key is kept in the store; not if the
-        settings give it.
+    :param stores_key: whether the shared key is kept in the store, rather than given in
+        the settings.
     """
 
     def __init__(
@@ -98,12 +101,12 @@
         self._confirmer = SuccessConfirmer(self._quarantine, router.rng, announce)
 
     def set_key(self, shared_key: bytes) -> None:
-        """Take the key that all entries share; nothing is recognized before."""
+        """Set the key that all entries share."""
         self._digests.set_key(shared_key)
 
     @property
     def has_key(self) -> bool:
-        """Whether the key is known, without which nothing is recognized."""
+        """Whether the shared key is known, which recognizing requests needs."""
         return self._digests.has_key
 
     # Requests
@@ -111,9 +114,9 @@
     def admit(
         self, request: ClientRequest, route: Route, owner: CredentialOwner | None
     ) -> bool:
-        """Look at a request that has come; return whether it is tried as an exception.
+        """Check a request that has arrived; return whether it runs as a trial.
 
-        :raises RepeatedCrashesError: it is held back.
+        :raises RepeatedCrashesError: its content is held back.
         :raises RequestOnTrialError: another request with its content is on trial.
         """
         if not self._has_suspects:
@@ -135,10 +138,10 @@
     def check(
         self, request: ClientRequest, owner: CredentialOwner | None, *, on_trial: bool
     ) -> None:
-        """Look at a request right before it is sent.
+        """Check a request right before it is sent, unless it runs as a trial.
 
-        :raises RepeatedCrashesError: it is held back meanwhile.
-        :raises RequestOnTrialError: it would have to wait for another one's trial.
+        :raises RepeatedCrashesError: its content was held back since it arrived.
+        :raises RequestOnTrialError: it would have to wait for the trial of another one.
         """
         if not self._has_suspects or on_trial:
             return
@@ -162,20 +165,22 @@
         return RequestOnTrialError(
             "another request with the same path, caller and body is on trial",
             left_s=wait_s,
-            why=f"servers ended under content {digest}; {wait_s:.1f} s are left",
-            hint="come back after Retry-After",
+            why=f"servers crashed running content {digest}; {wait_s:.1f} s are left",
+            hint="retry after the time in Retry-After",
         )
 
     def check_retry(
         self, request: ClientRequest, owner: CredentialOwner | None, *, on_trial: bool
     ) -> None:
-        """Look at a request that is to be sent again after its run broke off.
+        """Check a request that is to be retried after its run was interrupted.
 
-        Whether its server has ended shows a moment later, so that a content under
-        which some have ended before isn't repeated at once; its client may come again.
+        It isn't known yet whether its server has crashed. Therefore a content that may
+        have crashed servers before isn't retried at once; its client may send it again
+        later.
 
-        :raises RepeatedCrashesError: it is held back.
-        :raises RequestOnTrialError: it is suspected.
+        :raises RepeatedCrashesError: its content is held back.
+        :raises RequestOnTrialError: its content is restricted, or would be after one
+            more crash.
         """
         if not self._has_suspects:
             return
@@ -192,20 +197,20 @@
         crashes = self._quarantine.crashes_of(digest)
         wait_s = self._quarantine.wait_s(digest, self._loop.time())
         return RequestOnTrialError(
-            "the request's run broke off, and requests with the same path, caller and "
-            "body may have ended backend servers",
+            "the request's run was interrupted, and requests with the same path, "
+            "caller and body may have crashed backend servers",
             left_s=max(_RETRY_DELAY_S, wait_s),
-            why=f"{len(crashes)} servers ended under content {digest}",
-            hint="come back after Retry-After",
+            why=f"{len(crashes)} servers crashed running content {digest}",
+            hint="retry after the time in Retry-After",
         )
 
     def may_crash_servers(
         self, request: ClientRequest, owner: CredentialOwner | None
     ) -> bool:
-        """Return whether servers ended one after the other under a request's content.
+        """Return whether a request's content has probably crashed several servers.
 
-        After one end, most of what was there is innocent; so is what only ran where
-        another content did that is held back.
+        A single crash isn't enough, since most requests that were running on the server
+        didn't cause it. Neither are crashes that a held-back content explains.
         """
         if not self._has_suspects:
             return False
@@ -218,7 +223,7 @@
     def withdraw_trial(
         self, request: ClientRequest, owner: CredentialOwner | None
     ) -> None:
-        """Let the next request be tried: one that was let through wasn't run."""
+        """End the trial of a request that wasn't run, so that another can be tried."""
         digest = self._digests.of(request, owner)
         if self._quarantine.withdraw_trial(digest, self._loop.time()):
             self._router.metrics.count("quarantine.trials_not_run")
@@ -230,15 +235,15 @@
         servers = ", ".join(crash.server_id for crash in crashes)
         return RepeatedCrashesError(
             "backend servers ended under this request, and it isn't sent to more",
-            why=f"content {digest} ended {len(crashes)}: {servers}",
-            hint="don't repeat it as it is; operators: see 'railfold held'",
+            why=f"content {digest} crashed {len(crashes)} servers: {servers}",
+            hint="don't retry it unchanged; operators: see 'railfold held'",
         )
 
     @property
     def _has_suspects(self) -> bool:
         return self._digests.has_key and len(self._quarantine) > 0
 
-    # What becomes of runs and servers
+    # Results of runs, and crashes of servers
 
     def run_interrupted(
         self,
@@ -247,7 +252,7 @@
         owner: CredentialOwner | None,
         details: RunDetails,
     ) -> None:
-        """A run broke off."""
+        """Record an interrupted run."""
         if not self._digests.has_key:
             return
         content = RequestContent(
@@ -264,10 +269,14 @@
         owner: CredentialOwner | None,
         last_event: int | None = None,
     ) -> None:
-        """A run came to a good end, or brought events for longer than a crash takes.
+        """Record that a run succeeded, or has produced events for some time.
+
+        A request that crashes servers does so sooner. Completed runs are also recorded
+        for contents that aren't suspected: a content that many clients send must not be
+        held back when several of its servers crash for other reasons.
 
-        Also of contents that nobody suspects: one that many clients send isn't to be
-        held back when several of its servers end for other reasons.
+        :param last_event: the number of the last event of a stream that is still
+            running; ``None`` if the run completed.
         """
         unsure = last_event is not None and not self._has_suspects
         if unsure or not self._digests.has_key:
@@ -279,17 +288,20 @@
             self._announce(SuccessNotice(digest, 0))
 
     def server_refused_connection(self, server_id: str) -> None:
-        """A backend server's address refuses connections."""
+        """Record a crash, since a server that isn't draining refuses connections."""
         entry = self._router.directory.get(server_id)
         if entry is None or not entry.draining:
             self._watch.server_crashed(server_id, self._loop.time())
 
     def server_answered(self, server_id: str) -> None:
-        """A backend server answers, so that it runs."""
+        """Record that a backend server answers, which shows that it is running."""
         self._watch.server_answered(server_id, self._loop.time())
 
     def server_departed(self, entry: DirectoryEntry) -> None:
-        """A backend server's registration lapsed, or another took its place."""
+        """Record a crash, since a registration lapsed or has a new incarnation.
+
+        A server that is draining stops as planned, and is ignored.
+        """
         if not entry.draining:
             self._watch.server_crashed(entry.server_id, self._loop.time())
 
@@ -313,9 +325,10 @@
             self._announce_crashes(content, now_s)
 
     def _most_suspicious(self, runs: list[InterruptedRun]) -> list[RequestContent]:
-        """Return which contents to announce: first those that ended servers before.
+        """Return the contents to announce, most suspicious first.
 
-        Then those without an event, and those that began last.
+        Contents with more known crashes come first, then those whose runs had produced
+        no event, then those whose runs began last.
         """
 
         def suspicion(run: InterruptedRun) -> tuple[int, bool, float]:
@@ -331,10 +344,10 @@
             return
         self._announce(crashes_notice(content, crashes, now_s))
 
-    # What other entries say
+    # Messages of other entries
 
     def crashes_received(self, message: CrashesNotice) -> None:
-        """Another entry saw servers end under a content."""
+        """Process another entry's report of crashes of a content."""
         now_s = self._loop.time()
         content = RequestContent(
             message.digest, message.service, message.route, message.workspace
@@ -347,7 +360,7 @@
         )
 
     def success_received(self, message: SuccessNotice) -> None:
-        """Another entry saw a request run well."""
+        """Process another entry's report that a run succeeded."""
         now_s = self._loop.time()
         at_s = now_s - message.ago_ms / 1000.0
         self._confirmer.confirmed_elsewhere(message.digest, now_s)
@@ -356,20 +369,20 @@
         )
 
     def trial_start_received(self, message: TrialStarted) -> None:
-        """Another entry lets one request of a content through."""
+        """Process another entry's report that a trial has started."""
         now_s = self._loop.time()
         self._apply_changes(
             self._quarantine.start_trial(message.digest, now_s), from_peer=True
         )
 
     def trial_withdrawal_received(self, message: TrialNotRun) -> None:
-        """Another entry's trial wasn't run."""
+        """Process another entry's report that the request of a trial wasn't run."""
         self._quarantine.withdraw_trial(message.digest, self._loop.time())
 
-    # What the store holds
+    # Records in the store
 
     def record_read(self, digest: str, record: HoldRecord) -> None:
-        """The store holds a content that is held back."""
+        """Apply the hold of a content that was read from the store."""
         offset_s = clock.unix_time_s() - self._loop.time()
         changes = self._quarantine.restore_hold(
             record.content(digest),
@@ -381,23 +394,23 @@
         self._records.record_found(digest)
 
     def record_removed(self, digest: str) -> None:
-        """A content's record was taken from the store: by an entry or the operator."""
+        """Lift a hold whose record was removed, by an entry or an operator."""
         reason = "its record was removed"
         self._apply_changes(self._quarantine.lift(digest, self._loop.time(), reason))
         self._records.record_removed(digest)
 
     def key_missing(self, next_offset: int) -> None:
-        """The store holds no key yet; it ends at this offset."""
+        """Write the shared key if needed: the stream, up to this offset, has none."""
         self._records.key_missing(next_offset)
 
     def log_went_back(self) -> None:
-        """The store may have lost what was recorded."""
+        """Write records again, since the store may have lost some."""
         self._records.log_went_back(self._quarantine.held_back)
 
     # Upkeep
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Look after what is held back until cancelled."""
+        """Update the quarantine and its records until cancelled."""
         ready.set()
         while True:
             await asyncio.sleep(_UPKEEP_INTERVAL_S)
@@ -433,7 +446,10 @@
     def _apply_changes(
         self, changes: Iterable[QuarantineChange], *, from_peer: bool = False
     ) -> None:
-        """Log and count changes, and see to their records."""
+        """Log and count changes of state, and schedule their records.
+
+        :param from_peer: whether another entry caused the changes.
+        """
         now_s = self._loop.time()
         for change in changes:
             self._log_change(change, now_s, from_peer=from_peer)
--- a/src/railfold/_internal/forwarding/quarantine/success_confirmer.py
+++ b/src/railfold/_internal/forwarding/quarantine/success_confirmer.py
@@ -1,4 +1,4 @@
-"""Telling other entries that a content which they suspect runs well here."""
+"""Confirms to other entries that a content which they suspect succeeds here."""
 
 from __future__ import annotations
 
@@ -15,15 +15,17 @@
 
 __all__ = ["SuccessConfirmer"]
 
-# A content that ran well here within this time is confirmed when others suspect it;
-# within so short a time that it isn't held back for long, and by few of many entries.
+# A content that succeeded here within this time is confirmed when others suspect it.
+# The random delay before that is short, so that the content isn't restricted for long.
+# An entry that received a confirmation within the interval sends none, so that only few
+# of many entries do.
 _RECENT_SUCCESS_S = 60.0
 _MAX_CONFIRM_DELAY_S = 0.1
 _CONFIRM_INTERVAL_S = 1.0
 
 
 class SuccessConfirmer:
-    """Confirms successes, unless another entry has just done so.
+    """Confirms successes of contents, unless another entry has just done so.
 
     :param announce: sends a message to the other entries.
     """
@@ -38,24 +40,25 @@
         self._rng = rng
         self._announce = announce
         self._loop = asyncio.get_running_loop()
-        # When this or another entry announced last that a content runs well.
+        # When this or another entry last announced a success of each content.
         self._announced_at_s: dict[str, float] = {}
 
     def suspected_elsewhere(self, digest: str, now_s: float) -> None:
-        """Confirm a content that another entry suspects, if it ran well here before.
+        """Confirm a content that another entry suspects, if it succeeded here lately.
 
-        After a moment drawn by chance, in which another entry may do so.
+        The confirmation follows after a random delay, in which another entry may send
+        it.
         """
         if now_s - self._quarantine.last_success_s(digest) < _RECENT_SUCCESS_S:
             delay_s = _MAX_CONFIRM_DELAY_S * self._rng.random()
             self._loop.call_later(delay_s, self._confirm, digest)
 
     def confirmed_elsewhere(self, digest: str, now_s: float) -> None:
-        """Another entry announced that a content runs well."""
+        """Record that another entry announced a success of a content."""
         self._announced_at_s[digest] = now_s
 
     def expire(self, now_s: float) -> None:
-        """Forget what was announced too long ago to matter."""
+        """Forget announcements that are too old to matter."""
         since_s = now_s - _CONFIRM_INTERVAL_S
         self._announced_at_s = {
             digest: at_s
--- a/tests/forwarding/test_crashes_beside_popular.py
+++ b/tests/forwarding/test_crashes_beside_popular.py
@@ -1,17 +1,15 @@
-"""Which of two requests is held back where one of them ends its servers.
-
-What users saw: a popular harmless request was refused for minutes, while the request
-that ended its servers went on.
-
-The order of events: one client sends a request again and again that ends each server
-that runs it; another sends the same harmless request ten times a second, so that it
-runs at each of these servers as well. After three ends the harmless one is held back.
-What ended there is explained by it then, so that the other one isn't.
-
-The evidence: with two failure domains (four engines, two plain servers, back 1.5 s
-after their end at their address under their id) 20 servers ended in 8 s, and the
-popular request was answered with 502 from 0.7 s to the end. Here four of twelve plays
-failed so.
+"""Which of two requests is held back if only one of them crashes its servers.
+
+Guards against a popular harmless request that is refused for minutes, while the request
+that crashes its servers continues. One client repeats a request that crashes each
+server that runs it. Another sends the same harmless request ten times per second, so
+that it is running on each of these servers as well. If the harmless one were held back
+after three crashes, it would explain the crashes, and the harmful one wouldn't be held
+back.
+
+With two failure domains (four engines, two plain servers, which restart under the same
+id and address after 1.5 s), 20 servers crashed in 8 s that way, and the popular request
+was answered with 502 from 0.7 s on; four of twelve runs of this test failed so.
 """
 
 from __future__ import annotations
@@ -23,7 +21,7 @@
 from tests.lib.crashing_fleet import run_poison_beside_popular
 from tests.lib.forwarding import Deployment, running
 
-# What one entry has seen reaches all others within this time.
+# Within this time after a crash, all entries know of it.
 PROPAGATION_S = 3.0
 MAX_LATE_CRASHES = 3
 MAX_REFUSAL_S = 1.0
--- a/tests/forwarding/test_load_between_entries.py
+++ b/tests/forwarding/test_load_between_entries.py
@@ -1,4 +1,8 @@
-"""Entries that tell each other what they have under way."""
+"""Exchange of load between entries.
+
+Guards against an entry that plans without the requests that others have in flight, and
+against load that is still announced after its requests have ended.
+"""
 
 from __future__ import annotations
 
--- a/tests/forwarding/test_proofs_from_peers.py
+++ b/tests/forwarding/test_proofs_from_peers.py
@@ -1,4 +1,8 @@
-"""An entry that alone is without the store serves on by what the others have read."""
+"""Entries that get the proof of their configuration from other entries.
+
+Guards against an entry that refuses all requests since it alone can't read the store,
+and against one that serves by a configuration that is no longer in force.
+"""
 
 from __future__ import annotations
 
@@ -34,10 +38,10 @@
 
 
 def fail_store_reads(entry: ForwardingEntry) -> None:
-    """Let the store not answer an entry that reads the configuration."""
+    """Make an entry's reads of the configuration fail."""
 
     async def read(stream: str, offset: int, wait_s: float) -> LogPage:
-        raise LogUnavailableError("turned away")
+        raise LogUnavailableError("unavailable in this test")
 
     entry._proofs._log.read = read  # type: ignore[method-assign]
     entry._configuration._log.read = read  # type: ignore[method-assign]
@@ -45,7 +49,7 @@
 
 
 async def ask(deployment: Deployment, number: int, request_id: str) -> Reply:
-    """Ask one of the entries."""
+    """Send a request to one of the entries; return its answer."""
     connection: Connection = await deployment.connect(number)
     try:
         return await connection.ask("/tray/1", request_id)
@@ -56,7 +60,7 @@
 async def test_entry_without_the_store_serves_by_proofs_of_its_peers(
     two_entries: Deployment,
 ) -> None:
-    """It refused all that have a credential once its lease had lapsed."""
+    """Otherwise it refuses all requests with credentials once its lease expires."""
     fail_store_reads(two_entries.entry)
     for number in range(int(2.5 * LEASE_S / 0.1)):
         assert (await ask(two_entries, 0, f"r-{number}")).status == 200
@@ -66,7 +70,7 @@
 async def test_entry_stops_serving_when_a_peer_has_a_newer_configuration(
     two_entries: Deployment,
 ) -> None:
-    """Which it can't read: a credential may have been taken away."""
+    """It can't read that configuration, which may revoke a credential."""
     fail_store_reads(two_entries.entry)
     two_entries.store.put("keyed.op", "config", configuration(2))
     loop = asyncio.get_running_loop()
@@ -76,7 +80,7 @@
     assert loop.time() - written_s < LEASE_S + 0.5
     reply = await ask(two_entries, 0, "late")
     assert reply.status == 503
-    # The other one serves: its clients needn't wait.
+    # The other entry serves, so that clients may retry there at once.
     assert float(reply.headers["Retry-After"]) <= 0.1
     assert (await ask(two_entries, 1, "elsewhere")).status == 200
 
@@ -99,7 +103,7 @@
 async def test_late_reply_counts_from_when_its_question_was_sent(
     two_entries: Deployment,
 ) -> None:
-    """Also if this host stood still meanwhile."""
+    """The proof in it may be too old, as when this entry's host was suspended."""
     entry = two_entries.entry
     proofs = entry._proofs
     fail_store_reads(entry)
@@ -109,7 +113,7 @@
     await until(lambda: bool(replies))
     first_reply = replies[0]
     await asyncio.sleep(LEASE_S + 0.3)
-    # Later questions may have fresh answers; only the first one is taken now.
+    # Later questions may have fresh replies; only the first one is processed now.
     process_reply(first_reply)
     assert not entry.router.lease.valid(loop.time())
     assert entry.router.lease.age_s(loop.time()) >= LEASE_S + 0.3
@@ -118,7 +122,7 @@
 async def test_entry_learns_from_peers_that_the_store_went_back(
     two_entries: Deployment,
 ) -> None:
-    """Proofs of the history before don't count, whoever tells them."""
+    """Proofs from before that no longer count, whichever entry reports them."""
     entry = two_entries.entry
     fail_store_reads(entry)
     two_entries.store.go_back(two_entries.store.copy())
@@ -128,11 +132,11 @@
 async def test_entry_that_refuses_a_newer_configuration_limits_its_store_reads(
     two_entries: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It refuses what the others accept, and each question told it of the newer one."""
+    """Each question of a peer that accepted it could lead to another read."""
     entry = two_entries.entry
 
     def refuse(value: bytes) -> RoutingTable:
-        raise ConfigurationRefusedError("config", ["of a later software"])
+        raise ConfigurationRefusedError("config", ["written by a later version"])
 
     monkeypatch.setattr(entry._configuration_feed, "_decode", refuse)
     two_entries.store.put("keyed.op", "config", configuration(2))
@@ -145,7 +149,7 @@
 async def test_entry_that_falls_behind_closes_client_connections(
     two_entries: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """They kept their connections to it, and were refused until they gave up."""
+    """Otherwise clients keep their connections to it, and all requests are refused."""
     monkeypatch.setattr(process, "_BALANCER_ASKS_S", 0.3)
     entry = two_entries.entry
     connection: Connection = await two_entries.connect(0)
--- a/tests/forwarding/test_repeated_crashes.py
+++ b/tests/forwarding/test_repeated_crashes.py
@@ -1,19 +1,18 @@
-"""A request that ends each backend server that runs it isn't sent on for ever.
-
-What users saw: for seconds at a time hardly any request was served. One client sent
-the same stream again whenever it had failed, each time under a new id and at any
-entry; each engine that began to run it ended 0.1 s later, and with it the streams of
-all others there. 18 engines of 38 ended.
-
-The order of events: the stream is sent to an engine, which ends; the entry sends it to
-a second one at once, which ends; the client's answer is cut; the client sends it again,
-to another entry, which knows nothing of it.
-
-The cause: what bounds repetition (attempts, the retry budget) counts within one id. No
-entry recognized the content, and none told the others. The evidence: in each of twelve
-endings in 8 s a stream of the same workspace and route was there, 0.09 to 0.32 s old
-and without an event; the engines held between 4 and 29 streams, so that load wasn't
-it; with the stand-ins here, which end on nothing but one body, the same comes about.
+"""Requests that crash each backend server that runs them are held back.
+
+Guards against an outage that one client causes: it resends the same stream under a new
+id, at any entry, whenever it failed. Each engine that runs the stream crashes 0.1 s
+later, and all other streams on it fail. An entry sends the stream to a second engine at
+once, which crashes too; the client's next attempt reaches an entry that knows nothing
+about the first. In this way 18 of 38 engines crashed, and for seconds hardly any
+request was served.
+
+Limits on attempts and the retry budget don't help, since they count per request id. The
+entries must recognize the content and report crashes to each other. In each of twelve
+crashes within 8 s, a stream of the same workspace and route was running that had begun
+0.09 to 0.32 s before and had no event. The load of the engines wasn't the cause, since
+they held between 4 and 29 streams; the stand-ins here crash only on one body, with the
+same effect.
 """
 
 from __future__ import annotations
@@ -43,10 +42,11 @@
 )
 from tests.lib.forwarding import Deployment, Reply, running, until
 
-# What one entry has seen reaches all others within this time.
+# Within this time after a crash, all entries know of it.
 PROPAGATION_S = 3.0
 
-# Later than that it may be tried again so often, to see whether it still ends servers.
+# How often the request may be sent after that time, as trials that show whether it
+# still crashes servers.
 MAX_LATE_SENDS = 3
 
 DURATION_S = 8.0
@@ -72,7 +72,7 @@
 async def test_call_that_crashes_its_servers_is_held_back(
     two_entries: Deployment, path: str
 ) -> None:
-    # There are two servers; the third one that ends is one that came back.
+    # There are two servers, so that the third crash is of one that has restarted.
     outcome = await run_poison_requests(two_entries, path, DURATION_S + 3.0)
     assert outcome.late_sends(PROPAGATION_S) <= MAX_LATE_SENDS
     assert outcome.other_served_share(window_s=2.0) >= 0.95
@@ -81,7 +81,7 @@
 async def test_few_engines_crash_when_the_client_uses_all_entries(
     four_entries: Deployment,
 ) -> None:
-    """Each entry that learned by itself would cost two or three."""
+    """If each entry learned by itself, each would cost two or three engines."""
     outcome = await run_poison_requests(four_entries, STREAM_PATH, 5.0)
     assert len(outcome.fleet.crash_times_s) <= 5
 
@@ -105,13 +105,13 @@
 
 
 def is_placed_again(deployment: Deployment) -> bool:
-    """Return whether some engine holds the first layers, and all entries know it."""
+    """Return whether engines hold the first layers, and all entries know them."""
     known = all(deployment.all_known(entry) for entry in deployment.entries)
     return known and bool(deployment.first_engines)
 
 
 async def wait_until_recognizing(deployment: Deployment) -> None:
-    """Wait until all entries know all others and the common key."""
+    """Wait until all entries know all others and the shared key."""
 
     def known() -> bool:
         entries = deployment.entries
@@ -124,7 +124,7 @@
 
 
 def held_back_digests(entry: object) -> list[str]:
-    """Return what an entry holds back."""
+    """Return the digests of the contents that an entry holds back."""
     quarantine = entry._peering.quarantine._quarantine  # type: ignore[attr-defined]
     return [change.content.digest for change in quarantine.held_back]
 
@@ -132,7 +132,7 @@
 async def crash_until_held_back(
     deployment: Deployment, path: str = SAFE_PATH
 ) -> CrashingFleet:
-    """Let a request end servers until the first entry holds it back."""
+    """Crash servers with a request until the first entry holds it back."""
     await wait_until_recognizing(deployment)
     fleet = CrashingFleet(deployment)
     fleet.enable_crashes()
@@ -148,7 +148,7 @@
 async def send_poison(
     deployment: Deployment, path: str, request_id: str, entry: int = 0
 ) -> Reply | None:
-    """Send the poison request; return its answer, or nothing if it was cut off."""
+    """Send the poison request; return the answer, or ``None`` if it was interrupted."""
     connection = await deployment.connect(entry)
     try:
         return await connection.ask(path, request_id, body=POISON_BODY, events=50)
@@ -161,7 +161,7 @@
 async def test_client_of_a_held_back_request_gets_an_error_at_once(
     deployment: Deployment,
 ) -> None:
-    """Not with a status that promises it may go better the next time."""
+    """Its status must not suggest that a retry may succeed."""
     fleet = await crash_until_held_back(deployment)
     arrived = len(fleet.arrivals_s("last"))
     began_s = asyncio.get_running_loop().time()
@@ -179,7 +179,7 @@
 async def test_suspected_request_is_not_refused_for_repeated_crashes(
     deployment: Deployment,
 ) -> None:
-    """Most of what runs where a server ends is innocent."""
+    """Most requests that are running when a server crashes didn't cause the crash."""
     await wait_until_recognizing(deployment)
     fleet = CrashingFleet(deployment)
     fleet.enable_crashes()
@@ -201,7 +201,7 @@
 ) -> None:
     fleet = await crash_until_held_back(deployment)
     sender = RequestSender(deployment, SAFE_PATH, random.Random(1))
-    # All servers of the service are back by then, and known.
+    # Wait until all servers of the service have restarted and are known.
     await until(lambda: deployment.all_known(), 10.0)
     await sender.send("another", b"another body", 1)
     assert sender.served_at_s
@@ -211,7 +211,7 @@
 async def test_entry_that_starts_later_knows_held_back_requests(
     two_entries: Deployment,
 ) -> None:
-    """Also if all entries were started again meanwhile: the store keeps it."""
+    """It reads them from the store, which keeps them even if all entries restart."""
     fleet = await crash_until_held_back(two_entries)
     (content,) = held_back_digests(two_entries.entry)
     store = two_entries.store
@@ -270,7 +270,7 @@
 async def test_popular_request_is_not_held_back_for_unrelated_crashes(
     two_entries: Deployment,
 ) -> None:
-    """Many clients send it, while servers end one after the other for other reasons."""
+    """Many clients send it while servers crash one after another for other reasons."""
     await wait_until_recognizing(two_entries)
     fleet = CrashingFleet(two_entries)
     fleet.enable_crashes()
@@ -301,7 +301,7 @@
 async def test_false_crash_reports_of_an_entry_are_retracted(
     two_entries: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """What it says of servers that run is struck out, and what follows from it."""
+    """Reported crashes of running servers are retracted, and so is the hold."""
     monkeypatch.setattr(crash_reports, "_CONTRADICTION_DELAY_S", 0.5)
     await wait_until_recognizing(two_entries)
     lying_entry, entry = two_entries.entries
@@ -320,7 +320,7 @@
 async def test_only_the_most_suspicious_contents_are_announced(
     two_entries: Deployment,
 ) -> None:
-    """An entry may have begun more there than it tells of."""
+    """More contents may have just started on the server than an entry announces."""
     await wait_until_recognizing(two_entries)
     quarantine = two_entries.entry._peering.quarantine
     now_s = asyncio.get_running_loop().time()
--- a/tests/unit/test_crash_watch.py
+++ b/tests/unit/test_crash_watch.py
@@ -1,4 +1,9 @@
-"""Which runs a server's end is held against."""
+"""Matching of interrupted runs with crashed servers, and digests of contents.
+
+Guards against innocent runs that are blamed for a crash, against crashes that no run is
+blamed for, and against digests that are equal for different requests or different for
+the same request.
+"""
 
 from __future__ import annotations
 
@@ -99,7 +104,7 @@
 def test_interrupted_run_counts_for_one_crash_only(
     watch: CrashWatch, crashes: Crashes
 ) -> None:
-    """The next server of its chain ends under others."""
+    """A later crash of another server of the chain is blamed on other runs."""
     watch.run_interrupted(interrupted_run("r", "a", "b"))
     watch.server_crashed("a", 1.3)
     watch.run_interrupted(interrupted_run("q", "b"))
@@ -114,7 +119,7 @@
         ({"events_duration_s": 0.3}, True),
         ({"events_duration_s": 1.5}, False),
         ({"ended_s": 7.0}, False),
-        # It waited for its turn, and then ended its server at once.
+        # It waited in a queue, and then crashed its server at once.
         ({"ended_s": 9.0, "events_duration_s": 0.1}, True),
     ],
 )
@@ -160,7 +165,7 @@
 
 
 def test_requests_of_different_workspaces_have_different_digests() -> None:
-    """Nobody can have another's requests held back."""
+    """Otherwise a workspace could have another's requests held back."""
     one = digest(CredentialOwner("one", None), credential="key")
     assert one != digest(CredentialOwner("two", None), credential="key")
     assert digest(None, credential="a") != digest(None, credential="b")
@@ -183,14 +188,14 @@
 def test_server_that_restarts_under_its_id_can_crash_again(
     watch: CrashWatch, crashes: Crashes
 ) -> None:
-    """Plain servers get work before their registration tells of their new start.
+    """A restarted server gets requests before its registration shows the restart.
 
-    What users saw: 8 of 20 ends of such servers counted for nothing, so that the
-    request that ended them went on.
+    Otherwise 8 of 20 crashes of such servers weren't counted, so that the request that
+    crashed them continued.
     """
     watch.run_interrupted(interrupted_run("a", "i-1"))
     watch.server_crashed("i-1", 1.3)
-    watch.server_answered("i-1", 1.4)  # It had sent that before.
+    watch.server_answered("i-1", 1.4)  # Sent before the crash.
     watch.server_crashed("i-1", 1.5)
     watch.server_answered("i-1", 2.9)
     watch.run_interrupted(interrupted_run("a", "i-1", ended_s=3.1))
