--- a/src/railfold/_internal/forwarding/peers/proof_refresher.py
+++ b/src/railfold/_internal/forwarding/peers/proof_refresher.py
@@ -207,10 +207,10 @@
             self._record_peer_version(message.version)
         table, lease = self._router.table, self._router.lease
         age_s = lease.age_s(now_s)
-        known = (
+        can_reply = (
             table is not None and age_s < _MAX_REPLY_AGE_S and self._channel is not None
         )
-        if not known or not self._exchange.question_received(now_s):
+        if not can_reply or not self._exchange.question_received(now_s):
             return
         assert table is not None
         assert self._channel is not None
--- a/src/railfold/_internal/forwarding/quarantine/crash_watch.py
+++ b/src/railfold/_internal/forwarding/quarantine/crash_watch.py
@@ -104,9 +104,9 @@
         )
 
 
-def without_restart_count(name: str) -> str:
+def without_restart_count(server_id: str) -> str:
     """Return the server id in the registration, for any restart under that id."""
-    return name.partition(_RESTART_SEPARATOR)[0]
+    return server_id.partition(_RESTART_SEPARATOR)[0]
 
 
 class CrashWatch:
--- a/src/railfold/_internal/forwarding/quarantine/quarantine_records.py
+++ b/src/railfold/_internal/forwarding/quarantine/quarantine_records.py
@@ -128,13 +128,13 @@
         :param held_back: the contents that are held back now.
         """
         now_s = self._loop.time()
-        known = {change.content.digest: change for change in held_back}
+        change_by_digest = {change.content.digest: change for change in held_back}
         due = [digest for digest, due_s in self._write_due_s.items() if due_s <= now_s]
         try:
             if self._key_missing_at is not None:
                 await self._write_key(self._key_missing_at)
             for digest in due:
-                await self._write_record(digest, known.get(digest))
+                await self._write_record(digest, change_by_digest.get(digest))
             for digest in list(self._removals):
                 await self._log.put(self._stream, digest, b"")
                 self._removals.discard(digest)
@@ -160,15 +160,15 @@
 
         :param next_offset: the offset at which the stream ended without a key.
         """
-        known = self._digests.shared_key
-        if known is None:
+        known_key = self._digests.shared_key
+        if known_key is None:
             await asyncio.sleep(
                 _KEY_WRITE_DELAY_S * (1.0 + self._router.rng.random()) / 2
             )
         self._key_missing_at = None
-        if known is None and self._digests.has_key:
+        if known_key is None and self._digests.has_key:
             return  # The key of another entry was read meanwhile.
-        key = encode_key(known or secrets.token_bytes(_KEY_BYTES))
+        key = encode_key(known_key or secrets.token_bytes(_KEY_BYTES))
         try:
             await self._log.put(self._stream, KEY_NAME, key, expected_end=next_offset)
         except LogUnavailableError:
--- a/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
+++ b/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
@@ -278,8 +278,8 @@
         :param last_event: the number of the last event of a stream that is still
             running; ``None`` if the run completed.
         """
-        unsure = last_event is not None and not self._has_suspects
-        if unsure or not self._digests.has_key:
+        is_inconclusive = last_event is not None and not self._has_suspects
+        if is_inconclusive or not self._digests.has_key:
             return
         digest = self._digests.of(request, owner)
         changes = self._quarantine.record_success(digest, self._loop.time(), last_event)
@@ -308,19 +308,21 @@
     def _on_crash(self, server_id: str, runs: list[InterruptedRun]) -> None:
         now_s = self._loop.time()
         version = self._reports.version_of(server_id)
-        seen: dict[RequestContent, list[Crash]] = {}
+        crashes_by_content: dict[RequestContent, list[Crash]] = {}
         for run in runs:
-            seen.setdefault(run.content, []).append(run.crash(server_id, version))
+            crashes_by_content.setdefault(run.content, []).append(
+                run.crash(server_id, version)
+            )
         self._router.metrics.count("servers.crashed")
         self._router.log.write(
             ServerCrashed(
                 server_id,
                 len(runs),
-                [content.digest for content in seen],
+                [content.digest for content in crashes_by_content],
                 round((now_s - runs[-1].ended_s) * 1000, 1),
             )
         )
-        self._apply_changes(self._quarantine.record_crashes(seen, now_s))
+        self._apply_changes(self._quarantine.record_crashes(crashes_by_content, now_s))
         for content in self._most_suspicious(runs):
             self._announce_crashes(content, now_s)
 
