--- a/src/railfold/_internal/decisions/configured_loads.py
+++ b/src/railfold/_internal/decisions/configured_loads.py
@@ -25,7 +25,7 @@
     for name, pipeline in configuration.pipelines.items():
         layers = pipeline.placements.get(host)
         fencing = configuration.objects[ObjectId("pipeline", name)].version
-        if layers is None or (latest is not None and latest[0].fencing > fencing):
+        if layers is None or (latest is not None and latest[0].fencing_token > fencing):
             continue
         order = LoadOrder(pipeline.model, pipeline.version, layers, fencing)
         shuffled = sorted(pipeline.placements, key=lambda h: _shuffle_key(h, fencing))
--- a/src/railfold/_internal/decisions/engine_directory.py
+++ b/src/railfold/_internal/decisions/engine_directory.py
@@ -16,7 +16,7 @@
 
 from railfold._internal.core import LayerRange, Stage
 from railfold._internal.decisions.fleet_load import ServerLoad
-from railfold._internal.decisions.log_epoch import RETURN_S
+from railfold._internal.decisions.log_epoch import LOG_RECOVERY_S
 from railfold._internal.decisions.planner import Replica
 from railfold._internal.decisions.routing_table import EngineModel
 
@@ -300,7 +300,7 @@
             return
         due_s = now_s
         if self._recovered_s is not None:
-            due_s = max(now_s, self._recovered_s + RETURN_S)
+            due_s = max(now_s, self._recovered_s + LOG_RECOVERY_S)
         if due_s <= now_s:
             self._remove_entry(entry)
         elif entry.removal_due_s is None:
--- a/src/railfold/_internal/decisions/leadership.py
+++ b/src/railfold/_internal/decisions/leadership.py
@@ -1,4 +1,4 @@
-"""Which of several processes does a duty, by a lease with a fencing token."""
+"""Elect the one process that performs a duty, by a lease with a fencing token."""
 
 from __future__ import annotations
 
@@ -8,8 +8,9 @@
 
 __all__ = ["Candidacy", "Leadership", "LeaseGrant"]
 
-# Clocks of holder and granter may run apart, and an order is under way for a
-# while after the last look at the lease.
+# The holder treats the lease as expired this share of its duration early: the clocks of
+# holder and granter may drift apart, and an order is in flight for a while after the
+# holder has checked its lease.
 _MARGIN_SHARE = 0.2
 
 
@@ -17,89 +18,98 @@
 class LeaseGrant:
     """The granter's answer to one renewal.
 
-    :param holding: whether the lease is the caller's.
-    :param fencing: rises with every change of holder.
-    :param deal: what tells how many processes ask for the lease, if it is known.
-    :param epoch: of the granter's log, which rises when that goes back.
-    :param is_candidate: whether the caller is one of the few that stand by for duties.
+    :param is_holder: whether the caller holds the lease.
+    :param fencing_token: increases with every change of the holder.
+    :param assignment: the caller's share of the group's partitions, from which the
+        number of processes that ask for the lease follows; None if it isn't known.
+    :param epoch: epoch of the granter's log, which increases when that log is restored
+        from an older copy.
+    :param is_candidate: whether the caller is one of the few processes that are to ask
+        for the leases of duties.
     """
 
-    holding: bool
-    fencing: int
-    deal: PartitionAssignment | None = None
+    is_holder: bool
+    fencing_token: int
+    assignment: PartitionAssignment | None = None
     epoch: int = 0
     is_candidate: bool = False
 
 
-# A new deal among all processes names other candidates. Former ones stay for this time,
-# so that the lease isn't dealt anew by each change.
-_STAY_S = 5.0
+# Each change of the processes may select other candidates. Former candidates keep
+# asking for the lease for this time, so that not every change moves the lease.
+_FORMER_CANDIDATE_S = 5.0
 
 
 @dataclass(slots=True)
 class Candidacy:
-    """Whether one process asks for the lease; times are on the monotonic clock.
+    """Decides whether one process asks for the lease; times are monotonic.
 
-    :param member_s: how long the process counts as a member after its last renewal
-        among all processes.
+    :param membership_s: how long the process counts as a member after it last renewed
+        its membership of the group of all processes.
     """
 
-    member_s: float
-    _named_s: float = float("-inf")
+    membership_s: float
+    _last_candidate_s: float = float("-inf")
     _renewed_s: float = float("-inf")
 
-    def renewed(self, grant: LeaseGrant, sent_s: float) -> None:
-        """Take an answer to a renewal among all processes."""
+    def record_renewal(self, grant: LeaseGrant, sent_s: float) -> None:
+        """Record an answer to a renewal of the membership, sent at ``sent_s``."""
         self._renewed_s = sent_s
         if grant.is_candidate:
-            self._named_s = sent_s
+            self._last_candidate_s = sent_s
 
-    def asks(self, now_s: float) -> bool:
-        """Return whether to ask for the lease; its holder goes on anyway."""
-        is_member = now_s - self._renewed_s < self.member_s
-        return is_member and now_s - self._named_s < _STAY_S
+    def requests_lease(self, now_s: float) -> bool:
+        """Return whether to ask for the lease; a holder renews it in any case."""
+        is_member = now_s - self._renewed_s < self.membership_s
+        return is_member and now_s - self._last_candidate_s < _FORMER_CANDIDATE_S
 
 
 @dataclass(slots=True)
 class Leadership:
     """One process's view of the lease; times are on the monotonic clock.
 
-    The lease counts from when its renewal was sent, and ends for its holder
-    before it ends for the granter. A holder whose token was refused as too low
-    has a successor, and waits until it is granted a higher one.
+    The lease counts from the moment when its renewal was sent, and its holder treats
+    it as expired before the granter does. A holder whose token was refused as too low
+    has a successor, and has no valid token until it is granted a higher one.
+
+    :param duration_s: how long the granter considers the lease valid.
     """
 
     duration_s: float
     _grant: LeaseGrant | None = None
     _renewed_s: float = 0.0
-    _fenced_at: int = -1
+    _refused_token: int = -1
 
-    def renewed(self, grant: LeaseGrant, sent_s: float) -> bool:
-        """Take an answer to a renewal; return whether the role changed."""
-        before = self._grant
+    def record_renewal(self, grant: LeaseGrant, sent_s: float) -> bool:
+        """Record an answer to a renewal; return whether this process's role changed."""
+        previous = self._grant
         self._grant = grant
         self._renewed_s = sent_s
-        return before is None or before.holding != grant.holding
+        return previous is None or previous.is_holder != grant.is_holder
 
     def revoke(self) -> None:
-        """The granter forgot what it granted, and may grant the lease to another."""
+        """Drop the lease: the granter lost its record and may grant it to another."""
         if self._grant is not None:
-            self._grant = replace(self._grant, holding=False)
+            self._grant = replace(self._grant, is_holder=False)
 
-    def fenced(self, fencing: int) -> None:
-        """An order with this token was refused: another has a higher one."""
-        self._fenced_at = max(self._fenced_at, fencing)
+    def record_refused_token(self, fencing_token: int) -> None:
+        """Record that an order with this token was refused for a higher one."""
+        self._refused_token = max(self._refused_token, fencing_token)
 
-    def fencing(self, now_s: float) -> int | None:
-        """Return the token to give orders with, if the lease holds now."""
+    def current_token(self, now_s: float) -> int | None:
+        """Return the fencing token for orders, or None if the lease isn't held now."""
         grant = self._grant
-        if grant is None or not grant.holding or grant.fencing <= self._fenced_at:
+        if (
+            grant is None
+            or not grant.is_holder
+            or grant.fencing_token <= self._refused_token
+        ):
             return None
         if now_s - self._renewed_s >= self.duration_s * (1.0 - _MARGIN_SHARE):
             return None
-        return grant.fencing
+        return grant.fencing_token
 
     @property
-    def newest_fencing(self) -> int:
-        """The newest token that was heard of."""
-        return self._grant.fencing if self._grant else 0
+    def newest_token(self) -> int:
+        """The token in the granter's newest answer; 0 before the first answer."""
+        return self._grant.fencing_token if self._grant else 0
--- a/src/railfold/_internal/forwarding/peers/arrival_exchange.py
+++ b/src/railfold/_internal/forwarding/peers/arrival_exchange.py
@@ -70,7 +70,7 @@
 
     def _send_update(self) -> None:
         now_s = self._loop.time()
-        if self._leadership.fencing(now_s) is not None:
+        if self._leadership.current_token(now_s) is not None:
             if now_s - self._announced_s >= _LEADER_ANNOUNCE_INTERVAL_S:
                 self._announced_s = now_s
                 self._channel.broadcast(PlacementLeaderNotice(self._name))
