--- a/src/railfold/_internal/forwarding/peers/proof_refresher.py
+++ b/src/railfold/_internal/forwarding/peers/proof_refresher.py
@@ -36,7 +36,8 @@
 _BEHIND_LOG_DELAY_S = 1.0
 
 # The delay before the next read after one that failed, or that didn't return the newest
-# configuration that others know, so that not all entries probe the store in an outage.
+# configuration that others know. Otherwise all entries would probe the store during an
+# outage.
 _READ_RETRY_S = 0.6
 
 # The maximum age of a proof that is sent in a reply. Even a proof older than the lease
--- a/src/railfold/_internal/forwarding/quarantine/crash_watch.py
+++ b/src/railfold/_internal/forwarding/quarantine/crash_watch.py
@@ -22,10 +22,10 @@
     "without_restart_count",
 ]
 
-# A run that produced events for longer than this, or that waited longer than the second
-# time for its first event, didn't crash its server: a request that crashes servers does
-# so within tenths of a second. The wait may be longer, since engines may queue requests
-# for seconds.
+# A run that produced events for longer than the first of these times, or that waited
+# longer than the second one for its first event, didn't crash its server: a request
+# that crashes servers does so within tenths of a second. The second time is longer,
+# since engines may queue requests for seconds.
 CLEARED_AFTER_S = 1.0
 _MAX_FIRST_EVENT_WAIT_S = 5.0
 
@@ -42,7 +42,7 @@
 # Separates the server id in the registration from the number of such restarts.
 _RESTART_SEPARATOR = "+"
 
-# The maximum number of interrupted runs, and of crashed or restarted servers, that are
+# The maximum numbers of interrupted runs, and of crashed or restarted servers, that are
 # remembered.
 _MAX_RUNS = 512
 _MAX_SERVERS = 512
@@ -105,7 +105,7 @@
 
 
 def without_restart_count(server_id: str) -> str:
-    """Return the server id in the registration, for any restart under that id."""
+    """Return a server id as registered, without the count of later restarts."""
     return server_id.partition(_RESTART_SEPARATOR)[0]
 
 
--- a/src/railfold/_internal/forwarding/quarantine/quarantine_records.py
+++ b/src/railfold/_internal/forwarding/quarantine/quarantine_records.py
@@ -32,6 +32,7 @@
 # this time plus a random time of up to the same length. Then it writes the record
 # itself.
 _PEER_WRITE_DELAY_S = 1.0
+
 # The delay after a write that failed.
 _RETRY_S = 2.0
 
--- a/src/railfold/_internal/forwarding/quarantine/success_confirmer.py
+++ b/src/railfold/_internal/forwarding/quarantine/success_confirmer.py
@@ -44,7 +44,7 @@
         self._announced_at_s: dict[str, float] = {}
 
     def suspected_elsewhere(self, digest: str, now_s: float) -> None:
-        """Confirm a content that another entry suspects, if it succeeded here lately.
+        """Confirm a content that another entry suspects, if it succeeded recently.
 
         The confirmation follows after a random delay, in which another entry may send
         it.
