--- a/src/railfold/_internal/forwarding/peers/peering.py
+++ b/src/railfold/_internal/forwarding/peers/peering.py
@@ -119,9 +119,9 @@
                 settings.peers, view, router.metrics, router.rng, self._on_message
             )
             proofs.set_channel(self._channel)
-            router.limits.use(settings.name, self._channel)
-            router.backoffs.use(settings.name, self._channel)
-            router.statements.use(self._channel)
+            router.limits.set_channel(settings.name, self._channel)
+            router.backoffs.set_channel(settings.name, self._channel)
+            router.statements.set_channel(self._channel)
             self._peer_list_sync = PeerListSync(
                 view,
                 adapter.new_log(),
@@ -206,9 +206,9 @@
             case RateLimitNotice():
                 self._rate_limits.record_notice(message)
             case PermitRequest():
-                self._rate_limits.permit_asked(message)
+                self._rate_limits.answer_permit_request(message)
             case PermitReply():
-                self._rate_limits.permit_replied(message)
+                self._rate_limits.record_permit_reply(message)
             case BackoffNotice():
                 self._backoffs.record_notice(message)
             case LeavingNotice():
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -39,10 +39,10 @@
 from railfold._internal.forwarding.requests.routed_request import RoutedRequest
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.servers.engine_calls import EngineCalls
-from railfold._internal.forwarding.servers.placement import PlacementKeeper
+from railfold._internal.forwarding.servers.placement import PlacementController
 from railfold._internal.forwarding.servers.pool import ConnectionPool
-from railfold._internal.forwarding.servers.probes import ChainProber
-from railfold._internal.forwarding.servers.slow_engines import SlowEngineWatch
+from railfold._internal.forwarding.servers.probes import ServerProber
+from railfold._internal.forwarding.servers.slow_engines import SlowEngineMonitor
 from railfold._internal.forwarding.settings import ForwardingSettings
 from railfold._internal.forwarding.settings_source import SettingsSource
 from railfold._internal.forwarding.store.feeds import (
@@ -166,7 +166,7 @@
         fleet = FleetSize(settings.retry_window_s, MEMBER_S, founded_by_s)
         self._fleet_limits = FleetLimits(settings, fleet, self.router)
         calls = EngineCalls(self.router)
-        self._prober = ChainProber(self.router, calls)
+        self._prober = ServerProber(self.router, calls)
         self._leadership = Leadership(LEASE_S)
         self._candidacy = Candidacy(MEMBER_S)
         self._leadership_keeper = LeadershipKeeper(
@@ -186,13 +186,13 @@
             self._on_member_renewed,
             self._on_epoch,
         )
-        self._placement = PlacementKeeper(
+        self._placement = PlacementController(
             self.router,
             self._leadership,
             calls,
             first_start=settings.first_start,
         )
-        self._slow_engines = SlowEngineWatch(self.router, calls)
+        self._slow_engines = SlowEngineMonitor(self.router, calls)
         self._epoch = LogEpoch()
         self._configuration_feed = ConfigurationFeed(
             self.router,
@@ -226,8 +226,8 @@
             proofs=self._proofs,
             on_leadership_released=self._leadership_keeper.holder_stopped,
         )
-        calls.on_refused = self._peering.quarantine.server_refused_connection
-        self._prober.on_well = self._peering.quarantine.server_answered
+        calls.on_connection_refused = self._peering.quarantine.server_refused_connection
+        self._prober.on_healthy = self._peering.quarantine.server_answered
         self._held = MemoryQuota(int(settings.memory_bytes * _HELD_SHARE))
         self._clients = ClientServer(
             settings.clients,
@@ -371,7 +371,7 @@
         """Accept clients once it is known where their requests may go."""
         known = self._registrations_known and self._quarantine_known
         if self.router.table is not None and known:
-            self._clients.begin.set()
+            self._clients.can_answer.set()
 
     def _on_proof_failure(self) -> None:
         """Find out at once whether the store is lost: another read may wait on it."""
@@ -415,7 +415,7 @@
 
     # Clients' requests
 
-    def request(
+    def handle_request(
         self,
         exchange: ClientExchange,
         method: str,
@@ -466,7 +466,7 @@
         owner = table.credentials.get(self.router.dialect.credential(headers))
         return owner.workspace if owner is not None else ""
 
-    def refuse_unread(self, exchange: ClientExchange) -> None:
+    def refuse_early(self, exchange: ClientExchange) -> None:
         """Answer a request whose body there is no memory for."""
         held_mb = self._held.total_bytes / 1e6
         error = MemoryShortError(
@@ -474,14 +474,14 @@
             why=f"{held_mb:.1f} MB are held for clients",
             hint="come back after Retry-After",
         )
-        self._refusals.refuse_unread(exchange, error)
+        self._refusals.refuse_early(exchange, error)
 
-    def client_gone(self, exchange: ClientExchange) -> None:
+    def client_disconnected(self, exchange: ClientExchange) -> None:
         """A client closed its connection."""
         driver = self._drivers.pop(exchange, None)
         if driver is not None:
             self.metrics.count("clients.gone")
-            driver.client_gone()
+            driver.client_disconnected()
 
     # Upkeep and the end
 
@@ -517,7 +517,7 @@
             self.router.avoidance.forget(known)
             self.router.fleet_load.forget(known, now_s)
             self.router.fleet_demand.forget(now_s)
-            self._prober.pace.forget(known)
+            self._prober.probe_backoff.forget(known)
             self.router.limits.upkeep(known, now_s)
             self.router.backoffs.upkeep(known, now_s)
             self._registrations.pace = self._registration_pace(now_s)
@@ -562,7 +562,7 @@
         # What still runs is cut visibly; waiting for it would outlast the grace.
         for exchange, driver in list(self._drivers.items()):
             exchange.abort()
-            driver.client_gone()
+            driver.client_disconnected()
         leaving.cancel()
         self.log.flush()
 
--- a/src/railfold/_internal/forwarding/servers/kept_connection.py
+++ b/src/railfold/_internal/forwarding/servers/persistent_connection.py
@@ -1,4 +1,4 @@
-"""One kept connection to a service, for calls that are made one after the other."""
+"""A persistent connection to a service, for sequential calls."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
     fetch,
 )
 
-__all__ = ["KeptConnection"]
+__all__ = ["PersistentConnection"]
 
 _CONNECT_TIMEOUT_S = 0.6
 
-# Servers close connections that rest; a call must not meet that moment.
+# Servers close idle connections. A call that is sent at the moment of closing gets no
+# answer, so connections are replaced earlier.
 _MAX_IDLE_S = 5.0
 
 
-class KeptConnection:
-    """Makes one call at a time.
+class PersistentConnection:
+    """Makes calls to one address, one at a time, and reconnects when needed.
 
-    After an answer was lost the connection is closed: what still came over it
-    would belong to the lost call.
+    The connection is discarded after a call without a complete answer, since later
+    bytes on it would belong to that call.
     """
 
     def __init__(self, address: Address) -> None:
@@ -41,17 +42,17 @@
         headers: Sequence[Header],
         body: bytes,
         timeout_s: float,
-        stall_s: float | None = None,
+        stall_timeout_s: float | None = None,
     ) -> Response:
-        """Make a call; return its answer.
+        """Make a call and return its answer.
 
-        :param stall_s: as in :func:`fetch`.
-        :raises EngineUnavailableError: no whole answer came in time.
+        :param stall_timeout_s: as in :func:`fetch`.
+        :raises EngineUnavailableError: no complete answer arrived in time.
         """
         try:
-            connection = await self._take()
+            connection = await self._get_connection()
             response = await fetch(
-                connection, method, target, headers, body, timeout_s, stall_s
+                connection, method, target, headers, body, timeout_s, stall_timeout_s
             )
         except EngineUnavailableError:
             self._connection = None
@@ -59,12 +60,12 @@
         connection.idle_since_s = asyncio.get_running_loop().time()
         return response
 
-    async def _take(self) -> HttpConnection:
+    async def _get_connection(self) -> HttpConnection:
         now_s = asyncio.get_running_loop().time()
         connection = self._connection
         if connection is not None:
-            usable = not connection.closed and not connection.busy
-            if usable and now_s - connection.idle_since_s < _MAX_IDLE_S:
+            is_usable = not connection.closed and not connection.busy
+            if is_usable and now_s - connection.idle_since_s < _MAX_IDLE_S:
                 return connection
             connection.abort()
         self._connection = await connect(self.address, _CONNECT_TIMEOUT_S)
--- a/tests/unit/test_layer_orders.py
+++ b/tests/unit/test_layer_orders.py
@@ -1,4 +1,8 @@
-"""Orders to engines that still carry out another one."""
+"""Orders to engines that are still executing another order.
+
+Guards against an order that makes an engine start over, and against plans that include
+an engine which is executing an order for other layers.
+"""
 
 from __future__ import annotations
 
@@ -14,22 +18,29 @@
 from railfold._internal.forwarding.dialect import OrderBegun, OrderOutcome
 from railfold._internal.forwarding.servers.layer_orders import LayerOrders
 
-WANTED = LayerRange(0, 9)
-OTHER = LayerRange(10, 19)
+ORDERED_LAYERS = LayerRange(0, 9)
+OTHER_LAYERS = LayerRange(10, 19)
 
 
 @dataclass
 class Engine:
-    """Answers reports and orders; what it was asked to hold is kept."""
+    """Stand-in for an engine, its interface and the platform's dialect.
+
+    It records the layers of all orders, and is busy from the first order on.
+    """
 
     busy: bool = False
-    placed: list[LayerRange] = field(default_factory=list)
+    ordered_layers: list[LayerRange] = field(default_factory=list)
 
     async def call(
-        self, entry: object, call: object, timeout_s: float, check: Any = None
+        self,
+        entry: object,
+        call: object,
+        timeout_s: float,
+        check_before_send: Any = None,
     ) -> SimpleNamespace:
         if isinstance(call, LayerRange):
-            self.placed.append(call)
+            self.ordered_layers.append(call)
             self.busy = True
         return SimpleNamespace(head=None, body=b"")
 
@@ -49,7 +60,7 @@
         return OrderBegun()
 
 
-def orders_of(engine: Engine) -> LayerOrders:
+def orders_for(engine: Engine) -> LayerOrders:
     router = SimpleNamespace(
         dialect=engine,
         metrics=SimpleNamespace(count=lambda name: None),
@@ -63,39 +74,39 @@
     )
 
 
-async def given(orders: LayerOrders, layers: LayerRange) -> None:
+async def send_order(orders: LayerOrders, layers: LayerRange) -> None:
     entry = SimpleNamespace(
         server_id="e1",
         registration=SimpleNamespace(layers=None),
         is_other_incarnation=lambda started_at_ms: False,
     )
-    orders.give(cast("Any", entry), LoadOrder("m", "", layers, 1), 0.0)
-    while orders.under_way:  # noqa: ASYNC110
+    orders.start_order(cast("Any", entry), LoadOrder("m", "", layers, 1), 0.0)
+    while orders.in_progress:  # noqa: ASYNC110
         await asyncio.sleep(0)
 
 
 @pytest.mark.asyncio
-async def test_an_engine_with_anothers_order_isnt_counted_on() -> None:
+async def test_engine_that_executes_order_of_another_entry_gets_no_order() -> None:
     engine = Engine(busy=True)
-    orders = orders_of(engine)
-    await given(orders, WANTED)
+    orders = orders_for(engine)
+    await send_order(orders, ORDERED_LAYERS)
     now_s = asyncio.get_running_loop().time()
-    assert engine.placed == []
-    assert orders.is_carrying("e1", now_s)
-    assert orders.has_other_order("e1", WANTED, now_s)
-    assert not orders.is_carrying("e1", now_s + 5.0)
+    assert engine.ordered_layers == []
+    assert orders.is_executing("e1", now_s)
+    assert orders.has_other_order("e1", ORDERED_LAYERS, now_s)
+    assert not orders.is_executing("e1", now_s + 5.0)
 
 
 @pytest.mark.asyncio
-async def test_an_engine_that_is_slow_to_carry_its_order_out_keeps_it() -> None:
+async def test_engine_that_still_executes_its_order_gets_it_only_once() -> None:
     engine = Engine()
-    orders = orders_of(engine)
-    await given(orders, WANTED)
-    await given(orders, WANTED)
+    orders = orders_for(engine)
+    await send_order(orders, ORDERED_LAYERS)
+    await send_order(orders, ORDERED_LAYERS)
     now_s = asyncio.get_running_loop().time()
-    assert engine.placed == [WANTED]
-    assert orders.is_carrying("e1", now_s)
-    assert not orders.has_other_order("e1", WANTED, now_s)
-    assert orders.has_other_order("e1", OTHER, now_s)
+    assert engine.ordered_layers == [ORDERED_LAYERS]
+    assert orders.is_executing("e1", now_s)
+    assert not orders.has_other_order("e1", ORDERED_LAYERS, now_s)
+    assert orders.has_other_order("e1", OTHER_LAYERS, now_s)
     orders.forget("e1")
-    assert not orders.is_carrying("e1", now_s)
+    assert not orders.is_executing("e1", now_s)
