--- a/soak/clients.py
+++ b/soak/clients.py
@@ -16,7 +16,7 @@
     PLAIN_SERVICE,
     Connection,
     Reply,
-    events_of,
+    stream_body,
 )
 from tests.lib.limits import WINDOW_S, allowed_requests
 
@@ -154,9 +154,9 @@
             self._drop()
             return
         self._judge(kind, request_id, count, reply)
-        if kind == "draft" and reply.status == 200 and not reply.whole:
+        if kind == "draft" and reply.status == 200 and not reply.complete:
             self._judge_cut(request_id, began_s)
-        if not reply.whole or reply.headers.get("Connection") == "close":
+        if not reply.complete or reply.headers.get("Connection") == "close":
             self._drop()
 
     async def _leave(self, connection: Connection, request_id: str) -> None:
@@ -184,7 +184,7 @@
 
     def _judge(self, kind: str, request_id: str, count: int, reply: Reply) -> None:
         seen = self._seen
-        seen.outcomes[f"{reply.status}{'' if reply.whole else ' cut'}"] += 1
+        seen.outcomes[f"{reply.status}{'' if reply.complete else ' cut'}"] += 1
         if reply.status == 503:
             seen.refused_ids.add(request_id)
         if b"repeated_crashes" in reply.body:
@@ -196,13 +196,15 @@
         if reply.headers.get("Railfold-Attempt-Id") != request_id:
             seen.violated(MIXED, f"{request_id} got another request's answer")
         if kind == "draft":
-            whole = events_of(count)
-            good = reply.body == whole if reply.whole else whole.startswith(reply.body)
+            whole = stream_body(count)
+            good = (
+                reply.body == whole if reply.complete else whole.startswith(reply.body)
+            )
             if not good:
                 seen.violated(ORDER, f"{request_id} got a wrong stream")
         elif reply.body != f"record of {request_id}".encode():
             seen.violated(MIXED, f"{request_id} got a wrong body")
-        if reply.whole:
+        if reply.complete:
             seen.served_at_s.append(asyncio.get_running_loop().time())
 
     def _judge_cut(self, request_id: str, began_s: float) -> None:
--- a/src/railfold/_internal/forwarding/fleet_limits.py
+++ b/src/railfold/_internal/forwarding/fleet_limits.py
@@ -33,31 +33,33 @@
         self._fleet = fleet
         self._router = router
         self._loop = asyncio.get_running_loop()
-        self.divide()
+        self.update_limits()
 
     @property
-    def part(self) -> float:
+    def share(self) -> float:
         """The part that the entry has, from 0 to 1."""
         return self._fleet.share(self._loop.time())
 
-    def dealt(self, deal: PartitionAssignment, sent_s: float) -> None:
+    def assignment_received(
+        self, assignment: PartitionAssignment, sent_s: float
+    ) -> None:
         """Take what a renewal of the lease tells of the number of entries."""
-        self._fleet.assignment_received(deal, sent_s)
+        self._fleet.assignment_received(assignment, sent_s)
         members = self._fleet.members
         if members is not None:
             self._router.entries = self._router.limits.members = members
         self._router.metrics.gauge("entries", members or 0)
-        self.divide()
+        self.update_limits()
 
-    def listed(self, entries: int) -> None:
+    def set_listed_entries(self, entries: int) -> None:
         """Take how many entries the store lists, with this one."""
         self._fleet.set_listed_entries(entries)
-        self.divide()
+        self.update_limits()
 
-    def divide(self) -> None:
+    def update_limits(self) -> None:
         """Take this entry's part of the retries that all may make."""
         settings = self.settings
-        slack = settings.retry_slack * _RETRY_SAFETY * self.part
+        slack = settings.retry_slack * _RETRY_SAFETY * self.share
         limits = RetryLimits(
             settings.retry_share * _SHARE_SAFETY, slack, settings.retry_window_s
         )
--- a/src/railfold/_internal/forwarding/peers/peering.py
+++ b/src/railfold/_internal/forwarding/peers/peering.py
@@ -123,7 +123,7 @@
                 router.metrics,
                 router.rng,
                 self._tell,
-                fleet_limits.listed,
+                fleet_limits.set_listed_entries,
             )
             self._arrivals = ArrivalExchange(
                 settings.name, router, leadership, self._channel
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -31,11 +31,11 @@
 from railfold._internal.forwarding.peers.peering import Peering
 from railfold._internal.forwarding.peers.proof_keeper import ProofKeeper
 from railfold._internal.forwarding.reload import SettingsWatcher
+from railfold._internal.forwarding.requests.capacity_queue import CapacityQueue
 from railfold._internal.forwarding.requests.destinations import DestinationChooser
 from railfold._internal.forwarding.requests.driver import RequestDriver
 from railfold._internal.forwarding.requests.front import ClientExchange, ClientServer
 from railfold._internal.forwarding.requests.refusals import Refusals
-from railfold._internal.forwarding.requests.room_queue import RoomQueue
 from railfold._internal.forwarding.requests.routed_request import RoutedRequest
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.servers.engine_calls import EngineCalls
@@ -162,7 +162,7 @@
         )
         self.destinations = DestinationChooser(self.router)
         self._refusals = Refusals(self.router)
-        self._room = RoomQueue(self.router)
+        self._room = CapacityQueue(self.router)
         fleet = FleetSize(settings.retry_window_s, MEMBER_S, founded_by_s)
         self._fleet_limits = FleetLimits(settings, fleet, self.router)
         calls = EngineCalls(self.router)
@@ -388,7 +388,7 @@
     def _on_member_renewed(self, grant: LeaseGrant, sent_s: float) -> None:
         self._candidacy.renewed(grant, sent_s)
         if grant.deal is not None:
-            self._fleet_limits.dealt(grant.deal, sent_s)
+            self._fleet_limits.assignment_received(grant.deal, sent_s)
 
     def _on_leadership_stopped(self, member: str) -> None:
         self._peering.tell_leadership_stopped(member)
@@ -494,7 +494,7 @@
         now_s = self._loop.time()
         self.metrics.count("process.resumed")
         self.router.pool.prune(now_s)
-        self._fleet_limits.divide()
+        self._fleet_limits.update_limits()
         leading = self._leadership.fencing(now_s) is not None
         in_flight = len(self.router.active)
         event = ProcessResumed(round(suspended_s * 1000, 1), in_flight, leading)
@@ -511,7 +511,7 @@
             self.metrics.timing("loop.late", now_s - due_s)
             self.router.directory.expire(now_s)
             self.router.pool.prune(now_s)
-            self._fleet_limits.divide()
+            self._fleet_limits.update_limits()
             known = {entry.server_id for entry in self.router.directory}
             self.router.activity.retain_hosts(known)
             self.router.avoidance.forget(known)
@@ -537,7 +537,7 @@
         if self._settings.first_start and starting:
             # No client waits for the first placement yet.
             return calm_pace(self._settings.drain_notice_s)
-        if self.router.chain_missing():
+        if self.router.has_incomplete_domain():
             return eager_pace()
         return calm_pace(self._settings.drain_notice_s)
 
--- a/src/railfold/_internal/forwarding/requests/chain_balancer.py
+++ b/src/railfold/_internal/forwarding/requests/chain_balancer.py
@@ -33,10 +33,10 @@
 
 # What a chain that begins in another failure domain costs more: enough to keep even
 # load at home, little enough to leave a domain that is a tenth fuller.
-_AWAY_COST = 0.1
+_OTHER_DOMAIN_COST = 0.1
 
 # What a new connection to the first engine costs.
-_CONNECTING_COST = 0.05
+_NEW_CONNECTION_COST = 0.05
 
 # What a chain costs more whose pauses, or waits, are twice what they should be.
 _SLOWNESS_COST = 0.5
@@ -74,8 +74,8 @@
         model: EngineModel,
         replicas: Sequence[Replica],
         needs: RequestNeeds,
-        bearable_s: float,
-        doubtful: Collection[str],
+        acceptable_wait_s: float,
+        possibly_departed: Collection[str],
     ) -> ChosenChain | None:
         """Return the chain that a request takes; none if there is none.
 
@@ -83,11 +83,15 @@
         :param bearable_s: the wait for a first event from which on a chain is slow.
         :param doubtful: servers that are used only if there is no chain without them.
         """
-        candidates = self._candidates(service, model, replicas, needs, bearable_s)
-        sure = [c for c in candidates if c.replica.stage.host not in doubtful]
+        candidates = self._candidates(
+            service, model, replicas, needs, acceptable_wait_s
+        )
+        confirmed = [
+            c for c in candidates if c.replica.stage.host not in possibly_departed
+        ]
         home = self._router.failure_domain
-        chains = self._search(sure, model, needs, home)
-        if not chains and len(sure) < len(candidates):
+        chains = self._search(confirmed, model, needs, home)
+        if not chains and len(confirmed) < len(candidates):
             chains = self._search(candidates, model, needs, home)
         if not chains:
             return None
@@ -99,14 +103,14 @@
         index = choose_rated_chain(rated, self._router.entries, self._router.rng)
         return ChosenChain(chains[index], predictions[index])
 
-    def borrow(
+    def reroute_across_domains(
         self,
         service: str,
         model: EngineModel,
         replicas: Sequence[Replica],
         needs: RequestNeeds,
         home: str,
-        held_by: Collection[str],
+        current_hosts: Collection[str],
     ) -> Chain | None:
         """Return a chain for a stream that runs at home, where layers are missing.
 
@@ -115,16 +119,16 @@
         """
         candidates = [
             replace(
-                found, rejection_risk=0.0, scarcity_per_layer=0.0, has_capacity=True
+                candidate, rejection_risk=0.0, scarcity_per_layer=0.0, has_capacity=True
             )
-            if found.replica.stage.host in held_by
-            else found
-            for found in self._candidates(service, model, replicas, needs, math.inf)
+            if candidate.replica.stage.host in current_hosts
+            else candidate
+            for candidate in self._candidates(service, model, replicas, needs, math.inf)
         ]
-        found = self._search(candidates, model, needs, home)
-        if not found:
+        chains = self._search(candidates, model, needs, home)
+        if not chains:
             return None
-        chosen = ChosenChain(found[0], _predict(found[0], model, needs))
+        chosen = ChosenChain(chains[0], _predict(chains[0], model, needs))
         self.count_crossings(chosen, model, needs)
         return chosen.found.chain
 
@@ -138,8 +142,10 @@
         """Return good chains; those that borrow have room for the request."""
         now_s = asyncio.get_running_loop().time()
 
-        def crossing_cost(one: str, other: str) -> float:
-            return self._router.pipes.crossing_cost(one, other, model, needs, now_s)
+        def crossing_cost(domain: str, other_domain: str) -> float:
+            return self._router.pipes.crossing_cost(
+                domain, other_domain, model, needs, now_s
+            )
 
         return search_all_chains(candidates, model.layer_count, home, crossing_cost)
 
@@ -163,7 +169,7 @@
         model: EngineModel,
         replicas: Iterable[Replica],
         needs: RequestNeeds,
-        bearable_s: float,
+        acceptable_wait_s: float,
     ) -> list[StageCandidate]:
         """Return replicas with their costs."""
         router = self._router
@@ -179,28 +185,35 @@
                 accelerator.slowed(entry.slowness),
                 len(replica.stage.layers),
                 replica.capacity,
-                router.own_reckoning(replica.stage.host),
+                router.extrapolated_own_load(replica.stage.host),
+            )
+            unseen_share = unseen_occupancy(state, model, router.entries, arriving_rps)
+            candidate = rate_candidate(
+                replica, state, model, needs, unseen_share, router.rng
             )
-            spread = unseen_occupancy(state, model, router.entries, arriving_rps)
-            found = rate_candidate(replica, state, model, needs, spread, router.rng)
             if replica.stage.layers.first == 0:
-                extra = self._first_stage_cost(replica, now_s, bearable_s)
-                found = replace(found, rejection_risk=found.rejection_risk + extra)
-            candidates.append(found)
+                first_stage_cost = self._first_stage_cost(
+                    replica, now_s, acceptable_wait_s
+                )
+                candidate = replace(
+                    candidate,
+                    rejection_risk=candidate.rejection_risk + first_stage_cost,
+                )
+            candidates.append(candidate)
         return candidates
 
     def _first_stage_cost(
-        self, replica: Replica, now_s: float, bearable_s: float
+        self, replica: Replica, now_s: float, acceptable_wait_s: float
     ) -> float:
         """Return what it costs more to begin a chain there."""
         router = self._router
         host = replica.stage.host
-        slowness = router.activity.slowness(host, now_s, bearable_s)
+        slowness = router.activity.slowness(host, now_s, acceptable_wait_s)
         cost = _SLOWNESS_COST * (slowness - 1.0)
         if replica.failure_domain != router.failure_domain:
-            cost += _AWAY_COST
+            cost += _OTHER_DOMAIN_COST
         if not router.pool.has_idle(host, now_s):
-            cost += _CONNECTING_COST
+            cost += _NEW_CONNECTION_COST
         return cost
 
 
@@ -218,10 +231,12 @@
     model: EngineModel,
     needs: RequestNeeds,
 ) -> RatedChain:
-    room = min(found.capacity_tokens / model.mean_tokens, model.max_sequences)
+    capacity_requests = min(
+        found.capacity_tokens / model.mean_tokens, model.max_sequences
+    )
     return RatedChain(
         found.cost,
-        room / found.duration_s,
+        capacity_requests / found.duration_s,
         found.has_capacity,
         meets_objectives=prediction.first_event_s <= needs.objective_s
         and prediction.pause_s <= needs.allowed_pause_s,
--- a/src/railfold/_internal/forwarding/requests/chain_planner.py
+++ b/src/railfold/_internal/forwarding/requests/chain_planner.py
@@ -34,25 +34,25 @@
 from railfold._internal.forwarding.requests.destination import Destination
 from railfold._internal.forwarding.router import Router
 
-__all__ = ["LOCAL_FACTOR", "ChainPlanner", "last_one_error"]
+__all__ = ["LOCAL_DOMAIN_COST_FACTOR", "ChainPlanner", "last_server_error"]
 
 # How much cheaper a chain in the entry's own failure domain counts: enough to
 # keep even load at home, little enough to leave a domain that is twice as busy.
-LOCAL_FACTOR = 0.75
+LOCAL_DOMAIN_COST_FACTOR = 0.75
 
 # The same for an engine that a kept connection leads to: a new one costs the engine a
 # millisecond, as much as several of its decode steps, and the request a round trip.
 # More than the jitter between equal engines, far less than a difference in load.
-_CONNECTED_FACTOR = 0.9
+_CONNECTED_COST_FACTOR = 0.9
 
 # Engines' costs are spread by up to this part where an entry sees nothing of their
 # load: as much as a half full one costs more than an idle one of its kind would, so
 # that entries don't all choose the same path through a failure domain.
-_BLIND_JITTER = 0.5
+_MAX_UNCERTAINTY_JITTER = 0.5
 
 # When others may be there again beside the only backend server that is left: layers are
 # loaded in 0.6 s, a server starts again in a second or two.
-_LAST_ONE_S = 0.6
+_LAST_SERVER_RETRY_S = 0.6
 
 
 class ChainPlanner:
@@ -69,8 +69,8 @@
         needs: RequestNeeds,
         exclude: frozenset[str],
         terms: EligibilityTerms,
-        bearable_s: float,
-        is_suspect: bool,
+        acceptable_wait_s: float,
+        is_risky: bool,
     ) -> Destination:
         """Return the chain that a request takes now.
 
@@ -88,15 +88,15 @@
             self._router.entries,
         )
         now_s = asyncio.get_running_loop().time()
-        eligible = [self._eligible(r, exclude, now_s, terms) for r in replicas]
+        eligible = [self._eligible_part(r, exclude, now_s, terms) for r in replicas]
         usable = [replica for replica in eligible if replica is not None]
-        if not is_suspect and self._balancer.applies(model, usable):
-            doubtful = self._router.directory.possibly_departed(spec.name)
+        if not is_risky and self._balancer.applies(model, usable):
+            possibly_departed = self._router.directory.possibly_departed(spec.name)
             chosen = self._balancer.choose(
-                spec.name, model, usable, needs, bearable_s, doubtful
+                spec.name, model, usable, needs, acceptable_wait_s, possibly_departed
             )
             if chosen is None:
-                raise self._no_chain(spec, model, replicas, usable, terms, now_s)
+                raise self._no_chain_error(spec, model, replicas, usable, terms, now_s)
             self._balancer.count_crossings(chosen, model, needs)
             chain = chosen.found.chain
             return Destination(
@@ -107,10 +107,10 @@
                 crossings=chosen.crossings,
             )
         best = self._choose_domain(
-            spec, model, replicas, usable, bearable_s, is_suspect
+            spec, model, replicas, usable, acceptable_wait_s, is_risky
         )
         if best is None:
-            raise self._no_chain(spec, model, replicas, usable, terms, now_s)
+            raise self._no_chain_error(spec, model, replicas, usable, terms, now_s)
         return Destination(spec.name, best.stages[0], best)
 
     def _choose_domain(
@@ -119,8 +119,8 @@
         model: EngineModel,
         replicas: list[Replica],
         usable: list[Replica],
-        bearable_s: float,
-        is_suspect: bool,
+        acceptable_wait_s: float,
+        is_risky: bool,
     ) -> Chain | None:
         """Return the chain of one of the failure domains, if there is one.
 
@@ -129,37 +129,41 @@
         :raises RequestError: it is the last one, and isn't to be used.
         """
         now_s = asyncio.get_running_loop().time()
-        held = group_by_domain(replicas, lambda r: r.failure_domain)
-        rooms = [_typical_room(members, model) for members in held]
-        blind = load_uncertainty(rooms, self._router.entries)
-        doubtful = self._router.directory.possibly_departed(spec.name)
+        by_domain = group_by_domain(replicas, lambda r: r.failure_domain)
+        capacities = [_median_capacity(members, model) for members in by_domain]
+        uncertainty = load_uncertainty(capacities, self._router.entries)
+        possibly_departed = self._router.directory.possibly_departed(spec.name)
         chains: list[Chain] = []
         options: list[ChainOption] = []
         for members in group_by_domain(usable, lambda r: r.failure_domain):
-            usable = [self._preferred_if_connected(r, now_s, blind) for r in members]
+            usable = [self._prefer_if_connected(r, now_s, uncertainty) for r in members]
             try:
-                chain = self._plan_of_sure(usable, model, blind, doubtful)
+                chain = self._plan_preferring_confirmed(
+                    usable, model, uncertainty, possibly_departed
+                )
             except NoCapacityError:
                 continue
             chains.append(chain)
-            option = self._option(chain, usable, model, now_s, bearable_s)
-            option = replace(option, confirmed=doubtful.isdisjoint(chain.hosts))
-            if is_suspect:
+            option = self._chain_option(chain, usable, model, now_s, acceptable_wait_s)
+            option = replace(
+                option, confirmed=possibly_departed.isdisjoint(chain.hosts)
+            )
+            if is_risky:
                 first = self._router.directory.get(chain.stages[0].host)
-                replaceable = first is not None and self._router.has_stand_in(first)
+                replaceable = first is not None and self._router.is_replaceable(first)
                 option = replace(option, first_engine_replaceable=replaceable)
             options.append(option)
         if not chains:
             return None
-        if is_suspect:
+        if is_risky:
             index = choose_for_risky_request(options)
         else:
             index = choose_option(options, self._router.entries, self._router.rng)
         if index is None:
-            raise last_one_error()
+            raise last_server_error()
         return chains[index]
 
-    def _no_chain(
+    def _no_chain_error(
         self,
         spec: ServiceSpec,
         model: EngineModel,
@@ -183,33 +187,35 @@
             )
         shortages = []
         for domain in domains:
-            held = [
-                (r.stage.layers, self._left_s(r.stage.host, terms, now_s))
+            held_ranges = [
+                (r.stage.layers, self._eligible_in_s(r.stage.host, terms, now_s))
                 for r in replicas
                 if r.failure_domain == domain
             ]
-            free = [
+            usable_ranges = [
                 r.stage.layers
                 for r in usable
                 if r.failure_domain == domain and not r.full
             ]
-            shortages.append(domain_shortage(domain, held, free, model.layer_count))
+            shortages.append(
+                domain_shortage(domain, held_ranges, usable_ranges, model.layer_count)
+            )
         return NoCapacityError(
             "no live backend servers with room cover all layers",
             why=describe_shortages(shortages),
             hint="come back after Retry-After; operators: see 'railfold status'",
         )
 
-    def _left_s(
+    def _eligible_in_s(
         self, server_id: str, terms: EligibilityTerms, now_s: float
     ) -> float | None:
         """Return when a server takes requests again, as far as that is known."""
-        bar = terms.reasons.get(server_id)
-        if isinstance(bar, TemporaryReason):
-            return max(0.0, bar.until_s - now_s)
+        reason = terms.reasons.get(server_id)
+        if isinstance(reason, TemporaryReason):
+            return max(0.0, reason.until_s - now_s)
         return self._router.fleet_load.full_for_s(server_id, now_s)
 
-    def _eligible(
+    def _eligible_part(
         self,
         replica: Replica,
         exclude: frozenset[str],
@@ -238,48 +244,50 @@
         )
         return without_first_layer(replica) if allowed else None
 
-    def _plan_of_sure(
+    def _plan_preferring_confirmed(
         self,
         replicas: list[Replica],
         model: EngineModel,
-        blind: float,
-        doubtful: frozenset[str],
+        uncertainty: float,
+        possibly_departed: frozenset[str],
     ) -> Chain:
         """Return a chain without doubtful engines, or with them if there is none."""
-        if doubtful:
-            sure = [r for r in replicas if r.stage.host not in doubtful]
+        if possibly_departed:
+            confirmed = [r for r in replicas if r.stage.host not in possibly_departed]
             with contextlib.suppress(NoCapacityError):
-                return self._plan(sure, model, blind)
-        return self._plan(replicas, model, blind)
+                return self._plan(confirmed, model, uncertainty)
+        return self._plan(replicas, model, uncertainty)
 
-    def _option(
+    def _chain_option(
         self,
         chain: Chain,
         replicas: list[Replica],
         model: EngineModel,
         now_s: float,
-        bearable_s: float,
+        acceptable_wait_s: float,
     ) -> ChainOption:
         """Return what speaks for and against a failure domain's best chain."""
         by_host = {r.stage.host: r for r in replicas}
         stages = [by_host[stage.host] for stage in chain.stages]
         first_host = chain.stages[0].host
         cost = self._cost(chain, stages)
-        cost *= self._router.activity.slowness(first_host, now_s, bearable_s)
+        cost *= self._router.activity.slowness(first_host, now_s, acceptable_wait_s)
         if stages[0].failure_domain == self._router.failure_domain:
-            cost *= LOCAL_FACTOR
-        room = min(stage.capacity for stage in stages) / model.mean_tokens
+            cost *= LOCAL_DOMAIN_COST_FACTOR
+        capacity_requests = min(stage.capacity for stage in stages) / model.mean_tokens
         connected = self._router.pool.has_idle(first_host, now_s)
-        return ChainOption(cost, min(room, float(model.max_sequences)), connected)
+        return ChainOption(
+            cost, min(capacity_requests, float(model.max_sequences)), connected
+        )
 
-    def _preferred_if_connected(
-        self, replica: Replica, now_s: float, blind: float
+    def _prefer_if_connected(
+        self, replica: Replica, now_s: float, uncertainty: float
     ) -> Replica:
         """Let an engine count as cheaper that a kept connection leads to."""
         first = replica.stage.layers.first == 0
         if not first or not self._router.pool.has_idle(replica.stage.host, now_s):
             return replica
-        factor = _CONNECTED_FACTOR * (1.0 - blind / 2)
+        factor = _CONNECTED_COST_FACTOR * (1.0 - uncertainty / 2)
         return replace(replica, step_ms=factor * replica.step_ms)
 
     def reroute(
@@ -311,25 +319,25 @@
             if r.stage.host not in lost
             and (r.stage.layers.first > 0 or r.stage.host == first.host)
         ]
-        at_home = [r for r in usable if r.failure_domain == domain]
+        same_domain = [r for r in usable if r.failure_domain == domain]
         try:
-            found = self._plan(at_home, model, blind=0.0)
+            found = self._plan(same_domain, model, uncertainty=0.0)
         except NoCapacityError:
             if not self._balancer.applies(model, usable):
                 return None
             service = entry.registration.service
-            borrowed = self._balancer.borrow(
+            crossing_chain = self._balancer.reroute_across_domains(
                 service, model, usable, needs, domain, chain.hosts
             )
-            if borrowed is None:
+            if crossing_chain is None:
                 return None
-            found = borrowed
+            found = crossing_chain
         return found if found.stages[0] == first else None
 
     def _plan(
-        self, replicas: Iterable[Replica], model: EngineModel, blind: float
+        self, replicas: Iterable[Replica], model: EngineModel, uncertainty: float
     ) -> Chain:
-        jitter = max(self._router.weights.jitter, _BLIND_JITTER * blind)
+        jitter = max(self._router.weights.jitter, _MAX_UNCERTAINTY_JITTER * uncertainty)
         return plan_chain(
             replicas,
             model.layer_count,
@@ -353,16 +361,16 @@
         return cost
 
 
-def last_one_error() -> RequestOnTrialError:
+def last_server_error() -> RequestOnTrialError:
     """Return why a request that may end its server doesn't get the last one."""
     return RequestOnTrialError(
         "backend servers ended under this request, and only one is left",
-        left_s=_LAST_ONE_S,
+        left_s=_LAST_SERVER_RETRY_S,
         hint="come back after Retry-After",
     )
 
 
-def _typical_room(replicas: list[Replica], model: EngineModel) -> float:
+def _median_capacity(replicas: list[Replica], model: EngineModel) -> float:
     """Return how many usual requests fit on an engine in the middle of a domain's."""
     capacities = sorted(replica.capacity for replica in replicas)
     return capacities[len(capacities) // 2] / model.mean_tokens
--- a/src/railfold/_internal/forwarding/requests/destination_search.py
+++ b/src/railfold/_internal/forwarding/requests/destination_search.py
@@ -25,21 +25,24 @@
 from railfold._internal.forwarding.quarantine.request_quarantine import (
     RequestQuarantine,
 )
+from railfold._internal.forwarding.requests.capacity_queue import (
+    CapacityQueue,
+    Contender,
+)
 from railfold._internal.forwarding.requests.destination import Destination
 from railfold._internal.forwarding.requests.destinations import DestinationChooser
-from railfold._internal.forwarding.requests.room_queue import Contender, RoomQueue
 from railfold._internal.forwarding.requests.routed_request import RoutedRequest
 from railfold._internal.forwarding.router import Router
 
-__all__ = ["PLACE_INTERVAL_S", "DestinationSearch", "SearchListener"]
+__all__ = ["RESERVATION_INTERVAL_S", "DestinationSearch", "SearchListener"]
 
 # How often a place is looked for that an answer can go on at: a look plans chains in
 # all failure domains.
-PLACE_INTERVAL_S = 0.1
+RESERVATION_INTERVAL_S = 0.1
 
 # How often a request is denied a permit of a server with a limit before it is refused.
 # Each denial leaves one server out, and all take some milliseconds.
-_MOST_DENIED = 4
+_MAX_DENIALS = 4
 
 
 class SearchListener(Protocol):
@@ -61,35 +64,35 @@
         router: Router,
         destinations: DestinationChooser,
         quarantine: RequestQuarantine,
-        room: RoomQueue,
+        capacity_queue: CapacityQueue,
         listener: SearchListener,
     ) -> None:
         self._routed = routed
         self._router = router
         self._destinations = destinations
         self._quarantine = quarantine
-        self._room = room
+        self._capacity_queue = capacity_queue
         self._listener = listener
         self._loop = asyncio.get_running_loop()
         self._reserved: Destination | None = None
-        self._reserve_due_s = 0.0
-        self._permit: asyncio.Task[None] | None = None
-        self._denied = 0
-        self._is_new = True
+        self._next_reservation_s = 0.0
+        self._permit_task: asyncio.Task[None] | None = None
+        self._denial_count = 0
+        self._is_first_search = True
         # What it wants of engines' room, if others compete for that.
         self.contender: Contender | None = None
         # The search that waits for room.
-        self._waiting: tuple[frozenset[str], bool, bool] | None = None
-        self._room_error = RoomShortError("no backend server has room")
+        self._pending_search: tuple[frozenset[str], bool, bool] | None = None
+        self._shortage = RoomShortError("no backend server has room")
         # A request allows a part of a retry once, however often it is placed.
-        self._earned = False
+        self._has_earned_retry = False
 
     def search(
         self,
         exclude: frozenset[str],
         *,
         is_retry: bool,
-        broke_off: bool,
+        was_interrupted: bool,
         begun: bool,
     ) -> None:
         """Look for a place; the listener is told of it, perhaps later.
@@ -99,33 +102,33 @@
         :param begun: whether the client has a part of the answer.
         """
         routed, router = self._routed, self._router
-        place, self._reserved = self._reserved, None
-        is_new, self._is_new = self._is_new, False
-        if is_new:
+        reserved, self._reserved = self._reserved, None
+        is_first_search, self._is_first_search = self._is_first_search, False
+        if is_first_search:
             tokens = routed.request.size.total
             router.record_arrival(
                 routed.route, routed.admission_rank, routed.workspace, tokens
             )
-            self.contender = self._room.enter(routed)
+            self.contender = self._capacity_queue.register(routed)
         try:
-            if broke_off:
+            if was_interrupted:
                 self._quarantine.check_repeat(
                     routed.request, routed.owner, on_trial=routed.on_trial
                 )
-        except RequestError as found:
-            self._listener.destination_refused(found)
+        except RequestError as refusal:
+            self._listener.destination_refused(refusal)
             return
-        if place is not None:
-            self._take(place, exclude, is_retry=is_retry, begun=begun)
+        if reserved is not None:
+            self._use_destination(reserved, exclude, is_retry=is_retry, begun=begun)
             return
         contender = self.contender
         # One that resumes a stream goes on with an answer, too.
         begun = begun or routed.request.last_event_id is not None
         if (
             contender is not None
-            and is_new
+            and is_first_search
             and not begun
-            and self._room.is_shed(contender)
+            and self._capacity_queue.is_shed(contender)
         ):
             error = RoomShortError(
                 "requests that go before need the room at backend servers",
@@ -133,34 +136,40 @@
             )
             self._refuse(contender, error)
             return
-        if contender is not None and not begun and self._room.must_wait(contender):
+        if (
+            contender is not None
+            and not begun
+            and self._capacity_queue.must_wait(contender)
+        ):
             error = RoomShortError("other requests wait for room at backend servers")
-            self._wait_for_room(error, exclude, is_retry=is_retry, begun=begun)
+            self._wait_for_capacity(error, exclude, is_retry=is_retry, begun=begun)
             return
         try:
-            destination = self._choose(exclude, is_new=is_new, begun=begun)
-        except RoomShortError as found:
-            self._wait_for_room(found, exclude, is_retry=is_retry, begun=begun)
-        except RequestError as found:
-            self._listener.destination_refused(found)
+            destination = self._choose(
+                exclude, is_first_search=is_first_search, begun=begun
+            )
+        except RoomShortError as refusal:
+            self._wait_for_capacity(refusal, exclude, is_retry=is_retry, begun=begun)
+        except RequestError as refusal:
+            self._listener.destination_refused(refusal)
         else:
-            self._take(destination, exclude, is_retry=is_retry, begun=begun)
+            self._use_destination(destination, exclude, is_retry=is_retry, begun=begun)
 
     def _choose(
-        self, exclude: frozenset[str], *, is_new: bool, begun: bool
+        self, exclude: frozenset[str], *, is_first_search: bool, begun: bool
     ) -> Destination:
         routed = self._routed
         return self._destinations.choose(
             routed.route,
             exclude,
             routed.request.size,
-            is_new=is_new,
-            is_suspect=self._quarantine.may_end_servers(routed.request, routed.owner),
+            is_first_search=is_first_search,
+            is_risky=self._quarantine.may_end_servers(routed.request, routed.owner),
             max_wait_s=self._max_wait_s(begun=begun),
-            waits_for_room=self.contender is not None and not begun,
+            may_wait_for_capacity=self.contender is not None and not begun,
         )
 
-    def _take(
+    def _use_destination(
         self,
         destination: Destination,
         exclude: frozenset[str],
@@ -170,16 +179,16 @@
     ) -> None:
         """Go to a place, once its servers have a permit."""
         if not self._router.limits.limited(destination.server_ids):
-            self._go_to(destination, is_retry=is_retry, begun=begun)
+            self._dispatch_to(destination, is_retry=is_retry, begun=begun)
             return
         waiting = self._await_permit(
             destination, exclude, is_retry=is_retry, begun=begun
         )
-        self._permit = self._loop.create_task(waiting)
+        self._permit_task = self._loop.create_task(waiting)
 
     # Waiting for room
 
-    def _wait_for_room(
+    def _wait_for_capacity(
         self,
         error: RoomShortError,
         exclude: frozenset[str],
@@ -193,44 +202,46 @@
             shortage = NoCapacityError(error.what, why=error.why, hint=error.hint)
             self._listener.destination_refused(shortage)
             return
-        self._waiting = (exclude, is_retry, begun)
-        self._room_error = error
-        if not self._room.wait(self, contender, begun=begun):
-            self.wait_ended()
+        self._pending_search = (exclude, is_retry, begun)
+        self._shortage = error
+        if not self._capacity_queue.enqueue(self, contender, begun=begun):
+            self.wait_failed()
 
-    def find_room(self) -> bool:
+    def find_capacity(self) -> bool:
         """Look for room; return whether the wait is over."""
-        assert self._waiting is not None
-        exclude, is_retry, begun = self._waiting
+        assert self._pending_search is not None
+        exclude, is_retry, begun = self._pending_search
         try:
-            destination = self._choose(exclude, is_new=False, begun=begun)
-        except RoomShortError as found:
-            self._room_error = found
+            destination = self._choose(exclude, is_first_search=False, begun=begun)
+        except RoomShortError as refusal:
+            self._shortage = refusal
             return False
-        except RequestError as found:
+        except RequestError as refusal:
             self._end_wait()
-            self._listener.destination_refused(found)
+            self._listener.destination_refused(refusal)
             return True
-        self._waiting = None
-        self._room.found(self)
-        self._take(destination, exclude, is_retry=is_retry, begun=begun)
+        self._pending_search = None
+        self._capacity_queue.capacity_found(self)
+        self._use_destination(destination, exclude, is_retry=is_retry, begun=begun)
         return True
 
-    def wait_ended(self) -> None:
+    def wait_failed(self) -> None:
         """There is no room in time."""
-        if self._waiting is None:
+        if self._pending_search is None:
             return
         assert self.contender is not None
         self._end_wait()
-        self._refuse(self.contender, self._room_error)
+        self._refuse(self.contender, self._shortage)
 
     def _refuse(self, contender: Contender, error: RoomShortError) -> None:
         self._router.metrics.count(f"admission.refused.rank_{self._routed.priority}")
-        self._listener.destination_refused(self._room.refusal(contender, error))
+        self._listener.destination_refused(
+            self._capacity_queue.refusal(contender, error)
+        )
 
     def _end_wait(self) -> None:
-        self._waiting = None
-        self._room.cancel(self)
+        self._pending_search = None
+        self._capacity_queue.cancel(self)
 
     def _max_wait_s(self, *, begun: bool) -> float:
         """Return how long the request may wait for a permit."""
@@ -253,78 +264,88 @@
         """Get a permit of a server with a limit, or look for another place."""
         limits = self._router.limits
         outcome = await limits.acquire(destination.server_ids, destination.max_wait_s)
-        self._permit = None
+        self._permit_task = None
         match outcome:
             case PermitGranted():
-                self._go_to(destination, is_retry=is_retry, begun=begun)
-            case PermitDenied() if self._denied < _MOST_DENIED:
-                self._denied += 1
-                self.search(exclude, is_retry=is_retry, broke_off=False, begun=begun)
+                self._dispatch_to(destination, is_retry=is_retry, begun=begun)
+            case PermitDenied() if self._denial_count < _MAX_DENIALS:
+                self._denial_count += 1
+                self.search(
+                    exclude, is_retry=is_retry, was_interrupted=False, begun=begun
+                )
             case PermitDenied(wait_s=wait_s):
                 error = limits.refusal(destination.server_ids, wait_s)
                 self._listener.destination_refused(error)
 
-    def _go_to(self, destination: Destination, *, is_retry: bool, begun: bool) -> None:
+    def _dispatch_to(
+        self, destination: Destination, *, is_retry: bool, begun: bool
+    ) -> None:
         """Go there, if the request is a first attempt or a retry is allowed."""
         router = self._router
         budget = router.budgets.for_service(destination.service)
         if not is_retry:
-            if not self._earned:
+            if not self._has_earned_retry:
                 budget.earn(self._loop.time())
-            self._earned = True
-        elif self._leaves_retry(begun=begun):
-            self._listener.destination_refused(self._no_retry())
+            self._has_earned_retry = True
+        elif self._yields_retry(begun=begun):
+            self._listener.destination_refused(self._no_retry_error())
             return
         elif budget.spend(self._loop.time(), begun=begun):
             router.metrics.count("requests.retries")
         else:
             router.metrics.count("requests.retry_budget_empty")
-            self._room.no_retry(destination.service)
-            self._listener.destination_refused(self._no_retry())
+            self._capacity_queue.retry_budget_empty(destination.service)
+            self._listener.destination_refused(self._no_retry_error())
             return
         if self.contender is not None:
-            self._room.dispatched(self.contender)
+            self._capacity_queue.dispatched(self.contender)
         self._listener.destination_found(destination)
 
-    def _leaves_retry(self, *, begun: bool) -> bool:
+    def _yields_retry(self, *, begun: bool) -> bool:
         contender = self.contender
-        if contender is None or begun or not self._room.leaves_retry(contender):
+        if (
+            contender is None
+            or begun
+            or not self._capacity_queue.yields_retry(contender)
+        ):
             return False
         self._router.metrics.count("admission.retries_left")
         return True
 
-    def _no_retry(self) -> RequestError:
+    def _no_retry_error(self) -> RequestError:
         what, why = "no retry is allowed now", "the retry budget is spent"
         if self.contender is None:
             return OverloadedError(what, why=why)
-        return self._room.refusal(self.contender, RoomShortError(what, why=why))
+        return self._capacity_queue.refusal(
+            self.contender, RoomShortError(what, why=why)
+        )
 
     def rejected(self) -> None:
         """The server that the request was sent to didn't run it."""
         if self.contender is not None:
-            self._room.rejected(self.contender)
+            self._capacity_queue.rejected(self.contender)
 
     def reserve(self, exclude: frozenset[str]) -> bool:
         """Reserve a place for the next search; return whether there is one."""
         now_s = self._loop.time()
-        if now_s < self._reserve_due_s:
+        if now_s < self._next_reservation_s:
             return False
-        self._reserve_due_s = now_s + PLACE_INTERVAL_S
+        self._next_reservation_s = now_s + RESERVATION_INTERVAL_S
         try:
-            place = self._destinations.choose(
+            reserved = self._destinations.choose(
                 self._routed.route, exclude, self._routed.request.size
             )
         except RequestError:
             return False
-        if not self._router.budgets.for_service(place.service).allows(now_s):
+        if not self._router.budgets.for_service(reserved.service).allows(now_s):
             return False
-        self._reserved = place
+        self._reserved = reserved
         return True
 
     def cancel(self) -> None:
         """End a search that waits."""
-        if self._permit is not None:
-            self._permit.cancel()
-            self._permit = None
-        if self._waiting is not None:
+        if self._permit_task is not None:
+            self._permit_task.cancel()
+            self._permit_task = None
+        if self._pending_search is not None:
             self._end_wait()
--- a/src/railfold/_internal/forwarding/requests/destinations.py
+++ b/src/railfold/_internal/forwarding/requests/destinations.py
@@ -32,9 +32,9 @@
 )
 from railfold._internal.forwarding.messages import RequestSize
 from railfold._internal.forwarding.requests.chain_planner import (
-    LOCAL_FACTOR,
+    LOCAL_DOMAIN_COST_FACTOR,
     ChainPlanner,
-    last_one_error,
+    last_server_error,
 )
 from railfold._internal.forwarding.requests.destination import Destination
 from railfold._internal.forwarding.router import Router
@@ -44,9 +44,9 @@
 # A chain whose first events take a larger share of the route's objective than this
 # counts as slow: on an idle chain of the first sites they take a tenth of it, after
 # the longest prompts a third.
-_BEARABLE_SHARE = 0.33
+_ACCEPTABLE_WAIT_SHARE = 0.33
 
-_NO_SIZE = RequestSize()
+_UNKNOWN_SIZE = RequestSize()
 
 
 class DestinationChooser:
@@ -60,12 +60,12 @@
         self,
         route: Route,
         exclude: frozenset[str],
-        size: RequestSize = _NO_SIZE,
+        size: RequestSize = _UNKNOWN_SIZE,
         *,
-        is_new: bool = False,
-        is_suspect: bool = False,
+        is_first_search: bool = False,
+        is_risky: bool = False,
         max_wait_s: float = 0.0,
-        waits_for_room: bool = False,
+        may_wait_for_capacity: bool = False,
     ) -> Destination:
         """Return where a request of a route goes now.
 
@@ -81,30 +81,30 @@
         :raises RequestError: there is no such place.
         """
         spec = self._service(route)
-        if is_new:
+        if is_first_search:
             self._router.arrivals.arrived(spec.name, asyncio.get_running_loop().time())
         strict = EligibilityTerms()
         try:
-            return self._choose_at(
-                spec, route, exclude, size, strict, is_suspect=is_suspect
+            return self._choose_on_terms(
+                spec, route, exclude, size, strict, is_risky=is_risky
             )
         except NoCapacityError as error:
-            bars = list(strict.reasons.values())
-            if waits_for_room:
-                bars = [bar for bar in bars if not isinstance(bar, Full)]
-            if not any(map(_may_relax, bars)):
-                raise _room_short(error, strict) from error
+            reasons = list(strict.reasons.values())
+            if may_wait_for_capacity:
+                reasons = [reason for reason in reasons if not isinstance(reason, Full)]
+            if not any(map(_is_relaxable, reasons)):
+                raise _capacity_error(error, strict) from error
         relaxed = EligibilityTerms(max_wait_s=max_wait_s, relaxed=True)
         try:
-            found = self._choose_at(
-                spec, route, exclude, size, relaxed, is_suspect=is_suspect
+            destination = self._choose_on_terms(
+                spec, route, exclude, size, relaxed, is_risky=is_risky
             )
         except NoCapacityError as error:
             refusal = self._refusal(spec, route, exclude, size, relaxed)
             if refusal is None:
-                refusal = _room_short(error, relaxed)
+                refusal = _capacity_error(error, relaxed)
             raise refusal from error
-        return replace(found, max_wait_s=max_wait_s)
+        return replace(destination, max_wait_s=max_wait_s)
 
     def _refusal(
         self,
@@ -118,27 +118,33 @@
 
         :param terms: with the bars that it met.
         """
-        unbarred = EligibilityTerms(relaxed=True, ignores_temporary=True)
+        ignoring_temporary = EligibilityTerms(relaxed=True, ignores_temporary=True)
         try:
-            place = self._choose_at(
-                spec, route, exclude, size, unbarred, is_suspect=False
+            destination = self._choose_on_terms(
+                spec, route, exclude, size, ignoring_temporary, is_risky=False
             )
         except NoCapacityError:
             return None
         now_s = asyncio.get_running_loop().time()
-        ending = {
+        temporary = {
             s: b for s, b in terms.reasons.items() if isinstance(b, TemporaryReason)
         }
-        met_s = [ending[s].until_s for s in place.server_ids if s in ending]
-        if not met_s:
+        ends_s = [
+            temporary[s].until_s for s in destination.server_ids if s in temporary
+        ]
+        if not ends_s:
             return None
-        backoffs = {s: b for s, b in ending.items() if not isinstance(b, RateLimited)}
+        backoffs = {
+            s: b for s, b in temporary.items() if not isinstance(b, RateLimited)
+        }
         if not backoffs:
-            return self._router.limits.refusal(ending, max(met_s) - now_s)
-        first_s = min(max(met_s), *(bar.until_s for bar in backoffs.values()))
-        return self._router.backoffs.refusal(spec.name, backoffs, first_s - now_s)
+            return self._router.limits.refusal(temporary, max(ends_s) - now_s)
+        first_end_s = min(
+            max(ends_s), *(reason.until_s for reason in backoffs.values())
+        )
+        return self._router.backoffs.refusal(spec.name, backoffs, first_end_s - now_s)
 
-    def _choose_at(
+    def _choose_on_terms(
         self,
         spec: ServiceSpec,
         route: Route,
@@ -146,38 +152,38 @@
         size: RequestSize,
         terms: EligibilityTerms,
         *,
-        is_suspect: bool,
+        is_risky: bool,
     ) -> Destination:
         """Return a place among the servers that are eligible.
 
         :param exclude: servers that the request must not be sent to.
         """
         if spec.model is not None:
-            bearable_s = _BEARABLE_SHARE * route.objective_s
+            acceptable_wait_s = _ACCEPTABLE_WAIT_SHARE * route.objective_s
             needs = self._needs(spec, spec.model, route, size)
             return self._planner.choose(
-                spec, spec.model, needs, exclude, terms, bearable_s, is_suspect
+                spec, spec.model, needs, exclude, terms, acceptable_wait_s, is_risky
             )
         now_s = asyncio.get_running_loop().time()
-        doubtful = self._router.directory.possibly_departed(spec.name)
+        possibly_departed = self._router.directory.possibly_departed(spec.name)
         registered = self._router.directory.replicas(
             spec.name, self._router.region, self._router.load_of
         )
         replicas = [
             r
-            for r in _near_first(registered, self._router.failure_domain)
+            for r in _prefer_domain(registered, self._router.failure_domain)
             if r.stage.host not in exclude
             and self._router.eligibility.allows(
                 r.stage.host, Role.REPLICA, now_s, terms
             )
         ]
-        if all(replica.stage.host in doubtful for replica in replicas):
-            doubtful = frozenset()
-        if is_suspect and len(registered) == 1:
-            raise last_one_error()
+        if all(replica.stage.host in possibly_departed for replica in replicas):
+            possibly_departed = frozenset()
+        if is_risky and len(registered) == 1:
+            raise last_server_error()
         chosen = choose_host(
             replicas,
-            exclude=doubtful,
+            exclude=possibly_departed,
             weights=self._router.weights,
             rng=self._router.rng,
         )
@@ -221,19 +227,19 @@
         return spec
 
 
-def _room_short(error: NoCapacityError, terms: EligibilityTerms) -> NoCapacityError:
+def _capacity_error(error: NoCapacityError, terms: EligibilityTerms) -> NoCapacityError:
     """Return an error that says whether only room is missing, as far as is known."""
-    if not any(isinstance(bar, Paused | Full) for bar in terms.reasons.values()):
+    if not any(isinstance(reason, Paused | Full) for reason in terms.reasons.values()):
         return error
     return RoomShortError(error.what, why=error.why, hint=error.hint)
 
 
-def _may_relax(bar: IneligibleReason) -> bool:
+def _is_relaxable(reason: IneligibleReason) -> bool:
     """Return whether a request may go there after all, if no other server can."""
-    return isinstance(bar, RateLimited | SlowStart | BackingOff | HalfOpen | Full)
+    return isinstance(reason, RateLimited | SlowStart | BackingOff | HalfOpen | Full)
 
 
-def _near_first(replicas: list[Replica], domain: str) -> list[Replica]:
+def _prefer_domain(replicas: list[Replica], domain: str) -> list[Replica]:
     """Return replicas of which those in ``domain`` cost less."""
     return [
         Replica(
@@ -242,7 +248,8 @@
             r.region,
             r.in_flight,
             r.capacity,
-            r.step_ms * (LOCAL_FACTOR if r.failure_domain == domain else 1.0),
+            r.step_ms
+            * (LOCAL_DOMAIN_COST_FACTOR if r.failure_domain == domain else 1.0),
         )
         for r in replicas
     ]
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -48,6 +48,7 @@
 from railfold._internal.forwarding.quarantine.request_quarantine import (
     RequestQuarantine,
 )
+from railfold._internal.forwarding.requests.capacity_queue import CapacityQueue
 from railfold._internal.forwarding.requests.client_answer import (
     ClientAnswer,
     GatheredAnswer,
@@ -62,7 +63,6 @@
 from railfold._internal.forwarding.requests.prediction import predict
 from railfold._internal.forwarding.requests.relocation import Relocation
 from railfold._internal.forwarding.requests.request_log import RequestLog
-from railfold._internal.forwarding.requests.room_queue import RoomQueue
 from railfold._internal.forwarding.requests.routed_request import RoutedRequest
 from railfold._internal.forwarding.requests.stream_watch import Silence, StreamWatch
 from railfold._internal.forwarding.router import Router
@@ -94,7 +94,7 @@
         destinations: DestinationChooser,
         prober: ChainProber,
         quarantine: RequestQuarantine,
-        room: RoomQueue,
+        room: CapacityQueue,
     ) -> None:
         self._routed = routed
         self._request = routed.request
@@ -205,7 +205,7 @@
                     self._search.search(
                         exclude,
                         is_retry=is_retry,
-                        broke_off=self._broke_off,
+                        was_interrupted=self._broke_off,
                         begun=self._answer.begun,
                     )
                 case SendCall():
@@ -221,7 +221,7 @@
     def destination_refused(self, error: RailfoldError) -> None:
         """There is no place for a next attempt."""
         self._cause = str(error)
-        self._feed(NoHost(error, self._router.return_after_s(error)))
+        self._feed(NoHost(error, self._router.retry_after_s(error)))
 
     def _send(self) -> None:
         destination = self._destination
@@ -259,7 +259,7 @@
         prediction = None
         if destination.chain is not None:
             prediction = predict(router, destination.chain, size)
-        router.count(destination, self._part)
+        router.add_load(destination, self._part)
         self._exchange = EngineExchange(
             self._request,
             plan,
@@ -293,7 +293,7 @@
         if self._loop.time() >= self._routed.deadline_s:
             raise DeadlineExpiredError("its client doesn't wait any more")
         if not self._answer.begun:
-            self._router.require_fresh(self._route)
+            self._router.require_fresh_credentials(self._route)
         self._router.check_permission(self._route, request.path, request.credential)
         self._quarantine.check(request, self._owner, on_trial=self._routed.on_trial)
         assert self._destination is not None
@@ -372,7 +372,7 @@
         """The prompt of the attempt under way was read."""
         unread = EntryLoad(pending_prompt_tokens=self._part.pending_prompt_tokens)
         if self._destination is not None and unread.pending_prompt_tokens:
-            self._router.uncount(self._destination, unread)
+            self._router.subtract_load(self._destination, unread)
             self._part = replace(self._part, pending_prompt_tokens=0)
 
     def answer_body(self, data: bytes) -> None:
@@ -537,7 +537,7 @@
             exchange.cancel()
         if destination is not None:
             ran = isinstance(self._kind, ServedAnswer)
-            self._router.uncount(destination, self._part, ran=ran)
+            self._router.subtract_load(destination, self._part, ran=ran)
             self._router.backoffs.attempt_ended(
                 destination.server.host, self._request.request_id
             )
@@ -590,11 +590,11 @@
                 self._relocation.move_from_lost(f"not rerouted: {outcome}")
             return
         self._router.metrics.count("streams.rerouted")
-        self._router.uncount(self._destination, self._part)
+        self._router.subtract_load(self._destination, self._part)
         self._destination = Destination(
             self._destination.service, other.stages[0], other
         )
-        self._router.count(self._destination, self._part)
+        self._router.add_load(self._destination, self._part)
         self._watch_chain(self._destination)
 
     # The end
--- a/src/railfold/_internal/forwarding/requests/refusals.py
+++ b/src/railfold/_internal/forwarding/requests/refusals.py
@@ -41,7 +41,7 @@
         self, request_id: str, error: RequestError, received_s: float
     ) -> tuple[list[Header], bytes]:
         router = self._router
-        retry_after_s = router.return_after_s(error)
+        retry_after_s = router.retry_after_s(error)
         duration_s = self._loop.time() - received_s
         router.metrics.count(f"refused.{error.code}")
         router.log.write(
--- a/src/railfold/_internal/forwarding/requests/relocation.py
+++ b/src/railfold/_internal/forwarding/requests/relocation.py
@@ -5,7 +5,9 @@
 import asyncio
 from typing import Protocol
 
-from railfold._internal.forwarding.requests.destination_search import PLACE_INTERVAL_S
+from railfold._internal.forwarding.requests.destination_search import (
+    RESERVATION_INTERVAL_S,
+)
 
 __all__ = ["MovableAttempt", "Relocation"]
 
@@ -68,7 +70,9 @@
             self._kept = reason
             self._attempt.attempt_kept(reason)
         if self._lost and self._recheck is None:
-            self._recheck = self._loop.call_later(PLACE_INTERVAL_S, self._move_again)
+            self._recheck = self._loop.call_later(
+                RESERVATION_INTERVAL_S, self._move_again
+            )
 
     def _move_again(self) -> None:
         self._recheck = None
--- a/src/railfold/_internal/forwarding/requests/request_log.py
+++ b/src/railfold/_internal/forwarding/requests/request_log.py
@@ -14,9 +14,9 @@
     outcome_name,
 )
 from railfold._internal.forwarding.dialect import SendPlan
+from railfold._internal.forwarding.requests.capacity_queue import Contender
 from railfold._internal.forwarding.requests.destination import Destination
 from railfold._internal.forwarding.requests.prediction import Prediction
-from railfold._internal.forwarding.requests.room_queue import Contender
 from railfold._internal.forwarding.requests.routed_request import RoutedRequest
 from railfold._internal.forwarding.requests.stream_watch import StreamWatch
 from railfold._internal.forwarding.router import Router
@@ -134,7 +134,7 @@
             configuration_version=self._routed.configuration_version,
             retry_after_ms=round((getattr(outcome, "retry_after_s", 0) or 0) * 1000),
             priority=self._routed.priority,
-            waited_ms=_ms(contender.waited_in_all_s) if contender else 0.0,
+            waited_ms=_ms(contender.total_waited_s) if contender else 0.0,
             predicted_wait_ms=_ms(contender.predicted_wait_s) if contender else 0.0,
         )
         if isinstance(outcome, Answered):
--- a/src/railfold/_internal/forwarding/router.py
+++ b/src/railfold/_internal/forwarding/router.py
@@ -25,7 +25,7 @@
     client_retry_after_s,
 )
 from railfold._internal.decisions.client_retry_after import (
-    RateLimited as ReturnAtPermit,
+    RateLimited as PermitUnavailable,
 )
 from railfold._internal.decisions.domain_pipes import DomainPipes
 from railfold._internal.decisions.eligibility import ServerEligibility
@@ -75,15 +75,15 @@
 
 # How long a chain that stood still gets no new work: until probes have told
 # which of its backend servers is dead.
-_AVOID_S = 0.3
+_AVOIDANCE_S = 0.3
 
 # How long an announcement of load or demand counts until the exchange between entries
 # sets it by its own pace.
-_ANNOUNCED_LIFETIME_S = 2.0
+_INITIAL_ANNOUNCEMENT_LIFETIME_S = 2.0
 
 # The longest that a server counts as full by one rejection: engines that give layers up
 # reject with the same answer, and are free after that.
-_FULL_MOST_S = 0.25
+_MAX_FULL_S = 0.25
 
 
 class ActiveRequest(Protocol):
@@ -127,10 +127,10 @@
     arrivals: ArrivalRates = field(default_factory=ArrivalRates)
     fleet_arrivals: FleetArrivals = field(default_factory=FleetArrivals)
     fleet_load: FleetLoad = field(
-        default_factory=lambda: FleetLoad(_ANNOUNCED_LIFETIME_S)
+        default_factory=lambda: FleetLoad(_INITIAL_ANNOUNCEMENT_LIFETIME_S)
     )
     fleet_demand: FleetDemand = field(
-        default_factory=lambda: FleetDemand(_ANNOUNCED_LIFETIME_S)
+        default_factory=lambda: FleetDemand(_INITIAL_ANNOUNCEMENT_LIFETIME_S)
     )
     costs: LinkCosts = field(default_factory=LinkCosts)
     pipes: DomainPipes = field(default_factory=DomainPipes)
@@ -199,11 +199,11 @@
                 hint="come back after Retry-After",
             ) from error
 
-    def return_after_s(self, error: RailfoldError) -> float:
+    def retry_after_s(self, error: RailfoldError) -> float:
         """Return after how many seconds the caller of a refused request comes back."""
-        return client_retry_after_s(self._return_cause(error), self.rng.random())
+        return client_retry_after_s(self._refusal_cause(error), self.rng.random())
 
-    def _return_cause(self, error: RailfoldError) -> RefusalCause:
+    def _refusal_cause(self, error: RailfoldError) -> RefusalCause:
         now_s = asyncio.get_running_loop().time()
         match error:
             case ConfigurationStaleError():
@@ -216,7 +216,7 @@
             case RequestOnTrialError(left_s=left_s):
                 return ContentOnTrial(left_s)
             case RateLimitedError(left_s=left_s):
-                return ReturnAtPermit(left_s)
+                return PermitUnavailable(left_s)
             case ServersBackingOffError(left_s=left_s, service=service):
                 return ServersBackingOff(left_s, self.backoffs.others_serve(service))
             case RoomShortError(served_share=served_share, left_s=left_s):
@@ -224,7 +224,7 @@
             case _:
                 return NoCapacity()
 
-    def require_fresh(self, route: Route) -> None:
+    def require_fresh_credentials(self, route: Route) -> None:
         """Refuse if what is known of credentials is too old.
 
         :raises ConfigurationStaleError: it is, and the route needs one.
@@ -245,18 +245,18 @@
         own_per_s = self.arrivals.per_s(service, now_s)
         return self.fleet_arrivals.total_per_s(service, own_per_s, self.entries, now_s)
 
-    def replaceable(self, server_ids: Iterable[str]) -> bool:
+    def are_mostly_replaceable(self, server_ids: Iterable[str]) -> bool:
         """Return whether most of these have a stand-in for all their layers."""
         entries = [e for e in map(self.directory.get, server_ids) if e is not None]
-        replaced = [e for e in entries if self.has_stand_in(e)]
-        return 2 * len(replaced) >= len(entries)
+        replaceable = [e for e in entries if self.is_replaceable(e)]
+        return 2 * len(replaceable) >= len(entries)
 
-    def has_stand_in(self, entry: DirectoryEntry) -> bool:
+    def is_replaceable(self, entry: DirectoryEntry) -> bool:
         """Return whether others in its failure domain hold all its layers."""
         own = entry.registration
         if own.layers is None:
             return False
-        held = [
+        peer_ranges = [
             peer.registration.layers
             for peer in self.directory.servers_of(own.service)
             if peer is not entry
@@ -265,14 +265,14 @@
             and peer.registration.layers is not None
         ]
         return all(
-            any(other.first <= layer <= other.last for other in held)
+            any(layers.first <= layer <= layers.last for layers in peer_ranges)
             for layer in range(own.layers.first, own.layers.last + 1)
         )
 
     def report_stalled(self, chain: Chain) -> None:
         """Send nothing over this chain for a moment, and move its streams."""
         now_s = asyncio.get_running_loop().time()
-        self.avoidance.avoid(chain.stages[0].host, now_s + _AVOID_S)
+        self.avoidance.avoid(chain.stages[0].host, now_s + _AVOIDANCE_S)
         self.metrics.count("chains.stalled")
         for request in list(self.active):
             request.chain_stalled(chain)
@@ -313,20 +313,23 @@
                 token_s += stage_token_s(accelerator, model, layers, requests)
         return model.tokens_per_event * token_s
 
-    def chain_missing(self) -> bool:
+    def has_incomplete_domain(self) -> bool:
         """Return whether some failure domain with engines has no whole chain."""
         if self.table is None:
             return True
         for spec in self.table.model_services():
-            held: dict[str, list[LayerRange | None]] = {}
+            ranges_by_domain: dict[str, list[LayerRange | None]] = {}
             for entry in self.directory.servers_of(spec.name):
                 layers = entry.registration.layers if entry.routable else None
                 domain = entry.registration.failure_domain
-                held.setdefault(domain, []).append(layers)
+                ranges_by_domain.setdefault(domain, []).append(layers)
             model = spec.model
             if model is None:
                 continue
-            if any(uncovered_ranges(r, model.layer_count) for r in held.values()):
+            if any(
+                uncovered_ranges(r, model.layer_count)
+                for r in ranges_by_domain.values()
+            ):
                 return True
         return False
 
@@ -335,7 +338,7 @@
         now_s = asyncio.get_running_loop().time()
         return self.fleet_load.load(server_id, self.entries, now_s)
 
-    def own_reckoning(self, server_id: str) -> ServerLoad:
+    def extrapolated_own_load(self, server_id: str) -> ServerLoad:
         """Return a server's load if the other entries sent there as this one did.
 
         Announced load is the same for all entries: by it all would choose the same
@@ -349,21 +352,21 @@
             known_share=1.0 / max(1, self.entries),
         )
 
-    def count(self, destination: Destination, part: EntryLoad) -> None:
+    def add_load(self, destination: Destination, load: EntryLoad) -> None:
         """Add what was sent to the load of a destination's backend servers."""
         for server_id in destination.server_ids:
             if self.directory.get(server_id) is not None:
-                self.fleet_load.add(server_id, part)
+                self.fleet_load.add(server_id, load)
 
-    def uncount(
-        self, destination: Destination, part: EntryLoad, *, ran: bool = False
+    def subtract_load(
+        self, destination: Destination, load: EntryLoad, *, ran: bool = False
     ) -> None:
         """Take back what was counted.
 
         :param ran: whether the request has held room there, and gives it back.
         """
         for server_id in destination.server_ids:
-            self.fleet_load.subtract(server_id, part)
+            self.fleet_load.subtract(server_id, load)
             if ran:
                 self.fleet_load.capacity_freed(server_id)
 
@@ -395,18 +398,23 @@
         if accelerator is None:
             return
         tokens = model.capacity_tokens(accelerator, len(layers))
-        room = min(float(model.max_sequences), max(1.0, tokens / model.mean_tokens))
-        stay_s = stage_residence_s(
-            accelerator.slowed(entry.slowness), model, model.layer_count, room
+        capacity_requests = min(
+            float(model.max_sequences), max(1.0, tokens / model.mean_tokens)
+        )
+        residence_s = stage_residence_s(
+            accelerator.slowed(entry.slowness),
+            model,
+            model.layer_count,
+            capacity_requests,
         )
         now_s = asyncio.get_running_loop().time()
-        full_s = min(_FULL_MOST_S, stay_s / room)
+        full_s = min(_MAX_FULL_S, residence_s / capacity_requests)
         if not self.fleet_load.is_full(entry.server_id, now_s):
             self.metrics.count("servers.full")
         self.fleet_load.rejected(entry.server_id, now_s + full_s)
 
     def record_first_event(
-        self, destination: Destination, seen_s: float, objective_s: float
+        self, destination: Destination, elapsed_s: float, objective_s: float
     ) -> None:
         """Compare a first event with its prediction.
 
@@ -419,16 +427,20 @@
         known = [entry.registration for entry in entries if entry is not None]
         if len(known) < len(entries):
             return
-        late_s = seen_s - prediction.first_event_s
-        side = "late" if late_s > 0.0 else "early"
+        late_s = elapsed_s - prediction.first_event_s
+        deviation = "late" if late_s > 0.0 else "early"
         kind = known[0].accelerator
-        self.metrics.timing(f"prediction.first_event_{side}.{kind}", abs(late_s))
+        self.metrics.timing(f"prediction.first_event_{deviation}.{kind}", abs(late_s))
         now_s = asyncio.get_running_loop().time()
-        for one, other in crossings([r.failure_domain for r in known]):
-            if self.pipes.record_first_event(one, other, late_s, objective_s, now_s):
+        for domain, other_domain in crossings([r.failure_domain for r in known]):
+            if self.pipes.record_first_event(
+                domain, other_domain, late_s, objective_s, now_s
+            ):
                 self.metrics.count("pipes.cut")
-                share = round(self.pipes.quota_share(one, other), 3)
-                self.log.write(PipeShareCut(one, other, share, round(late_s * 1000)))
+                share = round(self.pipes.quota_share(domain, other_domain), 3)
+                self.log.write(
+                    PipeShareCut(domain, other_domain, share, round(late_s * 1000))
+                )
 
     def registered_id(self, server_id: str) -> str:
         """Return the id that an incarnation is registered under."""
--- a/src/railfold/_internal/forwarding/servers/probes.py
+++ b/src/railfold/_internal/forwarding/servers/probes.py
@@ -186,7 +186,9 @@
         it has hardly a backend server that another one could replace: they have
         to begin elsewhere anyway.
         """
-        move_now = silence.stalled and not self._router.replaceable(silence.suspects)
+        move_now = silence.stalled and not self._router.are_mostly_replaceable(
+            silence.suspects
+        )
         if self.pace.allow_probe(chain.hosts[0], self._loop.time()):
             self._spawn(self._probe_suspects(chain, silence, request_id, move_now))
         if move_now:
--- a/tests/forwarding/conftest.py
+++ b/tests/forwarding/conftest.py
@@ -19,7 +19,7 @@
 @pytest.fixture
 async def empty_deployment() -> AsyncIterator[Deployment]:
     """The same, but no engine holds any layers."""
-    async for started in running(Deployment(placed=False)):
+    async for started in running(Deployment(layers_placed=False)):
         yield started
 
 
--- a/tests/forwarding/test_failures.py
+++ b/tests/forwarding/test_failures.py
@@ -13,8 +13,8 @@
     Deployment,
     begin_stream,
     configuration,
-    events_of,
-    rest_of,
+    read_reply,
+    stream_body,
     until,
 )
 
@@ -24,9 +24,9 @@
 ) -> None:
     connection, engine = await begin_stream(deployment)
     await engine.stop()
-    reply = await rest_of(connection)
-    assert reply.whole
-    assert reply.body == events_of(60)
+    reply = await read_reply(connection)
+    assert reply.complete
+    assert reply.body == stream_body(60)
 
 
 async def test_a_stream_goes_on_elsewhere_when_a_later_engine_falls_silent(
@@ -37,8 +37,8 @@
         e for e in deployment.engines if e.zone == engine.zone and e is not engine
     ]
     later.mode = "dead"
-    reply = await rest_of(connection)
-    assert reply.body == events_of(60)
+    reply = await read_reply(connection)
+    assert reply.body == stream_body(60)
     entry = deployment.entry.router.directory.get(later.server_id)
     assert entry is not None
     assert entry.suspect_since_s is not None
@@ -55,8 +55,8 @@
         e for e in deployment.engines if e.zone == broken and e.layers == (4, 8)
     ]
     later.mode = "dead"
-    replies = await asyncio.gather(*(rest_of(c) for c, _ in begun))
-    assert all(reply.body == events_of(80) for reply in replies)
+    replies = await asyncio.gather(*(read_reply(c) for c, _ in begun))
+    assert all(reply.body == stream_body(80) for reply in replies)
     assert deployment.entry.metrics.counters["chains.stalled"] >= 1
 
 
@@ -70,8 +70,8 @@
     addresses = first.seen[0]["Railfold-Hop-Count"].split(",")
     later = deployment.fleet[addresses[1].partition("=")[0]]
     later.mode = "dead"
-    reply = await rest_of(connection)
-    assert (reply.whole, reply.body) == (True, events_of(80))
+    reply = await read_reply(connection)
+    assert (reply.complete, reply.body) == (True, stream_body(80))
     assert deployment.entry.metrics.counters["streams.rerouted"] == 1
     assert deployment.entry.metrics.counters["requests.retries"] == 0
     assert sum(engine.runs["s-1"] for engine in deployment.engines) == 1
@@ -92,7 +92,7 @@
         deployment.entry.router.report_lost(frozenset({destination.server.host}))
         await asyncio.sleep(0.2)
         assert sum(engine.runs["s-1"] for engine in deployment.engines) <= before + 1
-    await rest_of(connection)
+    await read_reply(connection)
     assert sum(engine.runs["s-1"] for engine in deployment.engines) == 2
 
 
@@ -135,7 +135,7 @@
 ) -> None:
     connection, engine = await begin_stream(deployment)
     engine.mode = "dead"
-    await rest_of(connection)
+    await read_reply(connection)
     entry = deployment.entry.router.directory.get(engine.server_id)
     await until(lambda: entry is not None and entry.suspect_since_s is not None)
     engine.mode = "ok"
@@ -208,8 +208,8 @@
     deployment.store.mode = "out"
     await until(lambda: not lease.valid(_now()))
     await engine.stop()
-    reply = await rest_of(connection)
-    assert reply.body == events_of(200)
+    reply = await read_reply(connection)
+    assert reply.body == stream_body(200)
 
 
 async def test_a_key_that_was_removed_isnt_used(deployment: Deployment) -> None:
@@ -244,7 +244,7 @@
     await until(lambda: all(e.layers for e in empty_deployment.engines), 8.0)
     await until(empty_deployment.all_known)
     reply = await empty_deployment.ask("/draft/1", "s-1")
-    assert reply.body == events_of(10)
+    assert reply.body == stream_body(10)
     orders = [order for e in empty_deployment.engines for order in e.given]
     assert len(orders) == len(empty_deployment.engines)
     assert all(order["fence_token"] > 0 for order in orders)
@@ -287,7 +287,7 @@
     served = await idle.ask("/tray/1", "c-2", method="GET", body=b"")
     assert served.status == 200
     assert served.headers["Connection"] == "close"
-    assert (await rest_of(stream)).body == events_of(40)
+    assert (await read_reply(stream)).body == stream_body(40)
     await asyncio.wait_for(stop, 5.0)
 
 
--- a/tests/forwarding/test_incarnations.py
+++ b/tests/forwarding/test_incarnations.py
@@ -20,9 +20,9 @@
 from tests.lib.forwarding import (
     Deployment,
     begin_stream,
-    events_of,
-    rest_of,
-    runs,
+    read_reply,
+    run_count,
+    stream_body,
     until,
 )
 
@@ -51,9 +51,9 @@
 ) -> None:
     connection, engine = await begin_stream(dated)
     await engine.restart(SECOND_START)
-    reply = await rest_of(connection)
-    assert reply.body == events_of(60)
-    assert reply.whole
+    reply = await read_reply(connection)
+    assert reply.body == stream_body(60)
+    assert reply.complete
 
 
 @pytest.mark.parametrize("kind", ["engines", "plain"])
@@ -90,7 +90,7 @@
     for server in dated.plain:
         server.event_s = 3.0
     asked = asyncio.create_task(dated.ask("/slip/1", "r-1"))
-    await until(lambda: runs(dated, "r-1") == 1)
+    await until(lambda: run_count(dated, "r-1") == 1)
     (server,) = [s for s in dated.plain if s.runs["r-1"]]
     started_s = asyncio.get_running_loop().time()
     # A host that lost power says nothing: the connection stays silent.
@@ -101,7 +101,7 @@
     assert asyncio.get_running_loop().time() - started_s < 2.5
     assert reply.status == 502
     assert "Retry-After" not in reply.headers
-    assert runs(dated, "r-1") == 1
+    assert run_count(dated, "r-1") == 1
 
 
 async def test_a_successors_pace_isnt_that_of_the_one_before(dated: Deployment) -> None:
--- a/tests/forwarding/test_leaving_unseen.py
+++ b/tests/forwarding/test_leaving_unseen.py
@@ -22,7 +22,7 @@
     deployment: Deployment,
 ) -> None:
     """Others that are there serve as well."""
-    engine = deployment.first_engines[0]
+    engine = deployment.first_stage_engines[0]
     entry = deployment.entry
     deployment.store.mode = "out"
     await until(lambda: not entry._store_reachable.is_set())
--- a/tests/forwarding/test_memory_held_for_clients.py
+++ b/tests/forwarding/test_memory_held_for_clients.py
@@ -14,14 +14,14 @@
     Connection,
     Deployment,
     configuration,
-    rest_of,
+    read_reply,
     running,
     until,
 )
 
 # A fifth of it is held for clients: 2 MiB.
 MEMORY_BYTES = 10 * 1024 * 1024
-HELD_BYTES = MEMORY_BYTES // 5
+MAX_HELD_BYTES = MEMORY_BYTES // 5
 BODY = b"x" * 300_000
 ANSWER_BYTES = 12_000_000
 
@@ -38,11 +38,11 @@
         ]
         changed = configuration(2, tenants=tenants)
         deployment.store.put("keyed.op", "config", changed)
-        await until_version(deployment, 2)
+        await wait_for_version(deployment, 2)
         yield deployment
 
 
-async def until_version(deployment: Deployment, version: int) -> None:
+async def wait_for_version(deployment: Deployment, version: int) -> None:
     router = deployment.entry.router
     await until(lambda: router.table is not None and router.table.version == version)
 
@@ -61,22 +61,22 @@
     return connections
 
 
-async def test_bodies_of_one_workspace_leave_room_for_another(
+async def test_bodies_of_one_workspace_leave_memory_for_another(
     small_host: Deployment,
 ) -> None:
     connections = await flood(small_host, 10)
-    await until(lambda: held_bytes(small_host) > HELD_BYTES / 3)
+    await until(lambda: held_bytes(small_host) > MAX_HELD_BYTES / 3)
     for server in small_host.plain:
         server.mode = "ok"
     reply = await small_host.ask("/slip/1", "c-1", body=BODY)
     assert reply.status == 200
-    assert held_bytes(small_host) <= HELD_BYTES
+    assert held_bytes(small_host) <= MAX_HELD_BYTES
     for connection in connections:
         connection.close()
     await until(lambda: held_bytes(small_host) == 0)
 
 
-async def test_a_body_without_room_is_refused_as_not_run(
+async def test_body_beyond_the_memory_limit_is_refused_as_not_run(
     small_host: Deployment,
 ) -> None:
     connections = await flood(small_host, 3)
@@ -90,7 +90,7 @@
         connection.close()
 
 
-async def test_a_connection_goes_on_after_a_body_that_was_refused(
+async def test_connection_stays_usable_after_a_refused_body(
     small_host: Deployment,
 ) -> None:
     connections = await flood(small_host, 3)
@@ -106,7 +106,7 @@
     assert (await refused.ask("/slip/1", "f-10", key=FLOOD_KEY)).status == 200
 
 
-async def answer_at_length(handler: chaining_engine._Request, request_id: str) -> None:
+async def write_long_answer(handler: chaining_engine._Request, request_id: str) -> None:
     handler.set_header("Railfold-Response-Seal", SEAL)
     handler.set_header("Railfold-Attempt-Id", request_id)
     handler.set_header("Content-Length", str(ANSWER_BYTES))
@@ -116,16 +116,16 @@
     handler.finish()
 
 
-async def test_an_answer_is_read_from_its_server_as_its_client_reads_it(
+async def test_answer_is_read_from_the_server_at_the_pace_of_the_client(
     small_host: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It was read whole, and its client cut off once 8 MiB of it were held."""
-    monkeypatch.setattr(chaining_engine._Request, "_plain", answer_at_length)
+    monkeypatch.setattr(chaining_engine._Request, "_plain", write_long_answer)
     connection = await small_host.connect()
     await connection.send("/tray/1", "c-1")
     await until(lambda: small_host.entry.metrics.counters["answers.paused"] > 0)
     await asyncio.sleep(0.3)
-    assert held_bytes(small_host) <= HELD_BYTES
-    reply = await rest_of(connection)
-    assert (reply.whole, len(reply.body)) == (True, ANSWER_BYTES)
+    assert held_bytes(small_host) <= MAX_HELD_BYTES
+    reply = await read_reply(connection)
+    assert (reply.complete, len(reply.body)) == (True, ANSWER_BYTES)
     await until(lambda: held_bytes(small_host) == 0)
--- a/tests/forwarding/test_own_lateness.py
+++ b/tests/forwarding/test_own_lateness.py
@@ -48,13 +48,13 @@
     Connection,
     Deployment,
     begin_stream,
-    events_of,
+    drain_other_domains,
     later_engine,
-    let_others_drain,
-    rest_of,
-    runs,
-    suspects,
-    take_off_the_list,
+    read_reply,
+    remove_registration,
+    run_count,
+    stream_body,
+    suspected_servers,
     until,
 )
 
@@ -75,10 +75,10 @@
 ) -> None:
     begun = [await begin_stream(deployment, f"s-{n}") for n in range(2)]
     await hold_answers_up(deployment, 0.4)
-    assert suspects(deployment) == []
-    replies = await asyncio.gather(*(rest_of(connection) for connection, _ in begun))
-    assert [reply.body for reply in replies] == [events_of(60)] * 2
-    assert [runs(deployment, f"s-{n}") for n in range(2)] == [1, 1]
+    assert suspected_servers(deployment) == []
+    replies = await asyncio.gather(*(read_reply(connection) for connection, _ in begun))
+    assert [reply.body for reply in replies] == [stream_body(60)] * 2
+    assert [run_count(deployment, f"s-{n}") for n in range(2)] == [1, 1]
 
 
 async def test_an_engine_that_is_asked_alone_is_kept_while_all_answers_come_late(
@@ -89,8 +89,8 @@
         other.report_delay_s = 0.15
     deployment.entry._prober.doubt(engine.server_id)
     await asyncio.sleep(0.5)
-    assert suspects(deployment) == []
-    assert runs(deployment, "s-1") == 1
+    assert suspected_servers(deployment) == []
+    assert run_count(deployment, "s-1") == 1
     connection.close()
 
 
@@ -99,10 +99,10 @@
 ) -> None:
     connection, first = await begin_stream(deployment)
     later = later_engine(deployment, first)
-    take_off_the_list(deployment, later)
+    remove_registration(deployment, later)
     await hold_answers_up(deployment, 0.15)
-    assert (await rest_of(connection)).body == events_of(60)
-    assert runs(deployment, "s-1") == 1
+    assert (await read_reply(connection)).body == stream_body(60)
+    assert run_count(deployment, "s-1") == 1
 
 
 async def test_a_successor_at_its_address_is_no_sign_of_life(
@@ -115,7 +115,7 @@
     directory = deployment.entry.router.directory
     entry = directory.get(first.server_id)
     assert entry is not None
-    take_off_the_list(deployment, first)
+    remove_registration(deployment, first)
     assert await prober.calls.serves_on(stage, 0.5)
     first.layers = (4, 8)
     assert not await prober.calls.serves_on(stage, 0.5)
@@ -140,10 +140,10 @@
             for e in deployment.engines
             if e.server_id == driver._destination.server.host
         ]
-        take_off_the_list(deployment, engine)
+        remove_registration(deployment, engine)
         router.report_lost(frozenset({engine.server_id}))
         await asyncio.sleep(0.2)
-    assert runs(deployment, "s-1") == 2
+    assert run_count(deployment, "s-1") == 2
     connection.close()
 
 
@@ -153,19 +153,19 @@
     """Let a later engine stand still; the stream of 200 events must outlast it."""
     later = later_engine(deployment, first)
     later.mode = "dead"
-    await until(lambda: bool(suspects(deployment)))
+    await until(lambda: bool(suspected_servers(deployment)))
     await asyncio.sleep(0.3)
     later.mode = "ok"
-    reply = await rest_of(connection)
-    assert (reply.whole, reply.body) == (True, events_of(200))
-    assert runs(deployment, "s-1") == 1
+    reply = await read_reply(connection)
+    assert (reply.complete, reply.body) == (True, stream_body(200))
+    assert run_count(deployment, "s-1") == 1
 
 
 async def test_a_stream_with_nowhere_else_to_go_waits_for_its_engine(
     deployment: Deployment,
 ) -> None:
     connection, first = await begin_stream(deployment, events=200)
-    await let_others_drain(deployment, first)
+    await drain_other_domains(deployment, first)
     await check_that_it_waits(deployment, connection, first)
 
 
@@ -200,8 +200,8 @@
     monkeypatch.setattr(exchange, "connect", too_late)
     reply = await deployment.ask("/draft/1", "s-1")
     assert reply.status == 503
-    assert runs(deployment, "s-1") == 0
-    assert suspects(deployment) == []
+    assert run_count(deployment, "s-1") == 0
+    assert suspected_servers(deployment) == []
 
 
 @pytest.fixture
--- a/tests/forwarding/test_rate_limits.py
+++ b/tests/forwarding/test_rate_limits.py
@@ -23,9 +23,9 @@
 from tests.lib.forwarding import (
     Deployment,
     begin_stream,
-    events_of,
-    rest_of,
+    read_reply,
     running,
+    stream_body,
     until,
 )
 from tests.lib.limits import (
@@ -62,7 +62,7 @@
 @pytest.mark.parametrize("entries", [1, 5])
 async def test_one_of_two_first_engines_names_a_limit(entries: int) -> None:
     async for deployment in running(Deployment(entry_count=entries)):
-        server = deployment.first_engines[0]
+        server = deployment.first_stage_engines[0]
         load = ClientLoad(deployment, STREAM, PER_S)
         outcome = await run_limit_scenario(deployment, load, {server.server_id: "1.4"})
         assert outcome.max_in_window(server) <= allowed_requests(1.4)
@@ -74,7 +74,7 @@
 async def test_both_first_engines_name_one() -> None:
     """What can't be served is refused at once, and told when to come back."""
     async for deployment in running(Deployment(entry_count=3)):
-        servers = deployment.first_engines
+        servers = deployment.first_stage_engines
         load = ClientLoad(deployment, STREAM, PER_S)
         outcome = await run_limit_scenario(
             deployment, load, {s.server_id: "2.5" for s in servers}
@@ -108,7 +108,7 @@
 
 async def test_entries_that_cant_tell_each_other_anything_keep_it_too() -> None:
     async for deployment in running(Deployment(entry_count=5)):
-        server = deployment.first_engines[0]
+        server = deployment.first_stage_engines[0]
         load = ClientLoad(deployment, STREAM, PER_S)
         await cut_entries_from_each_other(deployment)
         outcome = await run_limit_scenario(deployment, load, {server.server_id: "1.4"})
@@ -120,7 +120,7 @@
 
 async def test_after_its_end_the_server_is_back_within_six_seconds() -> None:
     async for deployment in running(Deployment(entry_count=3)):
-        server = deployment.first_engines[0]
+        server = deployment.first_stage_engines[0]
         load = ClientLoad(deployment, STREAM, PER_S)
         outcome = await run_limit_scenario(
             deployment, load, {server.server_id: "1.4"}, duration_s=5.0, after_s=10.0
@@ -143,7 +143,7 @@
     two_entries: Deployment,
 ) -> None:
     deployment = two_entries
-    server = deployment.first_engines[0]
+    server = deployment.first_stage_engines[0]
     load = ClientLoad(deployment, STREAM, PER_S, shares=(1.0, 0.0))
     playing = asyncio.create_task(
         run_limit_scenario(
@@ -178,14 +178,14 @@
     deployment: Deployment,
 ) -> None:
     connection, engine = await begin_stream(deployment, events=100)
-    (other,) = [e for e in deployment.first_engines if e is not engine]
+    (other,) = [e for e in deployment.first_stage_engines if e is not engine]
     other.rate_limit = "4"
     for number in range(6):
         reply = await deployment.ask(STREAM, f"n-{number}")
         assert reply.status == 200
     engine.crash()
-    reply = await rest_of(connection)
-    assert (reply.whole, reply.body) == (True, events_of(100))
+    reply = await read_reply(connection)
+    assert (reply.complete, reply.body) == (True, stream_body(100))
 
 
 async def test_what_is_no_rate_changes_nothing(deployment: Deployment) -> None:
--- a/tests/forwarding/test_repeated_crashes.py
+++ b/tests/forwarding/test_repeated_crashes.py
@@ -104,7 +104,7 @@
 def placed_anew(deployment: Deployment) -> bool:
     """Return whether some engine holds the first layers, and all entries know it."""
     known = all(deployment.all_known(entry) for entry in deployment.entries)
-    return known and bool(deployment.first_engines)
+    return known and bool(deployment.first_stage_engines)
 
 
 async def recognizing(deployment: Deployment) -> None:
--- a/tests/forwarding/test_requests.py
+++ b/tests/forwarding/test_requests.py
@@ -16,19 +16,19 @@
     MODEL_SERVICE,
     Deployment,
     configuration,
-    events_of,
     routes,
-    runs,
+    run_count,
+    stream_body,
     until,
 )
 
 
 async def test_a_stream_passes_through_a_chain(deployment: Deployment) -> None:
     reply = await deployment.ask("/draft/1", "s-1", events=12)
-    assert (reply.status, reply.whole) == (200, True)
-    assert reply.body == events_of(12)
+    assert (reply.status, reply.complete) == (200, True)
+    assert reply.body == stream_body(12)
     assert reply.headers["Railfold-Response-Seal"] == SEAL
-    assert runs(deployment, "s-1") == 1
+    assert run_count(deployment, "s-1") == 1
 
 
 async def test_chains_stay_in_one_failure_domain(deployment: Deployment) -> None:
@@ -72,7 +72,7 @@
 ) -> None:
     reply = await deployment.ask(path, "c-1", key=key)
     assert reply.status == status
-    assert runs(deployment, "c-1") == 0
+    assert run_count(deployment, "c-1") == 0
 
 
 async def test_a_refusal_by_one_server_is_no_answer(deployment: Deployment) -> None:
@@ -80,7 +80,7 @@
     for number in range(6):
         reply = await deployment.ask("/slip/1", f"c-{number}")
         assert reply.status == 200
-        assert runs(deployment, f"c-{number}") == 1
+        assert run_count(deployment, f"c-{number}") == 1
 
 
 async def test_not_run_is_said_when_all_refuse(deployment: Deployment) -> None:
@@ -89,7 +89,7 @@
     reply = await deployment.ask("/slip/1", "c-1")
     assert reply.status == 503
     assert float(reply.headers["Retry-After"]) > 0
-    assert runs(deployment, "c-1") == 0
+    assert run_count(deployment, "c-1") == 0
 
 
 async def test_an_unrepeatable_call_whose_answer_is_lost_runs_once(
@@ -100,7 +100,7 @@
     reply = await deployment.ask("/slip/1", "c-1")
     assert reply.status == 502
     assert "Retry-After" not in reply.headers
-    assert runs(deployment, "c-1") == 1
+    assert run_count(deployment, "c-1") == 1
 
 
 async def test_a_safe_call_whose_answer_is_lost_is_repeated(
@@ -210,7 +210,7 @@
     )
     await until(lambda: deployment.entry.router.table.version == 2)
     await deployment.ask("/draft/1", "r-1", events=2)
-    (seen,) = [h for e in deployment.first_engines for h in e.seen]
+    (seen,) = [h for e in deployment.first_stage_engines for h in e.seen]
     assert seen["Railfold-Request-Priority"] == engine
 
 
--- a/tests/forwarding/test_server_backoff.py
+++ b/tests/forwarding/test_server_backoff.py
@@ -21,8 +21,8 @@
 from tests.lib.forwarding import (
     ZONES,
     Deployment,
+    keep_one_plain_server,
     later_engine,
-    only_plain_server,
     running,
     until,
 )
@@ -54,7 +54,7 @@
 
 def first_servers(deployment: Deployment, path: str) -> list[Engine]:
     """Return the servers that entries send a route's requests to."""
-    return deployment.first_engines if path == STREAM else deployment.plain
+    return deployment.first_stage_engines if path == STREAM else deployment.plain
 
 
 @pytest.mark.parametrize("path", ROUTES)
@@ -148,7 +148,7 @@
 
 
 async def test_another_incarnation_isnt_barred(deployment: Deployment) -> None:
-    server = await only_plain_server(deployment, born=5_000)
+    server = await keep_one_plain_server(deployment, born=5_000)
     server.mode, server.retry_after = "shed", "30"
     assert (await deployment.ask(SAFE, "c-1")).status == 503
     server.mode = "ok"
@@ -178,7 +178,7 @@
 async def test_a_value_that_asks_for_nothing_leaves_the_own_pause(
     deployment: Deployment, value: str
 ) -> None:
-    first = deployment.first_engines[0]
+    first = deployment.first_stage_engines[0]
     first.mode, first.retry_after = "shed", value
     for number in range(12):
         assert (await deployment.ask(STREAM, f"s-{number}")).status == 200
@@ -193,7 +193,7 @@
 async def test_the_answering_server_asks_also_where_it_names_another(
     deployment: Deployment,
 ) -> None:
-    first = deployment.first_engines[0]
+    first = deployment.first_stage_engines[0]
     later = later_engine(deployment, first)
     first.mode, first.retry_after, first.blames = "shed", "3", later.address
     for number in range(12):
@@ -217,7 +217,7 @@
     await until(deployment.all_known)
     whole.mode, whole.retry_after = "shed", "5"
     replies = [await deployment.ask(STREAM, f"s-{n}") for n in range(6)]
-    assert {(reply.status, reply.whole) for reply in replies} == {(200, True)}
+    assert {(reply.status, reply.complete) for reply in replies} == {(200, True)}
     assert len(whole.arrivals) <= 1
     chains = [seen["Railfold-Hop-Count"] for seen in deployment.engines[-2].seen]
     assert all(whole.address in chain for chain in chains)
--- a/tests/forwarding/test_server_leaving.py
+++ b/tests/forwarding/test_server_leaving.py
@@ -13,12 +13,12 @@
 from tests.lib.forwarding import (
     Deployment,
     begin_stream,
-    events_of,
+    keep_one_plain_server,
     later_engine,
-    only_plain_server,
-    rest_of,
+    read_reply,
+    remove_registration,
     running,
-    take_off_the_list,
+    stream_body,
     until,
 )
 from tests.lib.limits import ClientLoad, all_know_peers, entry_of
@@ -38,7 +38,7 @@
 ) -> None:
     """One of two servers of a route leaves, and its registration doesn't tell."""
     async for deployment in running(Deployment(entry_count=3)):
-        servers = deployment.first_engines if path == STREAM else deployment.plain
+        servers = deployment.first_stage_engines if path == STREAM else deployment.plain
         server = servers[0]
         load = ClientLoad(deployment, path, PER_S, rng=random.Random(5))
         sending = asyncio.create_task(load.send(6.0))
@@ -75,8 +75,8 @@
     for number in range(12):
         assert (await deployment.ask(STREAM, f"n-{number}")).status == 200
     assert len(engine.arrivals) <= 2
-    reply = await rest_of(connection)
-    assert (reply.whole, reply.body) == (True, events_of(100))
+    reply = await read_reply(connection)
+    assert (reply.complete, reply.body) == (True, stream_body(100))
     assert not engine.cancelled
 
 
@@ -98,7 +98,7 @@
     while not server.arrivals:
         await deployment.ask(SAFE, "c-1")
     server.register()
-    take_off_the_list(deployment, server)
+    remove_registration(deployment, server)
     server.store.put("keyed.servers", "i-other", None)
     server.register()
     await until(lambda: directory.get(server.server_id) is not None)
@@ -108,7 +108,7 @@
 
 
 async def test_another_incarnation_gets_new_requests(deployment: Deployment) -> None:
-    server = await only_plain_server(deployment, born=5_000)
+    server = await keep_one_plain_server(deployment, born=5_000)
     server.leaving = True
     assert (await deployment.ask(SAFE, "c-1")).status == 200
     assert (await deployment.ask(SAFE, "c-2")).status == 503
@@ -124,7 +124,7 @@
     deployment = two_entries
     entries = deployment.entries
     await until(functools.partial(all_know_peers, entries))
-    first = deployment.first_engines[0]
+    first = deployment.first_stage_engines[0]
     later = later_engine(deployment, first)
     later.leaving = True
     asking, hearing = (entry.router.directory.get(later.server_id) for entry in entries)
--- a/tests/forwarding/test_starting.py
+++ b/tests/forwarding/test_starting.py
@@ -19,7 +19,7 @@
 from railfold._internal.forwarding.listeners import Listeners, open_listeners
 from railfold._internal.forwarding.requests import front
 from standins.cluster import free_port
-from tests.lib.forwarding import Deployment, events_of, until
+from tests.lib.forwarding import Deployment, stream_body, until
 
 READINESS_PROBE = b"GET /ready HTTP/1.1\r\nHost: entry\r\n\r\n"
 
@@ -46,7 +46,7 @@
     await connection.send("/draft/1", "r-1", events=3)
     prepared.run_entry(listeners)
     reply = await asyncio.wait_for(connection.read(), 5.0)
-    assert (reply.status, reply.body, reply.whole) == (200, events_of(3), True)
+    assert (reply.status, reply.body, reply.complete) == (200, stream_body(3), True)
     connection.close()
 
 
--- a/tests/forwarding/test_suspended_hosts.py
+++ b/tests/forwarding/test_suspended_hosts.py
@@ -47,7 +47,7 @@
     """Run a scenario on the loop that entries have as programs."""
 
     async def run() -> None:
-        deployment = Deployment(placed=placed)
+        deployment = Deployment(layers_placed=placed)
         await deployment.start()
         try:
             await scenario(deployment)
--- a/tests/forwarding/test_suspicion.py
+++ b/tests/forwarding/test_suspicion.py
@@ -27,14 +27,14 @@
     Deployment,
     begin_stream,
     configuration,
-    events_of,
+    drain_other_domains,
     later_engine,
-    let_others_drain,
-    rest_of,
+    read_reply,
+    remove_registration,
     routes,
-    runs,
-    suspects,
-    take_off_the_list,
+    run_count,
+    stream_body,
+    suspected_servers,
     until,
 )
 
@@ -55,8 +55,8 @@
     silence = Silence(0.1, chain.hosts)
     deployment.entry._prober.probe_suspects(chain, silence, "s-1")
     await asyncio.sleep(0.5)
-    assert suspects(deployment) == []
-    assert runs(deployment, "s-1") == 1
+    assert suspected_servers(deployment) == []
+    assert run_count(deployment, "s-1") == 1
     connection.close()
 
 
@@ -67,8 +67,8 @@
     first.report_delay_s = 10.0
     deployment.entry._prober.doubt(first.server_id)
     await asyncio.sleep(0.4)
-    assert suspects(deployment) == []
-    assert runs(deployment, "s-1") == 1
+    assert suspected_servers(deployment) == []
+    assert run_count(deployment, "s-1") == 1
     connection.close()
 
 
@@ -89,7 +89,7 @@
     lost = chain_in_use(deployment).hosts[1]
     deployment.entry.router.report_lost(frozenset({lost}))
     await asyncio.sleep(0.6)
-    assert runs(deployment, "s-1") == 1
+    assert run_count(deployment, "s-1") == 1
     connection.close()
 
 
@@ -104,7 +104,7 @@
     prober = deployment.entry._prober
     await prober._probe_suspects(chain, stalled, "s-1", moved=False)
     await asyncio.sleep(0.1)
-    assert runs(deployment, "s-1") == 1
+    assert run_count(deployment, "s-1") == 1
     connection.close()
 
 
@@ -117,9 +117,9 @@
     await connection.send("/draft/1", "s-1", events=3)
     await until(lambda: any(e.runs["s-1"] for e in deployment.engines))
     (first,) = [e for e in deployment.engines if e.runs["s-1"]]
-    take_off_the_list(deployment, first)
+    remove_registration(deployment, first)
     first.mode = "dead"
-    await until(lambda: runs(deployment, "s-1") == 2, 1.0)
+    await until(lambda: run_count(deployment, "s-1") == 2, 1.0)
     connection.close()
 
 
@@ -127,13 +127,13 @@
     deployment: Deployment,
 ) -> None:
     connection, first = await begin_stream(deployment, events=80)
-    await let_others_drain(deployment, first)
+    await drain_other_domains(deployment, first)
     later = later_engine(deployment, first)
     later.mode = "dead"
     await asyncio.sleep(1.6)
     later.mode = "ok"
-    reply = await rest_of(connection)
-    assert (reply.whole, reply.body) == (True, events_of(80))
+    reply = await read_reply(connection)
+    assert (reply.complete, reply.body) == (True, stream_body(80))
 
 
 async def test_the_place_that_was_found_is_the_one_that_is_taken(
@@ -155,7 +155,7 @@
 
     monkeypatch.setattr(DestinationChooser, "choose", every_other)
     deployment.entry.router.report_lost(frozenset({first.server_id}))
-    assert (await rest_of(connection)).whole
+    assert (await read_reply(connection)).complete
 
 
 async def stream_plainly(handler: chaining_engine._Request, request_id: str) -> None:
@@ -190,10 +190,10 @@
     await asyncio.sleep(0.1)
     used.mode = "dead"
     deployment.entry._prober.doubt(used.server_id)
-    await until(lambda: used.server_id in suspects(deployment))
+    await until(lambda: used.server_id in suspected_servers(deployment))
     other.state = "ready"
     other.register()
-    assert (await rest_of(connection)).body == events_of(60)
+    assert (await read_reply(connection)).body == stream_body(60)
 
 
 async def test_a_full_service_that_resets_connections_finishes_what_runs(
@@ -225,7 +225,7 @@
     monkeypatch.setattr(exchange, "connect", reset_by_full)
     refused = await deployment.ask("/tray/1", "t-1", headers=no_tokens)
     assert refused.status == 503
-    assert (await rest_of(connection)).status == 200
+    assert (await read_reply(connection)).status == 200
 
 
 async def test_a_request_that_may_not_run_again_is_left_to_its_engine(
@@ -235,11 +235,11 @@
         service.event_s = 0.3
     connection = await deployment.connect()
     await connection.send("/slip/1", "u-1")
-    await until(lambda: runs(deployment, "u-1") == 1)
+    await until(lambda: run_count(deployment, "u-1") == 1)
     (used,) = [p for p in deployment.plain if p.runs["u-1"]]
     deployment.entry.router.report_lost(frozenset({used.server_id}))
-    assert (await rest_of(connection)).status == 200
-    assert runs(deployment, "u-1") == 1
+    assert (await read_reply(connection)).status == 200
+    assert run_count(deployment, "u-1") == 1
 
 
 async def test_engines_that_nobody_answers_for_are_unheard_and_not_lost(
--- a/tests/functional/test_binary.py
+++ b/tests/functional/test_binary.py
@@ -43,7 +43,7 @@
     environment = {"SHIV_ROOT": memory_folder, "PYTHONPATH": ""}
     with Cluster([HOST], command=[str(binary)], environment=environment) as cluster:
         caller = StreamCaller(cluster.callers_url(), "unit 1", 20)
-        caller.assert_whole()
+        caller.assert_complete()
         for name in ("entry-0", f"agent-{HOST.host}"):
             process = psutil.Process(cluster.processes[name].popen.pid)
             assert process.children() == []
--- a/tests/functional/test_engine_orders.py
+++ b/tests/functional/test_engine_orders.py
@@ -67,10 +67,10 @@
     pair: Cluster,
 ) -> None:
     caller = StreamCaller(pair.callers_url(), "unit 1", 1000)
-    caller.wait_tokens(3)
+    caller.wait_for_tokens(3)
     publish_version(pair, "2")
     assert not caller.outcome, "the answer ended before the change"
-    caller.assert_whole()
+    caller.assert_complete()
     assert caller.outcome["attempts"] == 1
     wait_version(pair, "2")
     assert [engine(pair, host)["loads"] for host in HOSTS] == [1, 1]
--- a/tests/functional/test_outcomes.py
+++ b/tests/functional/test_outcomes.py
@@ -204,7 +204,7 @@
     caller = StreamCaller(
         spare_cluster.callers_url(), "unit 5", 400, Railfold_Repeatable="false"
     )
-    caller.wait_tokens(3)
+    caller.wait_for_tokens(3)
     busy = [a["host"] for a in spare_cluster.status()["agents"] if a["load"]]
     spare_cluster.processes[f"agent-{busy[1]}"].kill()
     caller.finish()
@@ -241,7 +241,7 @@
     with Cluster([host]) as cluster:
         url = f"{cluster.engine_url(host.host)}/v1/status"
         caller = StreamCaller(cluster.callers_url(), "unit 7", 8000)
-        caller.wait_tokens(2)
+        caller.wait_for_tokens(2)
         assert get(url)["open_sequences"] == 1
         cluster.processes["entry-0"].kill()
         cluster.wait_until(lambda: get(url)["open_sequences"] == 0, "the orphan's end")
@@ -252,7 +252,7 @@
         StreamCaller(cluster.callers_url(), f"unit {i}", 20 + i) for i in range(16)
     ]
     for caller in callers:
-        caller.assert_whole()
+        caller.assert_complete()
 
 
 def test_status_of_a_service_passes_through(cluster: Cluster) -> None:
--- a/tests/functional/test_recovery.py
+++ b/tests/functional/test_recovery.py
@@ -16,7 +16,7 @@
 
 def start_stream(cluster: Cluster, prompt: str = "unit 7") -> StreamCaller:
     caller = StreamCaller(cluster.callers_url(), prompt, TOKENS)
-    caller.wait_tokens(3)
+    caller.wait_for_tokens(3)
     return caller
 
 
@@ -24,7 +24,7 @@
     caller = start_stream(spare_cluster)
     middle = serving_hosts(spare_cluster)[1]
     spare_cluster.processes[f"agent-{middle}"].kill()
-    caller.assert_whole()
+    caller.assert_complete()
     assert caller.outcome["attempts"] == 2
 
 
@@ -32,21 +32,21 @@
     caller = start_stream(spare_cluster)
     last = serving_hosts(spare_cluster)[2]
     spare_cluster.processes[f"engine-{last}"].kill()
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answer_goes_on_after_its_agent_freezes(spare_cluster: Cluster) -> None:
     caller = start_stream(spare_cluster)
     first = serving_hosts(spare_cluster)[0]
     spare_cluster.processes[f"agent-{first}"].freeze()
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answer_goes_on_after_its_engine_freezes(spare_cluster: Cluster) -> None:
     caller = start_stream(spare_cluster)
     middle = serving_hosts(spare_cluster)[1]
     post(f"{spare_cluster.engine_url(middle)}/control/freeze", {})
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answer_goes_on_after_its_engine_lost_its_caches(
@@ -55,7 +55,7 @@
     caller = start_stream(spare_cluster)
     middle = serving_hosts(spare_cluster)[1]
     post(f"{spare_cluster.engine_url(middle)}/control/restart", {})
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answer_goes_on_after_an_engine_lost_an_answer(
@@ -65,7 +65,7 @@
     caller = start_stream(spare_cluster)
     middle = serving_hosts(spare_cluster)[1]
     post(f"{spare_cluster.engine_url(middle)}/control/drop", {})
-    caller.assert_whole()
+    caller.assert_complete()
     assert caller.outcome["attempts"] == 2
 
 
@@ -74,7 +74,7 @@
     hosts = serving_hosts(spare_cluster)
     for host in (hosts[0], hosts[2]):
         spare_cluster.processes[f"agent-{host}"].kill()
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answers_go_on_after_a_failure_domain_dies(spare_cluster: Cluster) -> None:
@@ -84,7 +84,7 @@
             spare_cluster.processes[f"agent-{host.host}"].kill()
             spare_cluster.processes[f"engine-{host.host}"].kill()
     for caller in callers:
-        caller.assert_whole()
+        caller.assert_complete()
 
 
 def test_answer_goes_on_while_the_log_is_out(spare_cluster: Cluster) -> None:
@@ -92,7 +92,7 @@
     caller = start_stream(spare_cluster)
     middle = serving_hosts(spare_cluster)[1]
     spare_cluster.processes[f"agent-{middle}"].kill()
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_woken_agent_takes_up_new_work_only(spare_cluster: Cluster) -> None:
@@ -100,16 +100,16 @@
     middle = serving_hosts(spare_cluster)[1]
     agent = spare_cluster.processes[f"agent-{middle}"]
     agent.freeze()
-    caller.assert_whole()
+    caller.assert_complete()
     agent.thaw()
     spare_cluster.wait_until(lambda: spare_cluster.serving() == 6, "six agents")
     again = start_stream(spare_cluster, "unit 8")
-    again.assert_whole()
+    again.assert_complete()
 
 
 def test_no_spare_stage_gives_a_failure_at_once(cluster: Cluster) -> None:
     caller = StreamCaller(cluster.callers_url(), "unit 9", 5000)
-    caller.wait_tokens(3)
+    caller.wait_for_tokens(3)
     cluster.processes["agent-meter-b1"].kill()
     caller.finish()
     assert caller.outcome["outcome"] == "failed"
--- a/tests/lib/callers.py
+++ b/tests/lib/callers.py
@@ -112,7 +112,7 @@
         except Exception as error:
             self.error = error
 
-    def wait_tokens(self, count: int) -> None:
+    def wait_for_tokens(self, count: int) -> None:
         """Wait until at least ``count`` tokens have come."""
         while len(self.token_ids) < count:
             self._events.get(timeout=WAIT_S)
@@ -122,7 +122,7 @@
         self._thread.join(WAIT_S)
         assert not self._thread.is_alive(), "the answer didn't end"
 
-    def assert_whole(self) -> None:
+    def assert_complete(self) -> None:
         """Check that the answer is whole, unchanged and answered."""
         self.finish()
         assert self.error is None
--- a/tests/lib/commands.py
+++ b/tests/lib/commands.py
@@ -28,14 +28,14 @@
 
 def railfold(*arguments: str) -> Result:
     """Run a command to its end."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "railfold", *arguments],
         capture_output=True,
         text=True,
         timeout=60,
         check=False,
     )
-    return Result(done.returncode, done.stdout, done.stderr)
+    return Result(completed.returncode, completed.stdout, completed.stderr)
 
 
 def start_railfold(*arguments: str) -> subprocess.Popen[str]:
--- a/tests/lib/crashing_fleet.py
+++ b/tests/lib/crashing_fleet.py
@@ -201,7 +201,7 @@
             connection.close()
         self.replies.append(reply)
         now_s = asyncio.get_running_loop().time()
-        served = reply is not None and reply.status == 200 and reply.whole
+        served = reply is not None and reply.status == 200 and reply.complete
         (self.served_at_s if served else self.failed_at_s).append(now_s)
         if reply is not None and b"repeated_crashes" in reply.body:
             self.refused_at_s.append(now_s)
--- a/tests/lib/forwarding.py
+++ b/tests/lib/forwarding.py
@@ -90,7 +90,7 @@
     status: int
     headers: dict[str, str]
     body: bytes
-    whole: bool
+    complete: bool
 
 
 @dataclass
@@ -102,7 +102,7 @@
     engines: list[Engine] = field(default_factory=list)
     plain: list[Engine] = field(default_factory=list)
     lease_s: float = 3.0
-    placed: bool = True
+    layers_placed: bool = True
     entry_count: int = 1
     memory_bytes: int = DEFAULT_MEMORY_BYTES
     entries: list[ForwardingEntry] = field(default_factory=list)
@@ -123,7 +123,7 @@
         await until(lambda: entry.ready())
         await until(lambda: self.all_known(entry))
         # Some milliseconds later on a busy machine; it may not repeat anything before.
-        await until(lambda: entry._fleet_limits.part > 0.0)
+        await until(lambda: entry._fleet_limits.share > 0.0)
 
     def prepare(self) -> None:
         """Start all but the entry."""
@@ -185,7 +185,9 @@
         for zone in ZONES:
             for part in range(2):
                 half = LAYERS // 2
-                layers = (part * half, (part + 1) * half) if self.placed else None
+                layers = (
+                    (part * half, (part + 1) * half) if self.layers_placed else None
+                )
                 self.add_engine(f"i-{zone}-{part}", zone, layers)
             self.add_plain(f"i-{zone}-plain", zone)
 
@@ -223,8 +225,11 @@
             if registration is None:
                 return False
             held = registration.layers
-            told = (held.first, held.last + 1) if held else None
-            if told != server.layers or registration.started_at_ms != server.born:
+            registered_layers = (held.first, held.last + 1) if held else None
+            if (
+                registered_layers != server.layers
+                or registration.started_at_ms != server.born
+            ):
                 return False
             if registration.draining != (server.state == "draining"):
                 return False
@@ -270,7 +275,7 @@
             connection.close()
 
     @property
-    def first_engines(self) -> list[Engine]:
+    def first_stage_engines(self) -> list[Engine]:
         """The engines that chains begin at."""
         return [e for e in self.engines if e.layers and e.layers[0] == 0]
 
@@ -335,15 +340,15 @@
         """Read what follows an answer's head."""
         if "Content-Length" in headers:
             body = await self.reader.readexactly(int(headers["Content-Length"]))
-            return Reply(status, headers, body, whole=True)
+            return Reply(status, headers, body, complete=True)
         parts: list[bytes] = []
         try:
             while size := int(await self.reader.readline() or b"", 16):
                 parts.append(await self.reader.readexactly(size))
                 await self.reader.readline()
         except (ValueError, asyncio.IncompleteReadError, ConnectionError):
-            return Reply(status, headers, b"".join(parts), whole=False)
-        return Reply(status, headers, b"".join(parts), whole=True)
+            return Reply(status, headers, b"".join(parts), complete=False)
+        return Reply(status, headers, b"".join(parts), complete=True)
 
     def close(self) -> None:
         """Close it."""
@@ -362,18 +367,18 @@
     return connection, engine
 
 
-async def rest_of(connection: Connection) -> Reply:
+async def read_reply(connection: Connection) -> Reply:
     """Return the whole answer that a connection brings."""
     return await asyncio.wait_for(connection.read(), WAIT_S)
 
 
-def runs(deployment: Deployment, request_id: str) -> int:
+def run_count(deployment: Deployment, request_id: str) -> int:
     """Return how often backend servers ran a request."""
     servers = (*deployment.engines, *deployment.plain)
     return sum(server.runs[request_id] for server in servers)
 
 
-def suspects(deployment: Deployment) -> list[str]:
+def suspected_servers(deployment: Deployment) -> list[str]:
     """Return the backend servers that the entry gives no new work."""
     directory = deployment.entry.router.directory
     return [e.server_id for e in directory if e.suspect_since_s is not None]
@@ -387,7 +392,7 @@
     return later
 
 
-async def only_plain_server(deployment: Deployment, born: int) -> Engine:
+async def keep_one_plain_server(deployment: Deployment, born: int) -> Engine:
     """Leave one plain server, which tells its start, to new work; return it."""
     server, other = deployment.plain
     other.state = "draining"
@@ -398,7 +403,7 @@
     return server
 
 
-async def let_others_drain(deployment: Deployment, engine: Engine) -> None:
+async def drain_other_domains(deployment: Deployment, engine: Engine) -> None:
     """Leave only the engines of one engine's failure domain to new work."""
     for other in deployment.engines:
         if other.zone != engine.zone:
@@ -407,7 +412,7 @@
     await until(deployment.all_known)
 
 
-def take_off_the_list(deployment: Deployment, engine: Engine) -> None:
+def remove_registration(deployment: Deployment, engine: Engine) -> None:
     """Let the entry read that an engine's registration was removed."""
     directory = deployment.entry.router.directory
     directory.remove(engine.server_id, asyncio.get_running_loop().time())
@@ -423,7 +428,7 @@
             await asyncio.sleep(0.01)
 
 
-def events_of(count: int, first: int = 1) -> bytes:
+def stream_body(count: int, first: int = 1) -> bytes:
     """Return the events of a whole stream."""
     return b"".join(
         f"id: {n}\ndata: token {n}\n\n".encode() for n in range(first, count + 1)
--- a/tests/lib/limits.py
+++ b/tests/lib/limits.py
@@ -55,7 +55,7 @@
         if self.head_received_s is None or self.reply is None:
             return False
         in_time = self.head_received_s - self.sent_s <= OBJECTIVE_S
-        return in_time and self.reply.whole and self.reply.status == 200
+        return in_time and self.reply.complete and self.reply.status == 200
 
     @property
     def refused(self) -> bool:
