--- a/src/railfold/_internal/forwarding/fleet_limits.py
+++ b/src/railfold/_internal/forwarding/fleet_limits.py
@@ -1,4 +1,4 @@
-"""One entry's part of what all entries may do together."""
+"""One entry's share of the limits that apply to all entries together."""
 
 from __future__ import annotations
 
@@ -11,19 +11,21 @@
 
 __all__ = ["FleetLimits"]
 
-# Of the retries that all entries may make, entries that run take this share, each its
-# part (:class:`FleetSize`); one that doesn't know its part yet has none.
+# Part of the retry slack that is divided among the running entries, see
+# :class:`FleetSize`. The rest remains for entries that have just joined. An entry that
+# doesn't know its share yet may use none.
 _RETRY_SAFETY = 0.8
 
-# The share of first attempts needs no division: each entry counts its own. The rest is
-# for windows that begin and end elsewhere than this entry's.
+# Part of the retries per first attempt that is used. These retries need no division,
+# since each entry counts its own first attempts. The rest allows for windows that begin
+# and end at other times than this entry's.
 _SHARE_SAFETY = 0.95
 
 
 class FleetLimits:
-    """Keeps the number of entries, and this one's limits by it.
+    """Tracks the number of entries and updates this entry's limits.
 
-    :param fleet: how many entries there are, as far as is known.
+    :param fleet: estimate of the number of entries.
     """
 
     def __init__(
@@ -37,13 +39,13 @@
 
     @property
     def share(self) -> float:
-        """The part that the entry has, from 0 to 1."""
+        """The share of a common limit that this entry may use, from 0 to 1."""
         return self._fleet.share(self._loop.time())
 
     def assignment_received(
         self, assignment: PartitionAssignment, sent_s: float
     ) -> None:
-        """Take what a renewal of the lease tells of the number of entries."""
+        """Process the assignment from the response to a renewal sent at ``sent_s``."""
         self._fleet.assignment_received(assignment, sent_s)
         members = self._fleet.members
         if members is not None:
@@ -52,12 +54,12 @@
         self.update_limits()
 
     def set_listed_entries(self, entries: int) -> None:
-        """Take how many entries the store lists, with this one."""
+        """Set the number of entries listed in the store, including this one."""
         self._fleet.set_listed_entries(entries)
         self.update_limits()
 
     def update_limits(self) -> None:
-        """Take this entry's part of the retries that all may make."""
+        """Limit the retries to this entry's current share."""
         settings = self.settings
         slack = settings.retry_slack * _RETRY_SAFETY * self.share
         limits = RetryLimits(
--- a/src/railfold/_internal/forwarding/requests/capacity_queue.py
+++ b/src/railfold/_internal/forwarding/requests/capacity_queue.py
@@ -1,7 +1,7 @@
-"""Requests of this entry that compete for room at engines.
+"""Requests of this entry that compete for the capacity of engines.
 
-The order is decided in :mod:`railfold._internal.decisions.admission`; this keeps those
-that wait, and looks for room for them in turn.
+:mod:`railfold._internal.decisions.admission` decides on their order. This module keeps
+the waiting requests and searches for capacity in this order.
 """
 
 from __future__ import annotations
@@ -25,30 +25,33 @@
 
 __all__ = ["CapacityQueue", "CapacityWaiter", "Contender"]
 
-# How often room is looked for while requests wait: engines free some of it every few
-# milliseconds, and a recheck plans chains in all failure domains.
+# Interval of the searches for capacity while requests wait. Engines free capacity every
+# few milliseconds, but each search plans chains in all failure domains.
 _RECHECK_INTERVAL_S = 0.02
 
-# A request that finds no room may lack it by itself, since engines rejected it before:
-# so many others are looked at after it.
+# A recheck ends after this many requests without capacity. A single one doesn't show
+# that there is none for others, since it may exclude engines that rejected it.
 _MAX_MISSES = 4
 
-# For how long retries count as scarce after there was none.
+# How long retries count as scarce after a retry budget was empty.
 _RETRIES_SCARCE_S = 1.0
 
-# Answers that have begun go on before new ones begin.
+# Level of requests whose answer has begun. They go before all others.
 _BEGUN_ANSWER_LEVEL = -2
 
 
 @dataclass(eq=False, slots=True)
 class Contender:
-    """A request that competes for room.
+    """A request that competes for capacity.
 
-    :param arrived_s: when it came, on the loop's clock.
+    :param tokens: size to which the request may grow.
+    :param arrived_s: when it arrived, on the event loop's clock.
+    :param deadline_s: when its answer must be complete, on the same clock.
+    :param objective_s: latency objective of its route.
     :param waited_since_dispatch_s: how long it has waited for capacity since it was
         sent last.
     :param total_waited_s: how long it has waited for capacity in total.
-    :param predicted_wait_s: what was reckoned when it last began to wait.
+    :param predicted_wait_s: the wait that was predicted when it last began to wait.
     """
 
     key: DemandKey
@@ -63,17 +66,17 @@
 
 
 class CapacityWaiter(Protocol):
-    """Waits for room."""
+    """A search that waits for capacity."""
 
     def find_capacity(self) -> bool:
-        """Look for room; return whether the wait is over."""
+        """Search for capacity; return whether the wait is over."""
 
     def wait_failed(self) -> None:
-        """There is no room in time."""
+        """Called when there was no capacity in time."""
 
 
 class CapacityQueue:
-    """All requests of an entry that compete for room, by service."""
+    """All requests of an entry that compete for capacity, by service."""
 
     def __init__(self, router: Router) -> None:
         self._router = router
@@ -86,7 +89,7 @@
         self._contended: tuple[int, Set[str]] = (-1, frozenset())
 
     def register(self, routed: RoutedRequest) -> Contender | None:
-        """Take a request that came; nothing if no others compete with it for room."""
+        """Register a new request; return ``None`` if no other requests compete."""
         table = self._router.table
         if table is None:
             return None
@@ -113,11 +116,14 @@
         )
 
     def is_shed(self, contender: Contender) -> bool:
-        """Return whether a new request is to be refused for those that go before."""
+        """Return whether to refuse a new request in favour of more urgent ones.
+
+        The result is random.
+        """
         return self._router.rng.random() < contender.shedding_decision.shed_probability
 
     def must_wait(self, contender: Contender) -> bool:
-        """Return whether others that wait go before a request."""
+        """Return whether waiting requests go before a new one."""
         waiting = self._waiting.get(contender.key.service)
         return (
             waiting is not None
@@ -127,7 +133,10 @@
     def enqueue(
         self, waiter: CapacityWaiter, contender: Contender, *, begun: bool
     ) -> bool:
-        """Let a request wait for room; return whether it may have its turn in time."""
+        """Queue a request; return whether it is likely to find capacity in time.
+
+        :param begun: whether the client has received a part of the answer.
+        """
         service = contender.key.service
         waiting = self._waiting.setdefault(service, WaitingRequests())
         now_s = self._loop.time()
@@ -152,13 +161,13 @@
         return True
 
     def cancel(self, waiter: CapacityWaiter) -> None:
-        """A request waits no more."""
+        """Remove a request that no longer waits."""
         contender = self._end_wait(waiter)
         if contender is not None:
             self._waiting[contender.key.service].remove(waiter)
 
     def capacity_found(self, waiter: CapacityWaiter) -> None:
-        """There is room for a request that waited."""
+        """Remove a waiting request that found capacity."""
         contender = self._end_wait(waiter)
         if contender is not None:
             self._waiting[contender.key.service].served(waiter, self._loop.time())
@@ -174,7 +183,7 @@
         return contender
 
     def dispatched(self, contender: Contender) -> None:
-        """A request was sent where there is room."""
+        """Record that a request was sent to a server."""
         now_s = self._loop.time()
         self._shedder.dispatched(contender.key, contender.tokens, now_s)
         if contender.waited_since_dispatch_s:
@@ -184,21 +193,25 @@
             contender.waited_since_dispatch_s = 0.0
 
     def retry_budget_empty(self, service: str) -> None:
-        """The retry budget of a service was empty."""
+        """Record that the retry budget of a service was empty."""
         self._budget_empty_at_s[service] = self._loop.time()
 
     def yields_retry(self, contender: Contender) -> bool:
-        """Return whether a request leaves scarce retries to those that go before."""
+        """Return whether a request must leave scarce retries to more urgent ones."""
         empty_at_s = self._budget_empty_at_s.get(contender.key.service, float("-inf"))
         scarce = self._loop.time() - empty_at_s < _RETRIES_SCARCE_S
         return scarce and contender.shedding_decision.preceding_unserved
 
     def rejected(self, contender: Contender) -> None:
-        """An engine rejected a request that was sent."""
+        """Record that an engine rejected a request that was sent to it."""
         self._shedder.rejected(contender.key, contender.tokens, self._loop.time())
 
     def refusal(self, contender: Contender, error: RoomShortError) -> RoomShortError:
-        """Return what a caller is told for whose request there is no room."""
+        """Return the error for a request without capacity.
+
+        It includes the share of similar requests that are served and the time left,
+        from which the delay for the client's retry is computed.
+        """
         now_s = self._loop.time()
         key = contender.key
         served = self._shedder.served.share(key.service, now_s, key.priority)
@@ -211,7 +224,7 @@
         )
 
     def forget(self) -> None:
-        """Forget what hardly arrives any more."""
+        """Forget workspaces and ranks without recent requests."""
         self._shedder.forget(self._loop.time())
 
     def _schedule_recheck(self) -> None:
@@ -237,7 +250,7 @@
             waiter.wait_failed()
 
     def _serve(self, waiting: WaitingRequests[CapacityWaiter]) -> None:
-        """Look for room for those that wait, until some find none."""
+        """Search for capacity for requests in order, until several find none."""
         without_capacity: set[CapacityWaiter] = set()
         while len(without_capacity) < _MAX_MISSES:
             next_waiters = waiting.next_items(_MAX_MISSES)
@@ -251,7 +264,7 @@
 
 
 def _contended_services(table: RoutingTable) -> frozenset[str]:
-    """Return the model services that several ranks or workspaces use."""
+    """Return the model services whose capacity several ranks or workspaces share."""
     ranks: dict[str, set[int]] = {}
     for route in table.routes:
         for choice in route.services:
--- a/src/railfold/_internal/forwarding/requests/chain_balancer.py
+++ b/src/railfold/_internal/forwarding/requests/chain_balancer.py
@@ -1,4 +1,4 @@
-"""Choosing chains over engines of unlike speeds by the load that is known of them."""
+"""Chooses chains over engines of different speeds by their known load."""
 
 from __future__ import annotations
 
@@ -31,38 +31,38 @@
 
 __all__ = ["ChainBalancer", "ChosenChain"]
 
-# What a chain that begins in another failure domain costs more: enough to keep even
-# load at home, little enough to leave a domain that is a tenth fuller.
+# Additional cost of a chain that begins in another failure domain. At even load,
+# requests stay in the entry's own domain; they leave it when it is a tenth fuller.
 _OTHER_DOMAIN_COST = 0.1
 
-# What a new connection to the first engine costs.
+# Additional cost of a chain whose first engine needs a new connection.
 _NEW_CONNECTION_COST = 0.05
 
-# What a chain costs more whose pauses, or waits, are twice what they should be.
+# Additional cost of a chain whose pauses or waits are twice as long as they should be.
 _SLOWNESS_COST = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ChosenChain:
-    """A chain, and what the request is predicted to get on it."""
+    """A chain with the latency that is predicted for the request on it."""
 
     found: FoundChain
     prediction: ChainPrediction
 
     @property
     def crossings(self) -> int:
-        """How often it goes from one failure domain to another."""
+        """How often the chain crosses from one failure domain to another."""
         return len(crossings(self.found.domains))
 
 
 class ChainBalancer:
-    """Spreads requests over parallel chains of unlike speeds."""
+    """Spreads requests over parallel chains of different speeds."""
 
     def __init__(self, router: Router) -> None:
         self._router = router
 
     def applies(self, model: EngineModel, replicas: Iterable[Replica]) -> bool:
-        """Return whether it is wanted, and engines differ in speed."""
+        """Return whether prediction is enabled and the engines differ in speed."""
         if not self._router.predicts_chains:
             return False
         layer_ms = {round(r.step_ms / len(r.stage.layers), 3) for r in replicas}
@@ -77,11 +77,13 @@
         acceptable_wait_s: float,
         possibly_departed: Collection[str],
     ) -> ChosenChain | None:
-        """Return the chain that a request takes; none if there is none.
+        """Return the chain that a request takes, ``None`` if there is none.
 
-        :param replicas: those that a chain may use now.
-        :param bearable_s: the wait for a first event from which on a chain is slow.
-        :param doubtful: servers that are used only if there is no chain without them.
+        :param replicas: the replicas that a chain may use now.
+        :param acceptable_wait_s: chains whose wait for a first event is longer than
+            this count as slow.
+        :param possibly_departed: servers that are used only if there is no chain
+            without them.
         """
         candidates = self._candidates(
             service, model, replicas, needs, acceptable_wait_s
@@ -112,10 +114,15 @@
         home: str,
         current_hosts: Collection[str],
     ) -> Chain | None:
-        """Return a chain for a stream that runs at home, where layers are missing.
+        """Return a chain over several failure domains for a running stream.
 
-        :param replicas: those that a chain may use now.
-        :param held_by: servers that have room for it, since it runs there.
+        It is used when the stream's own failure domain no longer covers all layers.
+        Returns ``None`` if there is no such chain.
+
+        :param replicas: the replicas that a chain may use now.
+        :param home: failure domain in which the stream runs.
+        :param current_hosts: servers that run the stream now and therefore have
+            capacity for it.
         """
         candidates = [
             replace(
@@ -139,7 +146,11 @@
         needs: RequestNeeds,
         home: str,
     ) -> list[FoundChain]:
-        """Return good chains; those that borrow have room for the request."""
+        """Return chains, the cheapest first.
+
+        Chains over several failure domains are predicted to have capacity for the
+        request.
+        """
         now_s = asyncio.get_running_loop().time()
 
         def crossing_cost(domain: str, other_domain: str) -> float:
@@ -152,7 +163,7 @@
     def count_crossings(
         self, chosen: ChosenChain, model: EngineModel, needs: RequestNeeds
     ) -> None:
-        """Count what a request that takes the chain sends between failure domains."""
+        """Count the traffic between failure domains of a request that takes a chain."""
         now_s = asyncio.get_running_loop().time()
         pairs = crossings(chosen.found.domains)
         if pairs:
@@ -171,7 +182,7 @@
         needs: RequestNeeds,
         acceptable_wait_s: float,
     ) -> list[StageCandidate]:
-        """Return replicas with their costs."""
+        """Return the replicas of registered servers with their costs."""
         router = self._router
         now_s = asyncio.get_running_loop().time()
         arriving_rps = router.arriving_rps(service)
@@ -205,7 +216,7 @@
     def _first_stage_cost(
         self, replica: Replica, now_s: float, acceptable_wait_s: float
     ) -> float:
-        """Return what it costs more to begin a chain there."""
+        """Return the additional cost of a chain that begins at a replica."""
         router = self._router
         host = replica.stage.host
         slowness = router.activity.slowness(host, now_s, acceptable_wait_s)
--- a/src/railfold/_internal/forwarding/requests/chain_planner.py
+++ b/src/railfold/_internal/forwarding/requests/chain_planner.py
@@ -1,4 +1,4 @@
-"""Choosing the chain of engines that a request to a model takes."""
+"""Chooses the chain of engines for a request to a model."""
 
 from __future__ import annotations
 
@@ -36,27 +36,29 @@
 
 __all__ = ["LOCAL_DOMAIN_COST_FACTOR", "ChainPlanner", "last_server_error"]
 
-# How much cheaper a chain in the entry's own failure domain counts: enough to
-# keep even load at home, little enough to leave a domain that is twice as busy.
+# Factor on the cost of chains and servers in the entry's own failure domain. At even
+# load, requests stay in this domain; they leave it when it is twice as busy.
 LOCAL_DOMAIN_COST_FACTOR = 0.75
 
-# The same for an engine that a kept connection leads to: a new one costs the engine a
-# millisecond, as much as several of its decode steps, and the request a round trip.
-# More than the jitter between equal engines, far less than a difference in load.
+# Factor on the cost of an engine to which there is an idle connection. A new connection
+# costs the engine a millisecond, as much as several of its decode steps, and the
+# request a round trip. The reduction exceeds the jitter between equal engines, but is
+# far smaller than the effect of a difference in load.
 _CONNECTED_COST_FACTOR = 0.9
 
-# Engines' costs are spread by up to this part where an entry sees nothing of their
-# load: as much as a half full one costs more than an idle one of its kind would, so
-# that entries don't all choose the same path through a failure domain.
+# Largest random increase of an engine's cost, as a share of it, if the entry knows
+# nothing about the load. It equals the additional cost of a half full engine compared
+# to an idle one of the same kind, so that entries don't all choose the same path
+# through a failure domain.
 _MAX_UNCERTAINTY_JITTER = 0.5
 
-# When others may be there again beside the only backend server that is left: layers are
-# loaded in 0.6 s, a server starts again in a second or two.
+# Time until there may again be other servers besides the last one. An engine loads
+# layers in 0.6 s; a server restarts in one or two seconds.
 _LAST_SERVER_RETRY_S = 0.6
 
 
 class ChainPlanner:
-    """Plans chains over the engines that are eligible, and chooses among them."""
+    """Plans chains over the eligible engines and chooses one of them."""
 
     def __init__(self, router: Router) -> None:
         self._router = router
@@ -72,13 +74,16 @@
         acceptable_wait_s: float,
         is_risky: bool,
     ) -> Destination:
-        """Return the chain that a request takes now.
+        """Return the chain that a request takes now, as its destination.
 
         :param exclude: servers that must not be its first stage.
-        :param terms: on which servers are eligible; gets the bars that were met.
-        :param bearable_s: the wait for a first event from which on a chain is slow.
-        :param is_suspect: whether the request may end its first server.
-        :raises RequestError: there is no chain, or only the last one.
+        :param terms: terms on which servers are eligible; the reasons why servers are
+            ineligible are added to it.
+        :param acceptable_wait_s: chains whose wait for a first event is longer than
+            this count as slow.
+        :param is_risky: whether the request may crash its first server.
+        :raises NoCapacityError: no chain is available.
+        :raises RequestOnTrialError: the request is risky and only one chain is left.
         """
         replicas = self._router.directory.layer_replicas(
             spec.name,
@@ -122,11 +127,11 @@
         acceptable_wait_s: float,
         is_risky: bool,
     ) -> Chain | None:
-        """Return the chain of one of the failure domains, if there is one.
+        """Return a chain within one failure domain, ``None`` if no domain has one.
 
-        :param replicas: all that hold layers.
-        :param usable: those that may be part of the chain.
-        :raises RequestError: it is the last one, and isn't to be used.
+        :param replicas: all replicas that hold layers.
+        :param usable: the replicas that may be part of the chain.
+        :raises RequestOnTrialError: the request is risky and only one chain is left.
         """
         now_s = asyncio.get_running_loop().time()
         by_domain = group_by_domain(replicas, lambda r: r.failure_domain)
@@ -172,11 +177,11 @@
         terms: EligibilityTerms,
         now_s: float,
     ) -> NoCapacityError:
-        """Return why there is no chain, told of each failure domain.
+        """Return an error that says for each failure domain why it has no chain.
 
-        :param replicas: all that hold layers and serve.
-        :param usable: those that a chain could use.
-        :param terms: with the bars of the others.
+        :param replicas: all replicas that hold layers and serve.
+        :param usable: the replicas that a chain could use.
+        :param terms: holds the reasons why the other replicas are ineligible.
         """
         registered = self._router.directory.servers_of(spec.name)
         domains = sorted({entry.registration.failure_domain for entry in registered})
@@ -209,7 +214,10 @@
     def _eligible_in_s(
         self, server_id: str, terms: EligibilityTerms, now_s: float
     ) -> float | None:
-        """Return when a server takes requests again, as far as that is known."""
+        """Return in how many seconds a server accepts requests again.
+
+        Returns ``None`` if that isn't known.
+        """
         reason = terms.reasons.get(server_id)
         if isinstance(reason, TemporaryReason):
             return max(0.0, reason.until_s - now_s)
@@ -222,10 +230,10 @@
         now_s: float,
         terms: EligibilityTerms,
     ) -> Replica | None:
-        """Return what a chain may use of a replica, if anything.
+        """Return the part of a replica that a chain may use, ``None`` if it has none.
 
-        :param exclude: servers that the request was sent to, which only counts against
-            first stages.
+        :param exclude: servers that must not be the first stage. They may still be
+            later stages.
         """
         server_id = replica.stage.host
         if replica.stage.layers.first > 0:
@@ -238,7 +246,8 @@
         backs_off = isinstance(terms.reasons[server_id], BackingOff | HalfOpen)
         if not backs_off or len(replica.stage.layers) < 2:
             return None
-        # It wants no requests from this entry; those of other engines may pass it.
+        # The server asked this entry to back off. It may still get requests from other
+        # engines, as a later stage.
         allowed = self._router.eligibility.allows(
             server_id, Role.LATER_STAGE, now_s, terms
         )
@@ -251,7 +260,7 @@
         uncertainty: float,
         possibly_departed: frozenset[str],
     ) -> Chain:
-        """Return a chain without doubtful engines, or with them if there is none."""
+        """Return a chain, if possible without servers that have possibly departed."""
         if possibly_departed:
             confirmed = [r for r in replicas if r.stage.host not in possibly_departed]
             with contextlib.suppress(NoCapacityError):
@@ -266,7 +275,7 @@
         now_s: float,
         acceptable_wait_s: float,
     ) -> ChainOption:
-        """Return what speaks for and against a failure domain's best chain."""
+        """Return the best chain of a failure domain as an option to choose from."""
         by_host = {r.stage.host: r for r in replicas}
         stages = [by_host[stage.host] for stage in chain.stages]
         first_host = chain.stages[0].host
@@ -283,7 +292,10 @@
     def _prefer_if_connected(
         self, replica: Replica, now_s: float, uncertainty: float
     ) -> Replica:
-        """Let an engine count as cheaper that a kept connection leads to."""
+        """Return a replica, cheaper if there is an idle connection to its engine.
+
+        This applies only to replicas at which a chain can begin.
+        """
         first = replica.stage.layers.first == 0
         if not first or not self._router.pool.has_idle(replica.stage.host, now_s):
             return replica
@@ -299,7 +311,10 @@
     ) -> Chain | None:
         """Return another chain that begins at the same backend server.
 
-        In its own failure domain if there is one.
+        A chain within the failure domain of this server is preferred to one over
+        several domains. Returns ``None`` if there is neither.
+
+        :param lost: servers that must not be part of the chain.
         """
         first = chain.stages[0]
         entry = self._router.directory.get(first.host)
@@ -362,7 +377,7 @@
 
 
 def last_server_error() -> RequestOnTrialError:
-    """Return why a request that may end its server doesn't get the last one."""
+    """Return the error for a request that may crash the only server left."""
     return RequestOnTrialError(
         "backend servers ended under this request, and only one is left",
         left_s=_LAST_SERVER_RETRY_S,
@@ -371,6 +386,6 @@
 
 
 def _median_capacity(replicas: list[Replica], model: EngineModel) -> float:
-    """Return how many usual requests fit on an engine in the middle of a domain's."""
+    """Return how many typical requests fit on an engine of median capacity."""
     capacities = sorted(replica.capacity for replica in replicas)
     return capacities[len(capacities) // 2] / model.mean_tokens
--- a/src/railfold/_internal/forwarding/requests/destination.py
+++ b/src/railfold/_internal/forwarding/requests/destination.py
@@ -1,4 +1,4 @@
-"""Where an attempt of a request may go."""
+"""Destination of one attempt of a request."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 class Destination:
     """A backend server, or a chain of them that begins at ``server``.
 
-    :param max_wait_s: how long the request may wait there for a permit of a rate
-        limited server.
-    :param prediction: what the request gets on the chain, where that was predicted.
-    :param crossings: how often the chain goes from one failure domain to another.
+    :param max_wait_s: how long the request may wait for a permit, if one of the
+        servers has a rate limit.
+    :param prediction: predicted latency of the request on the chain, if the chain was
+        chosen by prediction.
+    :param crossings: how often the chain crosses from one failure domain to another.
     """
 
     service: str
@@ -29,5 +30,5 @@
 
     @property
     def server_ids(self) -> tuple[str, ...]:
-        """All backend servers that would work on the request."""
+        """Ids of all backend servers that would run the request."""
         return self.chain.hosts if self.chain else (self.server.host,)
--- a/src/railfold/_internal/forwarding/requests/destination_search.py
+++ b/src/railfold/_internal/forwarding/requests/destination_search.py
@@ -1,8 +1,8 @@
-"""Finding where a request's next attempt goes, and whether it may be sent there.
+"""Finds a destination for the next attempt of a request, and permission to send it.
 
-It may be if its content isn't held back, if engines have room for it beside what goes
-before it, if a server with a rate limit has a permit for it, and if the retry budget
-has one more where it was sent before.
+A request may be sent if its content isn't held back, if engines have capacity besides
+that for more urgent requests, if the destination's rate limit has a permit, and, for a
+retry, if the retry budget allows it.
 """
 
 from __future__ import annotations
@@ -36,27 +36,27 @@
 
 __all__ = ["RESERVATION_INTERVAL_S", "DestinationSearch", "SearchListener"]
 
-# How often a place is looked for that an answer can go on at: a look plans chains in
-# all failure domains.
+# Shortest time between two attempts to reserve a destination at which a stream can
+# continue. Each attempt plans chains in all failure domains.
 RESERVATION_INTERVAL_S = 0.1
 
-# How often a request is denied a permit of a server with a limit before it is refused.
-# Each denial leaves one server out, and all take some milliseconds.
+# Number of denied permits after which the next denial refuses the request. Each denial
+# excludes one server, and all of them together take some milliseconds.
 _MAX_DENIALS = 4
 
 
 class SearchListener(Protocol):
-    """Takes what comes of a search."""
+    """Receives the result of each search."""
 
     def destination_found(self, destination: Destination) -> None:
-        """The request may be sent there now."""
+        """Called when the request may be sent to the destination."""
 
     def destination_refused(self, error: RailfoldError) -> None:
-        """There is no such place."""
+        """Called when there is no destination, with the reason."""
 
 
 class DestinationSearch:
-    """Finds the places of one request's attempts, one after the other."""
+    """Finds the destinations of one request's attempts, one after the other."""
 
     def __init__(
         self,
@@ -79,12 +79,14 @@
         self._permit_task: asyncio.Task[None] | None = None
         self._denial_count = 0
         self._is_first_search = True
-        # What it wants of engines' room, if others compete for that.
+        # The request as a contender for capacity; None before the first search, or if
+        # no other requests compete.
         self.contender: Contender | None = None
-        # The search that waits for room.
+        # Arguments of the search that waits for capacity: exclude, is_retry, begun.
         self._pending_search: tuple[frozenset[str], bool, bool] | None = None
         self._shortage = RoomShortError("no backend server has room")
-        # A request allows a part of a retry once, however often it is placed.
+        # Whether the request was added to the retry budget as a first attempt. It
+        # counts only once, however often a destination is found for it.
         self._has_earned_retry = False
 
     def search(
@@ -95,11 +97,12 @@
         was_interrupted: bool,
         begun: bool,
     ) -> None:
-        """Look for a place; the listener is told of it, perhaps later.
+        """Search for a destination; the listener is called now or later.
 
         :param exclude: backend servers that the request must not be sent to.
-        :param broke_off: whether the attempt before broke off.
-        :param begun: whether the client has a part of the answer.
+        :param is_retry: whether the request was sent before.
+        :param was_interrupted: whether the previous attempt was interrupted.
+        :param begun: whether the client has received a part of the answer.
         """
         routed, router = self._routed, self._router
         reserved, self._reserved = self._reserved, None
@@ -122,7 +125,7 @@
             self._use_destination(reserved, exclude, is_retry=is_retry, begun=begun)
             return
         contender = self.contender
-        # One that resumes a stream goes on with an answer, too.
+        # A request that resumes a stream continues an answer, too.
         begun = begun or routed.request.last_event_id is not None
         if (
             contender is not None
@@ -177,7 +180,7 @@
         is_retry: bool,
         begun: bool,
     ) -> None:
-        """Go to a place, once its servers have a permit."""
+        """Dispatch to a destination once its rate limited servers grant a permit."""
         if not self._router.limits.limited(destination.server_ids):
             self._dispatch_to(destination, is_retry=is_retry, begun=begun)
             return
@@ -186,7 +189,7 @@
         )
         self._permit_task = self._loop.create_task(waiting)
 
-    # Waiting for room
+    # Waiting for capacity
 
     def _wait_for_capacity(
         self,
@@ -198,7 +201,7 @@
     ) -> None:
         contender = self.contender
         if contender is None:
-            # Nobody competes for the room.
+            # No other requests compete for the capacity.
             shortage = NoCapacityError(error.what, why=error.why, hint=error.hint)
             self._listener.destination_refused(shortage)
             return
@@ -208,7 +211,7 @@
             self.wait_failed()
 
     def find_capacity(self) -> bool:
-        """Look for room; return whether the wait is over."""
+        """Search again; return whether the wait for capacity is over."""
         assert self._pending_search is not None
         exclude, is_retry, begun = self._pending_search
         try:
@@ -226,7 +229,7 @@
         return True
 
     def wait_failed(self) -> None:
-        """There is no room in time."""
+        """Refuse the request because there was no capacity in time."""
         if self._pending_search is None:
             return
         assert self.contender is not None
@@ -261,7 +264,7 @@
         is_retry: bool,
         begun: bool,
     ) -> None:
-        """Get a permit of a server with a limit, or look for another place."""
+        """Wait for a permit; if it is denied, search for another destination."""
         limits = self._router.limits
         outcome = await limits.acquire(destination.server_ids, destination.max_wait_s)
         self._permit_task = None
@@ -280,7 +283,7 @@
     def _dispatch_to(
         self, destination: Destination, *, is_retry: bool, begun: bool
     ) -> None:
-        """Go there, if the request is a first attempt or a retry is allowed."""
+        """Report a destination if this is a first attempt or a retry is allowed."""
         router = self._router
         budget = router.budgets.for_service(destination.service)
         if not is_retry:
@@ -302,6 +305,7 @@
         self._listener.destination_found(destination)
 
     def _yields_retry(self, *, begun: bool) -> bool:
+        """Return whether the retry is left to more urgent requests, and count that."""
         contender = self.contender
         if (
             contender is None
@@ -313,6 +317,7 @@
         return True
 
     def _no_retry_error(self) -> RequestError:
+        """Return the error for a retry that the budget doesn't allow."""
         what, why = "no retry is allowed now", "the retry budget is spent"
         if self.contender is None:
             return OverloadedError(what, why=why)
@@ -321,12 +326,15 @@
         )
 
     def rejected(self) -> None:
-        """The server that the request was sent to didn't run it."""
+        """Record that the server rejected the request without running it."""
         if self.contender is not None:
             self._capacity_queue.rejected(self.contender)
 
     def reserve(self, exclude: frozenset[str]) -> bool:
-        """Reserve a place for the next search; return whether there is one."""
+        """Reserve a destination for the next search; return whether there is one.
+
+        :param exclude: backend servers that the request must not be sent to.
+        """
         now_s = self._loop.time()
         if now_s < self._next_reservation_s:
             return False
@@ -343,7 +351,7 @@
         return True
 
     def cancel(self) -> None:
-        """End a search that waits."""
+        """Cancel a search that waits for a permit or for capacity."""
         if self._permit_task is not None:
             self._permit_task.cancel()
             self._permit_task = None
--- a/src/railfold/_internal/forwarding/requests/destinations.py
+++ b/src/railfold/_internal/forwarding/requests/destinations.py
@@ -1,4 +1,4 @@
-"""Choosing where a request goes, by what is known now."""
+"""Chooses the server or chain for a request by the current state of the servers."""
 
 from __future__ import annotations
 
@@ -41,16 +41,16 @@
 
 __all__ = ["DestinationChooser"]
 
-# A chain whose first events take a larger share of the route's objective than this
-# counts as slow: on an idle chain of the first sites they take a tenth of it, after
-# the longest prompts a third.
+# A chain counts as slow if its first events take a larger share of the route's
+# objective than this. On an idle chain they take a tenth of it, and a third after the
+# longest prompts.
 _ACCEPTABLE_WAIT_SHARE = 0.33
 
 _UNKNOWN_SIZE = RequestSize()
 
 
 class DestinationChooser:
-    """Chooses servers and chains among those that are eligible."""
+    """Chooses a destination among the eligible servers and chains."""
 
     def __init__(self, router: Router) -> None:
         self._router = router
@@ -67,18 +67,23 @@
         max_wait_s: float = 0.0,
         may_wait_for_capacity: bool = False,
     ) -> Destination:
-        """Return where a request of a route goes now.
-
-        A server with a limit is left out while no permit is to be had. If no other one
-        can serve, the request goes there if it can wait for the next permit.
-
-        :param exclude: backend servers that it must not be sent to.
-        :param size: of a request to a model.
-        :param is_new: whether a place is looked for the first time.
-        :param is_suspect: whether it may end its server: it doesn't get the last one.
-        :param max_wait_s: how long it may wait for a permit.
-        :raises RoomShortError: only room is missing.
-        :raises RequestError: there is no such place.
+        """Return the destination of a request now.
+
+        A server with a rate limit is skipped while it has no permit. If no other server
+        can serve the request, it is chosen if the request can wait for the next permit.
+
+        :param route: route of the request.
+        :param exclude: backend servers that the request must not be sent to.
+        :param size: size of a request to a model.
+        :param is_first_search: whether this is the first search for this request, which
+            counts as its arrival.
+        :param is_risky: whether the request may crash its server, so that it must not
+            be sent to the last one.
+        :param max_wait_s: how long the request may wait for a permit.
+        :param may_wait_for_capacity: whether the request may wait for capacity instead
+            of being sent to a full server.
+        :raises RoomShortError: only capacity is missing.
+        :raises RequestError: there is no destination for another reason.
         """
         spec = self._service(route)
         if is_first_search:
@@ -114,9 +119,11 @@
         size: RequestSize,
         terms: EligibilityTerms,
     ) -> RequestError | None:
-        """Return why a request is refused that only lacks the end of some bars.
+        """Return the refusal of a request that must wait until temporary reasons end.
+
+        Returns ``None`` if there is no destination even without these reasons.
 
-        :param terms: with the bars that it met.
+        :param terms: holds the reasons why servers were ineligible.
         """
         ignoring_temporary = EligibilityTerms(relaxed=True, ignores_temporary=True)
         try:
@@ -154,9 +161,11 @@
         *,
         is_risky: bool,
     ) -> Destination:
-        """Return a place among the servers that are eligible.
+        """Return a destination among the servers that are eligible on some terms.
 
         :param exclude: servers that the request must not be sent to.
+        :param terms: the reasons why servers are ineligible are added to it.
+        :raises RequestError: there is no destination.
         """
         if spec.model is not None:
             acceptable_wait_s = _ACCEPTABLE_WAIT_SHARE * route.objective_s
@@ -192,7 +201,10 @@
     def _needs(
         self, spec: ServiceSpec, model: EngineModel, route: Route, size: RequestSize
     ) -> RequestNeeds:
-        """Return what a request asks of a chain; a usual one if it doesn't tell."""
+        """Return size and objectives of a request.
+
+        A size that the request doesn't state is assumed to be the typical one.
+        """
         prompt_tokens = size.prompt_tokens or model.mean_tokens - model.answer_tokens
         table = self._router.table
         return RequestNeeds(
@@ -206,7 +218,10 @@
     def reroute(
         self, chain: Chain, lost: frozenset[str], route: Route, size: RequestSize
     ) -> Chain | None:
-        """Return another chain that begins at the same backend server."""
+        """Return another chain that begins at the same backend server, if there is one.
+
+        :param lost: servers that must not be part of the chain.
+        """
         model = self._router.model_of(chain)
         if model is None:
             return None
@@ -215,6 +230,11 @@
         return self._planner.reroute(chain, lost, model, needs)
 
     def _service(self, route: Route) -> ServiceSpec:
+        """Return a service of a route, sampled by the weights of its services.
+
+        :raises NoCapacityError: there is no configuration yet.
+        :raises UnknownTargetError: the route leads to no configured service.
+        """
         if self._router.table is None:
             raise NoCapacityError("no configuration was read yet")
         weights = [choice.weight for choice in route.services]
@@ -228,19 +248,22 @@
 
 
 def _capacity_error(error: NoCapacityError, terms: EligibilityTerms) -> NoCapacityError:
-    """Return an error that says whether only room is missing, as far as is known."""
+    """Return the error as a :class:`RoomShortError` if only capacity is missing.
+
+    That is assumed if a server was paused or full.
+    """
     if not any(isinstance(reason, Paused | Full) for reason in terms.reasons.values()):
         return error
     return RoomShortError(error.what, why=error.why, hint=error.hint)
 
 
 def _is_relaxable(reason: IneligibleReason) -> bool:
-    """Return whether a request may go there after all, if no other server can."""
+    """Return whether the reason can be ignored if no other server can serve."""
     return isinstance(reason, RateLimited | SlowStart | BackingOff | HalfOpen | Full)
 
 
 def _prefer_domain(replicas: list[Replica], domain: str) -> list[Replica]:
-    """Return replicas of which those in ``domain`` cost less."""
+    """Return the replicas, with a lower cost for those in ``domain``."""
     return [
         Replica(
             r.stage,
--- a/src/railfold/_internal/forwarding/requests/prediction.py
+++ b/src/railfold/_internal/forwarding/requests/prediction.py
@@ -1,4 +1,4 @@
-"""What a request is predicted to get on a chain, and how well that is met."""
+"""Predicts the latency of a request on a chain."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Prediction:
-    """A prediction and what it rests on.
+    """The predicted latency on a chain, with the state on which it is based.
 
-    :param room_share: memory that is left at the fullest stage, as a share.
-    :param known_share: the share of the entries whose load is known.
-    :param load_age_s: how old what is known of the others' load is.
+    :param room_share: share of the memory that is free at the fullest stage.
+    :param known_share: share of the entries whose load is known, at the stage where it
+        is smallest.
+    :param load_age_s: age of the oldest load announcement that is included.
     """
 
     chain: ChainPrediction
@@ -33,7 +34,10 @@
 
 
 def predict(router: Router, chain: Chain, size: RequestSize) -> Prediction | None:
-    """Return what a request gets on a chain; nothing if its engines aren't known."""
+    """Return the prediction for a request on a chain.
+
+    Returns ``None`` if the model isn't configured or an engine isn't registered.
+    """
     model = router.model_of(chain)
     if model is None:
         return None
--- a/src/railfold/_internal/forwarding/router.py
+++ b/src/railfold/_internal/forwarding/router.py
@@ -1,4 +1,4 @@
-"""What all requests of a forwarding entry share."""
+"""State and rules that all requests of a forwarding entry share."""
 
 from __future__ import annotations
 
@@ -73,35 +73,47 @@
 
 __all__ = ["ActiveRequest", "Router"]
 
-# How long a chain that stood still gets no new work: until probes have told
-# which of its backend servers is dead.
+# How long a stalled chain gets no new requests. By then, probes have found out which of
+# its backend servers is dead.
 _AVOIDANCE_S = 0.3
 
-# How long an announcement of load or demand counts until the exchange between entries
-# sets it by its own pace.
+# Lifetime of an announcement of load or demand, until the exchange between entries sets
+# it according to its interval.
 _INITIAL_ANNOUNCEMENT_LIFETIME_S = 2.0
 
-# The longest that a server counts as full by one rejection: engines that give layers up
-# reject with the same answer, and are free after that.
+# Longest time for which a server counts as full after one rejection. Engines that
+# unload layers reject requests with the same answer, and have capacity afterwards.
 _MAX_FULL_S = 0.25
 
 
 class ActiveRequest(Protocol):
-    """A request under way that wants to hear of lost backend servers."""
+    """A request in flight that is notified of lost backend servers."""
 
     def servers_lost(self, server_ids: frozenset[str]) -> None:
-        """These backend servers don't answer."""
+        """Called when these backend servers don't answer."""
 
     def servers_ended(self, server_ids: frozenset[str]) -> None:
-        """These incarnations surely ended, and all that ran there with them."""
+        """Called when these incarnations, with all requests there, have ended."""
 
     def chain_stalled(self, chain: Chain) -> None:
-        """All streams over this chain stand still."""
+        """Called when all streams over this chain are stalled."""
 
 
 @dataclass(slots=True)
 class Router:
-    """What is known now, by which requests are sent and refused."""
+    """The current state by which requests are routed and refused.
+
+    :param lease: lease on the configuration read from the store.
+    :param table: current configuration, ``None`` until one was read.
+    :param entries: estimated number of forwarding entries, including this one.
+    :param predicts_chains: whether chains over engines of different speeds are chosen
+        by their predicted latency.
+    :param others_have_proof: returns whether another entry can prove that its
+        configuration is current while this entry can't.
+    :param newer_elsewhere: returns whether another entry knows a newer configuration
+        than ``table``.
+    :param active: requests in flight.
+    """
 
     dialect: Dialect
     directory: EngineDirectory
@@ -115,11 +127,8 @@
     rng: random.Random
     table: RoutingTable | None = None
     entries: int = 1
-    # Whether chains over engines of unlike speeds are chosen by prediction.
     predicts_chains: bool = False
-    # Whether other entries can tell that credentials hold while this one can't.
     others_have_proof: Callable[[float], bool] = field(default=lambda now_s: False)
-    # Whether another entry knows a newer configuration than the table.
     newer_elsewhere: Callable[[], bool] = field(default=lambda: False)
     active: set[ActiveRequest] = field(default_factory=set)
     activity: ChainActivity = field(default_factory=ChainActivity)
@@ -141,7 +150,7 @@
     statements: ServerStatements = field(init=False)
 
     def __post_init__(self) -> None:
-        """Build what is made of the other parts."""
+        """Create the members that depend on other members."""
         self.limits = RateLimits(self.dialect, self.metrics, self.log, self.rng)
         self.backoffs = ServerBackoffs(self.dialect, self.metrics, self.log, self.rng)
         self.statements = ServerStatements(
@@ -167,21 +176,21 @@
         ) or self.backoffs.is_starting_slowly(server_id, now_s)
 
     def check_permission(self, route: Route, path: str, credential: str) -> None:
-        """Look at the newest configuration right before a request is sent.
+        """Check a request against the current configuration right before it is sent.
 
-        :raises RequestError: the newest version doesn't allow it any more.
+        :raises RequestError: the current version no longer allows the request.
         """
         self.find_route(route.host, path, credential)
 
     def find_route(
         self, host: str, path: str, credential: str
     ) -> tuple[Route, CredentialOwner | None]:
-        """Return the route that a request takes, and who holds its credential.
+        """Return the route of a request and the owner of its credential.
 
         :raises UnknownTargetError: there is no such route.
-        :raises UnauthorizedError: nobody holds the credential.
-        :raises ConfigurationStaleError: it may have been added in a version that this
-            process hasn't read.
+        :raises UnauthorizedError: nobody owns the credential.
+        :raises ConfigurationStaleError: route or credential is unknown here, but may
+            have been added in a version that this process hasn't read.
         """
         table = require_table(self.table)
         try:
@@ -200,7 +209,7 @@
             ) from error
 
     def retry_after_s(self, error: RailfoldError) -> float:
-        """Return after how many seconds the caller of a refused request comes back."""
+        """Return after how many seconds the refused client should retry."""
         return client_retry_after_s(self._refusal_cause(error), self.rng.random())
 
     def _refusal_cause(self, error: RailfoldError) -> RefusalCause:
@@ -225,9 +234,10 @@
                 return NoCapacity()
 
     def require_fresh_credentials(self, route: Route) -> None:
-        """Refuse if what is known of credentials is too old.
+        """Check that the known credentials are recent enough for a route.
 
-        :raises ConfigurationStaleError: it is, and the route needs one.
+        :raises ConfigurationStaleError: the lease on the configuration has expired, and
+            the route requires a credential.
         """
         if route.public or (self.table and self.table.credentials is None):
             return
@@ -240,19 +250,19 @@
             )
 
     def arriving_rps(self, service: str) -> float:
-        """Return how many requests a second arrive, reckoned over all entries."""
+        """Return the estimated requests per second that arrive at all entries."""
         now_s = asyncio.get_running_loop().time()
         own_per_s = self.arrivals.per_s(service, now_s)
         return self.fleet_arrivals.total_per_s(service, own_per_s, self.entries, now_s)
 
     def are_mostly_replaceable(self, server_ids: Iterable[str]) -> bool:
-        """Return whether most of these have a stand-in for all their layers."""
+        """Return whether at least half of the servers can be replaced."""
         entries = [e for e in map(self.directory.get, server_ids) if e is not None]
         replaceable = [e for e in entries if self.is_replaceable(e)]
         return 2 * len(replaceable) >= len(entries)
 
     def is_replaceable(self, entry: DirectoryEntry) -> bool:
-        """Return whether others in its failure domain hold all its layers."""
+        """Return whether other servers of its failure domain hold all its layers."""
         own = entry.registration
         if own.layers is None:
             return False
@@ -270,7 +280,7 @@
         )
 
     def report_stalled(self, chain: Chain) -> None:
-        """Send nothing over this chain for a moment, and move its streams."""
+        """Avoid a stalled chain for a short time and notify its streams."""
         now_s = asyncio.get_running_loop().time()
         self.avoidance.avoid(chain.stages[0].host, now_s + _AVOIDANCE_S)
         self.metrics.count("chains.stalled")
@@ -278,21 +288,21 @@
             request.chain_stalled(chain)
 
     def model_of(self, chain: Chain) -> EngineModel | None:
-        """Return the model that a chain runs, if it is still configured."""
+        """Return the model that a chain runs, ``None`` if it isn't configured."""
         entry = self.directory.get(chain.stages[0].host)
         if entry is None:
             return None
         return self.model_of_service(entry.registration.service)
 
     def model_of_service(self, service: str) -> EngineModel | None:
-        """Return the model that a service's backend servers run, if they run one."""
+        """Return the model that a service runs, ``None`` if it is a plain service."""
         spec = self.table.services.get(service) if self.table else None
         return spec.model if spec else None
 
     def expected_pause_s(self, chain: Chain) -> float:
-        """Return the pause between events that a chain's engines lead to.
+        """Return the expected pause between events of a stream over a chain.
 
-        With the requests in flight there, as far as this entry can reckon.
+        The number of requests in flight is extrapolated from this entry's own ones.
         """
         model = self.model_of(chain)
         if model is None:
@@ -314,7 +324,10 @@
         return model.tokens_per_event * token_s
 
     def has_incomplete_domain(self) -> bool:
-        """Return whether some failure domain with engines has no whole chain."""
+        """Return whether the engines of some failure domain don't cover all layers.
+
+        Without a configuration this is assumed.
+        """
         if self.table is None:
             return True
         for spec in self.table.model_services():
@@ -334,15 +347,15 @@
         return False
 
     def load_of(self, server_id: str) -> ServerLoad:
-        """Return a backend server's load over all entries."""
+        """Return a backend server's estimated load from all entries."""
         now_s = asyncio.get_running_loop().time()
         return self.fleet_load.load(server_id, self.entries, now_s)
 
     def extrapolated_own_load(self, server_id: str) -> ServerLoad:
-        """Return a server's load if the other entries sent there as this one did.
+        """Return a server's load, assuming that each entry sent as much as this one.
 
-        Announced load is the same for all entries: by it all would choose the same
-        servers until the next sum.
+        The announced load is the same for all entries. If they chose by it, all would
+        choose the same servers until the next announcement.
         """
         own = self.fleet_load.own_load(server_id)
         return ServerLoad(
@@ -353,7 +366,7 @@
         )
 
     def add_load(self, destination: Destination, load: EntryLoad) -> None:
-        """Add what was sent to the load of a destination's backend servers."""
+        """Add the load of a request to the servers of its destination."""
         for server_id in destination.server_ids:
             if self.directory.get(server_id) is not None:
                 self.fleet_load.add(server_id, load)
@@ -361,9 +374,9 @@
     def subtract_load(
         self, destination: Destination, load: EntryLoad, *, ran: bool = False
     ) -> None:
-        """Take back what was counted.
+        """Subtract load that was added by :meth:`add_load`.
 
-        :param ran: whether the request has held room there, and gives it back.
+        :param ran: whether the request ran there, so that its capacity is free now.
         """
         for server_id in destination.server_ids:
             self.fleet_load.subtract(server_id, load)
@@ -373,9 +386,9 @@
     def record_arrival(
         self, route: Route, priority: int, workspace: str, tokens: int
     ) -> None:
-        """A client's request arrived.
+        """Record the arrival of a client's request as demand for its services.
 
-        :param tokens: that it may grow to at a model.
+        :param tokens: size to which a request to a model may grow.
         """
         now_s = asyncio.get_running_loop().time()
         total = sum(choice.weight for choice in route.services)
@@ -386,9 +399,9 @@
             self.fleet_demand.arrived(key, amount * choice.weight / total, now_s)
 
     def record_rejection(self, entry: DirectoryEntry) -> None:
-        """An engine rejected a request for want of room.
+        """Record that an engine rejected a request for lack of capacity.
 
-        It counts as full for about as long as until a usual request ends there.
+        The engine counts as full for about the time until a typical request ends there.
         """
         model = self.model_of_service(entry.registration.service)
         layers = entry.registration.layers
@@ -416,9 +429,10 @@
     def record_first_event(
         self, destination: Destination, elapsed_s: float, objective_s: float
     ) -> None:
-        """Compare a first event with its prediction.
+        """Compare the time to a first event with its prediction.
 
-        :param seen_s: time from the sending of the attempt.
+        :param elapsed_s: time from sending the attempt to its first event.
+        :param objective_s: latency objective of the route.
         """
         chain, prediction = destination.chain, destination.prediction
         if chain is None or prediction is None:
@@ -443,19 +457,19 @@
                 )
 
     def registered_id(self, server_id: str) -> str:
-        """Return the id that an incarnation is registered under."""
+        """Return the id under which an incarnation is registered."""
         entry = self.directory.get(server_id)
         return entry.registration.registered_id if entry is not None else server_id
 
     def report_lost(self, server_ids: frozenset[str]) -> None:
-        """Tell all requests under way of lost backend servers."""
+        """Notify all requests in flight that backend servers don't answer."""
         for server_id in server_ids:
             self.pool.drop(server_id)
         for request in list(self.active):
             request.servers_lost(server_ids)
 
     def report_ended(self, server_ids: frozenset[str]) -> None:
-        """Tell all requests under way of incarnations that surely ended."""
+        """Notify all requests in flight that incarnations have ended."""
         self.metrics.count("servers.replaced", len(server_ids))
         for server_id in server_ids:
             self.pool.drop(server_id)
--- a/tests/forwarding/test_memory_held_for_clients.py
+++ b/tests/forwarding/test_memory_held_for_clients.py
@@ -1,4 +1,8 @@
-"""What an entry holds for clients that send much, or read slowly, is bounded."""
+"""The memory that an entry holds for its clients is bounded.
+
+Many large request bodies, or answers to clients that read slowly, could otherwise use
+up the memory of the host. One workspace could also take the memory from all others.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,7 @@
     until,
 )
 
-# A fifth of it is held for clients: 2 MiB.
+# A fifth of the memory may be held for clients: 2 MiB.
 MEMORY_BYTES = 10 * 1024 * 1024
 MAX_HELD_BYTES = MEMORY_BYTES // 5
 BODY = b"x" * 300_000
@@ -30,7 +34,7 @@
 
 @pytest.fixture
 async def small_host() -> AsyncIterator[Deployment]:
-    """A deployment whose entry has little memory, with a second workspace."""
+    """Start a deployment whose entry has little memory, with a second workspace."""
     async for deployment in running(Deployment(memory_bytes=MEMORY_BYTES)):
         tenants = [
             {"name": "quality", "api_keys": [KEY], "priority": 1},
@@ -52,7 +56,7 @@
 
 
 async def flood(deployment: Deployment, count: int) -> list[Connection]:
-    """Send large bodies of one workspace to servers that don't answer."""
+    """Send requests of one workspace with large bodies to servers that don't answer."""
     for server in deployment.plain:
         server.mode = "dead"
     connections = [await deployment.connect() for _ in range(count)]
@@ -119,7 +123,11 @@
 async def test_answer_is_read_from_the_server_at_the_pace_of_the_client(
     small_host: Deployment, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It was read whole, and its client cut off once 8 MiB of it were held."""
+    """An answer must not be read from its server faster than its client reads it.
+
+    Otherwise the entry holds the rest of the answer, and has to cut the client off once
+    8 MiB of it are held.
+    """
     monkeypatch.setattr(chaining_engine._Request, "_plain", write_long_answer)
     connection = await small_host.connect()
     await connection.send("/tray/1", "c-1")
--- a/tests/lib/callers.py
+++ b/tests/lib/callers.py
@@ -1,4 +1,4 @@
-"""Callers for functional tests."""
+"""Clients for functional tests."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
     @property
     def outcome(self) -> str:
-        """The outcome that the header names."""
+        """The outcome from the header; empty if there is none."""
         return self.headers.get("Railfold-Outcome", "")
 
 
@@ -74,7 +74,7 @@
 
 
 def log_slip(base_url: str, slip: str, **headers: str) -> Answer:
-    """Make the call of the plain service that may not be repeated."""
+    """Send the request to the plain service that must not be repeated."""
     return send(
         f"{base_url}/v1/services/{SERVICE}/slips/{slip}",
         {"defect": "crack"},
@@ -83,7 +83,7 @@
 
 
 class StreamCaller:
-    """A caller that streams an answer on a thread of its own."""
+    """A client that reads a streamed answer in its own thread."""
 
     def __init__(
         self, base_url: str, prompt: str, max_tokens: int, **headers: str
@@ -113,7 +113,7 @@
             self.error = error
 
     def wait_for_tokens(self, count: int) -> None:
-        """Wait until at least ``count`` tokens have come."""
+        """Wait until at least ``count`` tokens have arrived."""
         while len(self.token_ids) < count:
             self._events.get(timeout=WAIT_S)
 
@@ -123,7 +123,7 @@
         assert not self._thread.is_alive(), "the answer didn't end"
 
     def assert_complete(self) -> None:
-        """Check that the answer is whole, unchanged and answered."""
+        """Check that the answer has all expected tokens, and its outcome."""
         self.finish()
         assert self.error is None
         assert self.outcome.get("outcome") == "answered", self.outcome
--- a/tests/lib/commands.py
+++ b/tests/lib/commands.py
@@ -1,4 +1,4 @@
-"""Running operators' commands as a script would."""
+"""Runs operators' commands in processes of their own, as a script does."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True)
 class Result:
-    """What a command did."""
+    """Exit code and output of a command."""
 
     exit_code: int
     output: str
@@ -22,12 +22,12 @@
 
     @property
     def json(self) -> Any:
-        """The output as JSON."""
+        """The output, parsed as JSON."""
         return json.loads(self.output)
 
 
 def railfold(*arguments: str) -> Result:
-    """Run a command to its end."""
+    """Run a command and wait for its end."""
     completed = subprocess.run(
         [sys.executable, "-m", "railfold", *arguments],
         capture_output=True,
--- a/tests/lib/forwarding.py
+++ b/tests/lib/forwarding.py
@@ -1,4 +1,4 @@
-"""A forwarding entry in the test's own loop, with stand-ins around it."""
+"""Runs forwarding entries in the test's event loop, with stand-ins for other parts."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def routes() -> list[dict[str, Any]]:
-    """One route of each kind."""
+    """Return one route of each kind."""
 
     def route(name: str, kind: str, service: str, **fields: Any) -> dict[str, Any]:
         return {
@@ -59,7 +59,7 @@
 
 
 def configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """A configuration as operators write it."""
+    """Return a configuration as operators write it; ``changes`` replace fields."""
     model = {
         "slots": 8,
         "kv_bytes": 11_000_000,
@@ -85,7 +85,10 @@
 
 @dataclass
 class Reply:
-    """An answer as a client sees it."""
+    """An answer as its client receives it.
+
+    :param complete: whether it arrived to its end.
+    """
 
     status: int
     headers: dict[str, str]
@@ -95,7 +98,11 @@
 
 @dataclass
 class Deployment:
-    """One entry, a store, engines in two failure domains and a plain service."""
+    """Entries, a store, engines in two failure domains and a plain service.
+
+    :param fleet: engines and plain servers by address.
+    :param layers_placed: whether the engines hold layers from the start.
+    """
 
     store: MetadataStore = field(default_factory=MetadataStore)
     fleet: dict[str, Engine] = field(default_factory=dict)
@@ -116,17 +123,18 @@
     async def add_entry(self, number: int = 0) -> None:
         """Start an entry, and wait until it is ready."""
         self.run_entry(number=number)
-        # Without sockets that were opened before, it knows the configuration before
-        # it listens: on a busy machine tests connected in between.
+        # An entry that opens its own sockets listens only after it has read the
+        # configuration. On a busy machine, a test could otherwise connect before that.
         await asyncio.wait_for(self._all_started.wait(), WAIT_S)
         entry = self.entries[-1]
         await until(lambda: entry.ready())
         await until(lambda: self.all_known(entry))
-        # Some milliseconds later on a busy machine; it may not repeat anything before.
+        # Without a share of the retry limits, the entry may not retry anything. On a
+        # busy machine it gets its share some milliseconds later.
         await until(lambda: entry._fleet_limits.share > 0.0)
 
     def prepare(self) -> None:
-        """Start all but the entry."""
+        """Start everything except the entries."""
         sockets = bind_sockets(0, "127.0.0.1")
         self._store_server = HTTPServer(self.store.application())
         self._store_server.add_sockets(sockets)
@@ -150,7 +158,8 @@
             grace_s=4.0,
             drain_notice_s=2.0,
             retry_share=0.2,
-            # Also a quarter of one of many parts, as right after a start, is plenty.
+            # Large enough that even a quarter of one of many shares, as an entry has
+            # right after its start, never limits a test.
             retry_slack=4000.0,
             retry_window_s=10.0,
             first_start=False,
@@ -169,7 +178,7 @@
         return self.entries[0]
 
     def run_entry(self, listeners: Listeners | None = None, number: int = 0) -> None:
-        """Start an entry; return at once."""
+        """Start an entry and return without waiting."""
         entry = ForwardingEntry(
             self._settings[number],
             self._adapter,
@@ -201,7 +210,11 @@
     def add_engine(
         self, name: str, zone: str, layers: tuple[int, int] | None
     ) -> Engine:
-        """Start one more engine; ``layers`` if it holds any."""
+        """Start one more engine.
+
+        :param layers: first layer that it holds and the one after its last; ``None``
+            if it holds none.
+        """
         engine = Engine(
             name,
             MODEL_SERVICE,
@@ -217,7 +230,10 @@
         return engine
 
     def all_known(self, entry: ForwardingEntry | None = None) -> bool:
-        """Whether an entry, by default the first, knows all servers as they are."""
+        """Return whether an entry knows the current state of all servers.
+
+        :param entry: the first entry by default.
+        """
         directory = (entry or self.entry).router.directory
         known = {e.registration.registered_id: e.registration for e in directory}
         for server in (*self.engines, *self.plain):
@@ -252,7 +268,8 @@
         os.set_blocking(self._log_out, False)
         data = b""
         while True:
-            # A pipe holds less than a few seconds of lines.
+            # The pipe is too small for the lines of a few seconds, so that the log is
+            # flushed again before each read.
             self.entry.log.flush()
             try:
                 data += os.read(self._log_out, 65536)
@@ -276,12 +293,12 @@
 
     @property
     def first_stage_engines(self) -> list[Engine]:
-        """The engines that chains begin at."""
+        """The engines at which chains begin."""
         return [e for e in self.engines if e.layers and e.layers[0] == 0]
 
 
 async def running(deployment: Deployment) -> AsyncIterator[Deployment]:
-    """Start a deployment, and stop it when whoever uses it is done."""
+    """Yield a started deployment, and stop it afterwards."""
     await deployment.start()
     yield deployment
     await deployment.stop()
@@ -305,7 +322,10 @@
         headers: dict[str, str] | None = None,
         body: bytes = b"slip",
     ) -> None:
-        """Send a request."""
+        """Send a request.
+
+        :param events: number of events that it asks for, if it is for a stream.
+        """
         fields = {
             "Host": HOST,
             "Railfold-Attempt-Id": request_id,
@@ -332,12 +352,12 @@
         return int(first.split()[1]), headers
 
     async def read(self) -> Reply:
-        """Read an answer to its end or to the connection's."""
+        """Read an answer to its end or until the connection is closed."""
         status, headers = await self.read_head()
         return await self.read_body(status, headers)
 
     async def read_body(self, status: int, headers: dict[str, str]) -> Reply:
-        """Read what follows an answer's head."""
+        """Read the body of an answer."""
         if "Content-Length" in headers:
             body = await self.reader.readexactly(int(headers["Content-Length"]))
             return Reply(status, headers, body, complete=True)
@@ -351,14 +371,14 @@
         return Reply(status, headers, b"".join(parts), complete=True)
 
     def close(self) -> None:
-        """Close it."""
+        """Close the connection."""
         self.writer.close()
 
 
 async def begin_stream(
     deployment: Deployment, request_id: str = "s-1", events: int = 60
 ) -> tuple[Connection, Engine]:
-    """Begin a stream; return its connection and the engine that streams."""
+    """Begin a stream; return its connection and the engine that sends it."""
     connection = await deployment.connect()
     await connection.send("/draft/1", request_id, events=events)
     await until(lambda: any(e.runs[request_id] for e in deployment.engines))
@@ -368,7 +388,7 @@
 
 
 async def read_reply(connection: Connection) -> Reply:
-    """Return the whole answer that a connection brings."""
+    """Read the complete answer from a connection."""
     return await asyncio.wait_for(connection.read(), WAIT_S)
 
 
@@ -379,7 +399,7 @@
 
 
 def suspected_servers(deployment: Deployment) -> list[str]:
-    """Return the backend servers that the entry gives no new work."""
+    """Return the ids of the backend servers that the entry suspects."""
     directory = deployment.entry.router.directory
     return [e.server_id for e in directory if e.suspect_since_s is not None]
 
@@ -393,7 +413,10 @@
 
 
 async def keep_one_plain_server(deployment: Deployment, born: int) -> Engine:
-    """Leave one plain server, which tells its start, to new work; return it."""
+    """Drain the other plain server; return the one that still gets new requests.
+
+    :param born: start time that the remaining server registers.
+    """
     server, other = deployment.plain
     other.state = "draining"
     other.register()
@@ -404,7 +427,7 @@
 
 
 async def drain_other_domains(deployment: Deployment, engine: Engine) -> None:
-    """Leave only the engines of one engine's failure domain to new work."""
+    """Drain the engines of all failure domains except that of ``engine``."""
     for other in deployment.engines:
         if other.zone != engine.zone:
             other.state = "draining"
@@ -413,10 +436,10 @@
 
 
 def remove_registration(deployment: Deployment, engine: Engine) -> None:
-    """Let the entry read that an engine's registration was removed."""
+    """Make the entry process the removal of an engine's registration at once."""
     directory = deployment.entry.router.directory
     directory.remove(engine.server_id, asyncio.get_running_loop().time())
-    # After the store's return a removal counts some time later.
+    # After an outage of the store, a removal takes effect some time later.
     directory.expire(float("inf"))
     assert directory.get(engine.server_id) is None
 
@@ -429,7 +452,11 @@
 
 
 def stream_body(count: int, first: int = 1) -> bytes:
-    """Return the events of a whole stream."""
+    """Return the body of a complete stream of events.
+
+    :param count: number of the last event.
+    :param first: number of the first event.
+    """
     return b"".join(
         f"id: {n}\ndata: token {n}\n\n".encode() for n in range(first, count + 1)
     )
