--- a/src/railfold/_internal/decisions/sequences.py
+++ b/src/railfold/_internal/decisions/sequences.py
@@ -1,13 +1,15 @@
-"""The agent's guard over its backend server's sequences.
-
-For each attempt the table holds the next step its engine may run. The next
-step runs; a repeated step is answered from memory; a step that is ahead, or
-that comes before its attempt was opened, is held, bounded; anything from an
-older attempt or another agent incarnation is refused. So no duplicated,
-crossed or late frame can run a layer twice or feed another request.
-
-The table is a state machine without I/O: :meth:`SequenceTable.apply` takes one
-event and returns the actions to perform, in order.
+"""An agent's table of the sequences that run on its backend server.
+
+For each attempt the table keeps the number of the next step that the engine may run.
+A frame for that step runs. A frame for an earlier step is a repetition, and the
+remembered output is sent again. A frame for a later step is held until its turn, and
+so is a frame that arrives before its attempt was opened; the number of held frames is
+limited. Frames and opens of an older attempt or another agent incarnation are refused.
+Therefore no duplicated, reordered or late frame can run a layer twice or become input
+of another request.
+
+The table is a state machine without I/O: :meth:`SequenceTable.apply` takes one event
+and returns the actions to perform, in order.
 """
 
 from __future__ import annotations
@@ -44,7 +46,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SequenceView:
-    """What is needed to route an open attempt's messages."""
+    """The facts that are needed to route the messages of an open attempt.
+
+    :param owner: the entry that opened the attempt.
+    :param index: position of this agent's stage in the chain.
+    """
 
     owner: str
     chain: Chain
@@ -72,18 +78,18 @@
 
     @property
     def upstream(self) -> Stage:
-        # The first stage's upstream is the last one: index -1 wraps around.
+        # The first stage gets its input from the last one: index -1 wraps around.
         return self.chain.stages[self.index - 1]
 
 
 @dataclass(slots=True)
-class _Orphan:
+class _OrphanFrame:
     expires_s: float
     frame: FrameReceived
 
 
 class SequenceTable:
-    """All attempts that one agent holds.
+    """All attempts that are open at one agent.
 
     :param host: this agent's host.
     :param incarnation: this agent's incarnation.
@@ -96,8 +102,8 @@
         self._sequences: dict[AttemptId, _Sequence] = {}
         self._newest: dict[str, int] = {}
         self._tombstones: OrderedDict[AttemptId, bool] = OrderedDict()
-        self._orphans: list[_Orphan] = []
-        self._closing = 0
+        self._orphan_frames: list[_OrphanFrame] = []
+        self._closing_count = 0
         self.draining = False
         self.available = True
 
@@ -105,20 +111,20 @@
         return len(self._sequences)
 
     @property
-    def _live(self) -> int:
-        # A cancelled sequence whose last step still runs takes no place: its
-        # entry has given the place to another request already.
-        return len(self._sequences) - self._closing
+    def _active_count(self) -> int:
+        # A cancelled sequence whose last step still runs isn't counted: its entry
+        # may already have sent another request in its place.
+        return len(self._sequences) - self._closing_count
 
     def owned_by(self, owner: str) -> int:
-        """Return how many sequences an entry owns."""
+        """Return how many sequences an entry owns, without cancelled ones."""
         return sum(
             sequence.owner == owner and not sequence.closing
             for sequence in self._sequences.values()
         )
 
     def view(self, attempt_id: AttemptId) -> SequenceView | None:
-        """Return what is needed to route an open attempt's messages."""
+        """Return how to route the messages of an attempt, or None if it isn't open."""
         sequence = self._sequences.get(attempt_id)
         if sequence is None:
             return None
@@ -127,44 +133,44 @@
         )
 
     def open_attempts(self) -> list[AttemptId]:
-        """Return all open attempts."""
+        """Return the ids of all open attempts."""
         return list(self._sequences)
 
     def longest_chain(self) -> int:
-        """Return the number of stages of the longest open chain."""
+        """Return the number of stages of the longest open chain; 1 if none is open."""
         return max((len(s.chain.stages) for s in self._sequences.values()), default=1)
 
     def apply(self, event: SequenceEvent, now_s: float) -> list[SequenceAction]:
-        """Take one event at loop time ``now_s``; return what to do about it."""
+        """Process one event at loop time ``now_s``; return the actions, in order."""
         match event:
             case OpenReceived():
                 return self._open(event)
             case FrameReceived():
-                return self._frame(event, now_s)
+                return self._on_frame(event, now_s)
             case RunCompleted():
-                return self._completed(event)
+                return self._on_run_completed(event)
             case RunFailed(attempt_id=attempt_id, reason=reason):
                 return self._fail(attempt_id, self._host, reason)
             case CancelReceived(attempt_id=attempt_id):
                 return self._cancel(attempt_id)
             case OwnerLost(owner=owner):
-                return self._drop_owner(owner)
+                return self._close_owned_by(owner)
             case PeerLost(host=host):
-                return self._drop_peer(host)
+                return self._fail_sequences_through(host)
             case Tick():
-                self._expire_orphans(now_s)
+                self._expire_orphan_frames(now_s)
                 return []
 
     def _open(self, event: OpenReceived) -> list[SequenceAction]:
         attempt_id = event.attempt_id
         if attempt_id in self._sequences:
-            return []  # A duplicated open: the first one stands.
-        reason = self._refusal(event)
+            return []  # A duplicated open: the first one counts.
+        reason = self._refusal_reason(event)
         if reason is not None:
-            # What was refused must stay refused if the open comes again.
-            self._bury(attempt_id, started=False)
+            # A refused open must be refused again if a duplicate of it arrives.
+            self._add_tombstone(attempt_id, started=False)
             return [RefuseOpen(attempt_id, event.owner, reason)]
-        actions = self._supersede(attempt_id)
+        actions = self._close_older_attempt(attempt_id)
         self._newest[attempt_id.request_id] = attempt_id.attempt
         sequence = _Sequence(
             event.owner,
@@ -176,11 +182,11 @@
         self._sequences[attempt_id] = sequence
         if event.first_input is not None:
             sequence.held[event.base_step] = event.first_input
-        self._adopt_orphans(attempt_id, sequence)
+        self._take_orphan_frames(attempt_id, sequence)
         actions += self._run_next(attempt_id, sequence)
         return actions
 
-    def _refusal(self, event: OpenReceived) -> RefusalReason | None:
+    def _refusal_reason(self, event: OpenReceived) -> RefusalReason | None:
         attempt_id = event.attempt_id
         stage = event.chain.stages[event.index]
         if attempt_id in self._tombstones:
@@ -193,37 +199,37 @@
             return RefusalReason.DRAINING
         if not self.available:
             return RefusalReason.UNAVAILABLE
-        if self._live >= self._limits.max_sequences:
+        if self._active_count >= self._limits.max_sequences:
             return RefusalReason.FULL
         return None
 
-    def _supersede(self, attempt_id: AttemptId) -> list[SequenceAction]:
+    def _close_older_attempt(self, attempt_id: AttemptId) -> list[SequenceAction]:
         older = self._newest.get(attempt_id.request_id)
         if older is None or older == attempt_id.attempt:
             return []
         return self._close(AttemptId(attempt_id.request_id, older))
 
-    def _frame(self, event: FrameReceived, now_s: float) -> list[SequenceAction]:
+    def _on_frame(self, event: FrameReceived, now_s: float) -> list[SequenceAction]:
         sequence = self._sequences.get(event.attempt_id)
         if sequence is None:
-            self._hold_orphan(event, now_s)
+            self._hold_orphan_frame(event, now_s)
             return []
         if not _from_upstream(sequence, event):
             return []
         if sequence.closing:
             return []
         if event.step < sequence.next_step:
-            return self._repeat(event.attempt_id, sequence, event.step)
+            return self._resend_output(event.attempt_id, sequence, event.step)
         if len(sequence.held) < self._limits.max_held_frames:
             sequence.held.setdefault(event.step, event.input)
         return self._run_next(event.attempt_id, sequence)
 
-    def _repeat(
+    def _resend_output(
         self, attempt_id: AttemptId, sequence: _Sequence, step: int
     ) -> list[SequenceAction]:
         output = sequence.outputs.get(step)
         if output is None:
-            return []  # Still running, or too old to matter.
+            return []  # The step still runs, or its output is no longer needed.
         return [ForwardOutput(attempt_id, step, output)]
 
     def _run_next(
@@ -242,7 +248,7 @@
         sequence.lineage = step_input.lineage
         return [StartRun(attempt_id, step, begins, step_input)]
 
-    def _completed(self, event: RunCompleted) -> list[SequenceAction]:
+    def _on_run_completed(self, event: RunCompleted) -> list[SequenceAction]:
         sequence = self._sequences.get(event.attempt_id)
         if sequence is None or sequence.running != event.step:
             return []
@@ -274,22 +280,22 @@
 
     def _cancel(self, attempt_id: AttemptId) -> list[SequenceAction]:
         actions = self._close(attempt_id)
-        started = self._bury(attempt_id, started=False)
+        started = self._add_tombstone(attempt_id, started=False)
         return [*actions, ConfirmTombstone(attempt_id, started)]
 
     def _close(self, attempt_id: AttemptId) -> list[SequenceAction]:
         sequence = self._sequences.get(attempt_id)
         if sequence is None:
             return []
-        self._bury(attempt_id, started=sequence.started)
+        self._add_tombstone(attempt_id, started=sequence.started)
         if sequence.running is not None:
-            # The engine is at it: its KV cache goes when the step has ended.
+            # The engine still runs a step: its KV cache is freed after that step.
             if not sequence.closing:
-                self._closing += 1
+                self._closing_count += 1
             sequence.closing = True
             return []
         if sequence.closing:
-            self._closing -= 1
+            self._closing_count -= 1
         del self._sequences[attempt_id]
         if self._newest.get(attempt_id.request_id) == attempt_id.attempt:
             del self._newest[attempt_id.request_id]
@@ -297,17 +303,17 @@
             return []
         return [CloseEngineSequence(attempt_id)]
 
-    def _bury(self, attempt_id: AttemptId, *, started: bool) -> bool:
+    def _add_tombstone(self, attempt_id: AttemptId, *, started: bool) -> bool:
         started = self._tombstones.setdefault(attempt_id, started)
         while len(self._tombstones) > self._limits.max_tombstones:
             self._tombstones.popitem(last=False)
         return started
 
-    def _drop_owner(self, owner: str) -> list[SequenceAction]:
-        orphaned = [i for i, s in self._sequences.items() if s.owner == owner]
-        return [action for i in orphaned for action in self._close(i)]
+    def _close_owned_by(self, owner: str) -> list[SequenceAction]:
+        attempt_ids = [i for i, s in self._sequences.items() if s.owner == owner]
+        return [action for i in attempt_ids for action in self._close(i)]
 
-    def _drop_peer(self, host: str) -> list[SequenceAction]:
+    def _fail_sequences_through(self, host: str) -> list[SequenceAction]:
         affected = [
             attempt_id
             for attempt_id, sequence in self._sequences.items()
@@ -319,23 +325,27 @@
             for action in self._fail(attempt_id, host, "peer_unreachable")
         ]
 
-    def _hold_orphan(self, event: FrameReceived, now_s: float) -> None:
+    def _hold_orphan_frame(self, event: FrameReceived, now_s: float) -> None:
         if event.attempt_id in self._tombstones:
             return
-        self._expire_orphans(now_s)
-        if len(self._orphans) < self._limits.max_orphan_frames:
+        self._expire_orphan_frames(now_s)
+        if len(self._orphan_frames) < self._limits.max_orphan_frames:
             expires_s = now_s + self._limits.orphan_timeout_s
-            self._orphans.append(_Orphan(expires_s, event))
+            self._orphan_frames.append(_OrphanFrame(expires_s, event))
 
-    def _expire_orphans(self, now_s: float) -> None:
-        self._orphans = [o for o in self._orphans if o.expires_s > now_s]
+    def _expire_orphan_frames(self, now_s: float) -> None:
+        self._orphan_frames = [o for o in self._orphan_frames if o.expires_s > now_s]
 
-    def _adopt_orphans(self, attempt_id: AttemptId, sequence: _Sequence) -> None:
-        if not self._orphans:
+    def _take_orphan_frames(self, attempt_id: AttemptId, sequence: _Sequence) -> None:
+        if not self._orphan_frames:
             return
-        mine = [o.frame for o in self._orphans if o.frame.attempt_id == attempt_id]
-        self._orphans = [o for o in self._orphans if o.frame.attempt_id != attempt_id]
-        for frame in mine:
+        matching = [
+            o.frame for o in self._orphan_frames if o.frame.attempt_id == attempt_id
+        ]
+        self._orphan_frames = [
+            o for o in self._orphan_frames if o.frame.attempt_id != attempt_id
+        ]
+        for frame in matching:
             if _from_upstream(sequence, frame) and frame.step >= sequence.next_step:
                 sequence.held.setdefault(frame.step, frame.input)
 
