--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -31,11 +31,11 @@
 from railfold._internal.forwarding.peers.peering import Peering
 from railfold._internal.forwarding.peers.proof_refresher import ProofRefresher
 from railfold._internal.forwarding.reload import SettingsWatcher
+from railfold._internal.forwarding.requests.capacity_queue import CapacityQueue
 from railfold._internal.forwarding.requests.destinations import DestinationChooser
 from railfold._internal.forwarding.requests.driver import RequestDriver
 from railfold._internal.forwarding.requests.front import ClientExchange, ClientServer
 from railfold._internal.forwarding.requests.refusals import Refusals
-from railfold._internal.forwarding.requests.room_queue import RoomQueue
 from railfold._internal.forwarding.requests.routed_request import RoutedRequest
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.servers.engine_calls import EngineCalls
@@ -166,7 +166,7 @@
         )
         self.destinations = DestinationChooser(self.router)
         self._refusals = Refusals(self.router)
-        self._room_queue = RoomQueue(self.router)
+        self._room_queue = CapacityQueue(self.router)
         fleet = FleetSize(
             settings.retry_window_s, MEMBER_LEASE_S, initial_members_until_s
         )
@@ -398,7 +398,7 @@
     def _on_member_renewed(self, grant: LeaseGrant, sent_s: float) -> None:
         self._candidacy.record_renewal(grant, sent_s)
         if grant.assignment is not None:
-            self._fleet_limits.dealt(grant.assignment, sent_s)
+            self._fleet_limits.assignment_received(grant.assignment, sent_s)
 
     def _on_leadership_stopped(self, member: str) -> None:
         self._peering.announce_leadership_released(member)
@@ -506,7 +506,7 @@
         now_s = self._loop.time()
         self.metrics.count("process.resumed")
         self.router.pool.prune(now_s)
-        self._fleet_limits.divide()
+        self._fleet_limits.update_limits()
         leading = self._leadership.current_token(now_s) is not None
         in_flight = len(self.router.active)
         event = ProcessResumed(round(suspended_s * 1000, 1), in_flight, leading)
@@ -523,7 +523,7 @@
             self.metrics.timing("loop.late", now_s - due_s)
             self.router.directory.expire(now_s)
             self.router.pool.prune(now_s)
-            self._fleet_limits.divide()
+            self._fleet_limits.update_limits()
             known = {entry.server_id for entry in self.router.directory}
             self.router.activity.retain_hosts(known)
             self.router.avoidance.forget(known)
@@ -549,7 +549,7 @@
         if self._settings.first_start and starting:
             # There are no clients yet that wait for the first placement.
             return default_pace(self._settings.drain_notice_s)
-        if self.router.chain_missing():
+        if self.router.has_incomplete_domain():
             return missing_chain_pace()
         return default_pace(self._settings.drain_notice_s)
 
--- a/src/railfold/_internal/forwarding/router.py
+++ b/src/railfold/_internal/forwarding/router.py
@@ -1,4 +1,4 @@
-"""What all requests of a forwarding entry share."""
+"""State and rules that all requests of a forwarding entry share."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     client_retry_after_s,
 )
 from railfold._internal.decisions.client_retry_after import (
-    RateLimited as ReturnAtPermit,
+    RateLimited as PermitUnavailable,
 )
 from railfold._internal.decisions.domain_pipes import DomainPipes
 from railfold._internal.decisions.eligibility import ServerEligibility
@@ -75,35 +75,47 @@
 
 __all__ = ["ActiveRequest", "Router"]
 
-# How long a chain that stood still gets no new work: until probes have told
-# which of its backend servers is dead.
-_AVOID_S = 0.3
+# How long a stalled chain gets no new requests. By then, probes have found out which of
+# its backend servers is dead.
+_AVOIDANCE_S = 0.3
 
-# How long an announcement of load or demand counts until the exchange between entries
-# sets it by its own pace.
-_ANNOUNCED_LIFETIME_S = 2.0
+# Lifetime of an announcement of load or demand, until the exchange between entries sets
+# it according to its interval.
+_INITIAL_ANNOUNCEMENT_LIFETIME_S = 2.0
 
-# The longest that a server counts as full by one rejection: engines that give layers up
-# reject with the same answer, and are free after that.
-_FULL_MOST_S = 0.25
+# Longest time for which a server counts as full after one rejection. Engines that
+# unload layers reject requests with the same answer, and have capacity afterwards.
+_MAX_FULL_S = 0.25
 
 
 class ActiveRequest(Protocol):
-    """A request under way that wants to hear of lost backend servers."""
+    """A request in flight that is notified of lost backend servers."""
 
     def servers_lost(self, server_ids: frozenset[str]) -> None:
-        """These backend servers don't answer."""
+        """Called when these backend servers don't answer."""
 
     def servers_ended(self, server_ids: frozenset[str]) -> None:
-        """These incarnations surely ended, and all that ran there with them."""
+        """Called when these incarnations, with all requests there, have ended."""
 
     def chain_stalled(self, chain: Chain) -> None:
-        """All streams over this chain stand still."""
+        """Called when all streams over this chain are stalled."""
 
 
 @dataclass(slots=True)
 class Router:
-    """What is known now, by which requests are sent and refused."""
+    """The current state by which requests are routed and refused.
+
+    :param lease: lease on the configuration read from the store.
+    :param table: current configuration, ``None`` until one was read.
+    :param entries: estimated number of forwarding entries, including this one.
+    :param predicts_chains: whether chains over engines of different speeds are chosen
+        by their predicted latency.
+    :param others_have_proof: returns whether another entry can prove that its
+        configuration is current while this entry can't.
+    :param newer_elsewhere: returns whether another entry knows a newer configuration
+        than ``table``.
+    :param active: requests in flight.
+    """
 
     dialect: Dialect
     directory: EngineDirectory
@@ -117,11 +129,8 @@
     rng: random.Random
     table: RoutingTable | None = None
     entries: int = 1
-    # Whether chains over engines of unlike speeds are chosen by prediction.
     predicts_chains: bool = False
-    # Whether other entries can tell that credentials hold while this one can't.
     others_have_proof: Callable[[float], bool] = field(default=lambda now_s: False)
-    # Whether another entry knows a newer configuration than the table.
     newer_elsewhere: Callable[[], bool] = field(default=lambda: False)
     active: set[ActiveRequest] = field(default_factory=set)
     activity: ChainActivity = field(default_factory=ChainActivity)
@@ -129,10 +138,10 @@
     arrivals: ArrivalRates = field(default_factory=ArrivalRates)
     fleet_arrivals: FleetArrivals = field(default_factory=FleetArrivals)
     fleet_load: FleetLoad = field(
-        default_factory=lambda: FleetLoad(_ANNOUNCED_LIFETIME_S)
+        default_factory=lambda: FleetLoad(_INITIAL_ANNOUNCEMENT_LIFETIME_S)
     )
     fleet_demand: FleetDemand = field(
-        default_factory=lambda: FleetDemand(_ANNOUNCED_LIFETIME_S)
+        default_factory=lambda: FleetDemand(_INITIAL_ANNOUNCEMENT_LIFETIME_S)
     )
     costs: LinkCosts = field(default_factory=LinkCosts)
     pipes: DomainPipes = field(default_factory=DomainPipes)
@@ -143,7 +152,7 @@
     statements: AnswerHeaderReader = field(init=False)
 
     def __post_init__(self) -> None:
-        """Build what is made of the other parts."""
+        """Create the members that depend on other members."""
         self.limits = RateLimits(self.dialect, self.metrics, self.log, self.rng)
         self.backoffs = ServerBackoffs(self.dialect, self.metrics, self.log, self.rng)
         self.statements = AnswerHeaderReader(
@@ -169,21 +178,21 @@
         ) or self.backoffs.is_starting_slowly(server_id, now_s)
 
     def check_permission(self, route: Route, path: str, credential: str) -> None:
-        """Look at the newest configuration right before a request is sent.
+        """Check a request against the current configuration right before it is sent.
 
-        :raises RequestError: the newest version doesn't allow it any more.
+        :raises RequestError: the current version no longer allows the request.
         """
         self.find_route(route.host, path, credential)
 
     def find_route(
         self, host: str, path: str, credential: str
     ) -> tuple[Route, CredentialOwner | None]:
-        """Return the route that a request takes, and who holds its credential.
+        """Return the route of a request and the owner of its credential.
 
         :raises UnknownTargetError: there is no such route.
-        :raises UnauthorizedError: nobody holds the credential.
-        :raises ConfigurationStaleError: it may have been added in a version that this
-            process hasn't read.
+        :raises UnauthorizedError: nobody owns the credential.
+        :raises ConfigurationStaleError: route or credential is unknown here, but may
+            have been added in a version that this process hasn't read.
         """
         table = require_table(self.table)
         try:
@@ -201,11 +210,11 @@
                 hint="come back after Retry-After",
             ) from error
 
-    def return_after_s(self, error: RailfoldError) -> float:
-        """Return after how many seconds the caller of a refused request comes back."""
-        return client_retry_after_s(self._return_cause(error), self.rng.random())
+    def retry_after_s(self, error: RailfoldError) -> float:
+        """Return after how many seconds the refused client should retry."""
+        return client_retry_after_s(self._refusal_cause(error), self.rng.random())
 
-    def _return_cause(self, error: RailfoldError) -> RefusalCause:
+    def _refusal_cause(self, error: RailfoldError) -> RefusalCause:
         now_s = asyncio.get_running_loop().time()
         match error:
             case ConfigurationStaleError():
@@ -218,7 +227,7 @@
             case RequestOnTrialError(left_s=left_s):
                 return ContentOnTrial(left_s)
             case RateLimitedError(left_s=left_s):
-                return ReturnAtPermit(left_s)
+                return PermitUnavailable(left_s)
             case ServersBackingOffError(left_s=left_s, service=service):
                 return ServersBackingOff(
                     left_s, self.backoffs.others_can_serve(service)
@@ -228,10 +237,11 @@
             case _:
                 return NoCapacity()
 
-    def require_fresh(self, route: Route) -> None:
-        """Refuse if what is known of credentials is too old.
+    def require_fresh_credentials(self, route: Route) -> None:
+        """Check that the known credentials are recent enough for a route.
 
-        :raises ConfigurationStaleError: it is, and the route needs one.
+        :raises ConfigurationStaleError: the lease on the configuration has expired, and
+            the route requires a credential.
         """
         if route.public or (self.table and self.table.credentials is None):
             return
@@ -244,23 +254,23 @@
             )
 
     def arriving_rps(self, service: str) -> float:
-        """Return how many requests a second arrive, reckoned over all entries."""
+        """Return the estimated requests per second that arrive at all entries."""
         now_s = asyncio.get_running_loop().time()
         own_per_s = self.arrivals.per_s(service, now_s)
         return self.fleet_arrivals.total_per_s(service, own_per_s, self.entries, now_s)
 
-    def replaceable(self, server_ids: Iterable[str]) -> bool:
-        """Return whether most of these have a stand-in for all their layers."""
+    def are_mostly_replaceable(self, server_ids: Iterable[str]) -> bool:
+        """Return whether at least half of the servers can be replaced."""
         entries = [e for e in map(self.directory.get, server_ids) if e is not None]
-        replaced = [e for e in entries if self.has_stand_in(e)]
-        return 2 * len(replaced) >= len(entries)
+        replaceable = [e for e in entries if self.is_replaceable(e)]
+        return 2 * len(replaceable) >= len(entries)
 
-    def has_stand_in(self, entry: DirectoryEntry) -> bool:
-        """Return whether others in its failure domain hold all its layers."""
+    def is_replaceable(self, entry: DirectoryEntry) -> bool:
+        """Return whether other servers of its failure domain hold all its layers."""
         own = entry.registration
         if own.layers is None:
             return False
-        held = [
+        peer_ranges = [
             peer.registration.layers
             for peer in self.directory.servers_of(own.service)
             if peer is not entry
@@ -269,34 +279,34 @@
             and peer.registration.layers is not None
         ]
         return all(
-            any(other.first <= layer <= other.last for other in held)
+            any(layers.first <= layer <= layers.last for layers in peer_ranges)
             for layer in range(own.layers.first, own.layers.last + 1)
         )
 
     def report_stalled(self, chain: Chain) -> None:
-        """Send nothing over this chain for a moment, and move its streams."""
+        """Avoid a stalled chain for a short time and notify its streams."""
         now_s = asyncio.get_running_loop().time()
-        self.avoidance.avoid(chain.stages[0].host, now_s + _AVOID_S)
+        self.avoidance.avoid(chain.stages[0].host, now_s + _AVOIDANCE_S)
         self.metrics.count("chains.stalled")
         for request in list(self.active):
             request.chain_stalled(chain)
 
     def model_of(self, chain: Chain) -> EngineModel | None:
-        """Return the model that a chain runs, if it is still configured."""
+        """Return the model that a chain runs, ``None`` if it isn't configured."""
         entry = self.directory.get(chain.stages[0].host)
         if entry is None:
             return None
         return self.model_of_service(entry.registration.service)
 
     def model_of_service(self, service: str) -> EngineModel | None:
-        """Return the model that a service's backend servers run, if they run one."""
+        """Return the model that a service runs, ``None`` if it is a plain service."""
         spec = self.table.services.get(service) if self.table else None
         return spec.model if spec else None
 
     def expected_pause_s(self, chain: Chain) -> float:
-        """Return the pause between events that a chain's engines lead to.
+        """Return the expected pause between events of a stream over a chain.
 
-        With the requests in flight there, as far as this entry can reckon.
+        The number of requests in flight is extrapolated from this entry's own ones.
         """
         model = self.model_of(chain)
         if model is None:
@@ -317,33 +327,39 @@
                 token_s += stage_token_s(accelerator, model, layers, requests)
         return model.tokens_per_event * token_s
 
-    def chain_missing(self) -> bool:
-        """Return whether some failure domain with engines has no whole chain."""
+    def has_incomplete_domain(self) -> bool:
+        """Return whether the engines of some failure domain don't cover all layers.
+
+        Without a configuration this is assumed.
+        """
         if self.table is None:
             return True
         for spec in self.table.model_services():
-            held: dict[str, list[LayerRange | None]] = {}
+            ranges_by_domain: dict[str, list[LayerRange | None]] = {}
             for entry in self.directory.servers_of(spec.name):
                 layers = entry.registration.layers if entry.routable else None
                 domain = entry.registration.failure_domain
-                held.setdefault(domain, []).append(layers)
+                ranges_by_domain.setdefault(domain, []).append(layers)
             model = spec.model
             if model is None:
                 continue
-            if any(uncovered_ranges(r, model.layer_count) for r in held.values()):
+            if any(
+                uncovered_ranges(r, model.layer_count)
+                for r in ranges_by_domain.values()
+            ):
                 return True
         return False
 
     def load_of(self, server_id: str) -> ServerLoad:
-        """Return a backend server's load over all entries."""
+        """Return a backend server's estimated load from all entries."""
         now_s = asyncio.get_running_loop().time()
         return self.fleet_load.load(server_id, self.entries, now_s)
 
-    def own_reckoning(self, server_id: str) -> ServerLoad:
-        """Return a server's load if the other entries sent there as this one did.
+    def extrapolated_own_load(self, server_id: str) -> ServerLoad:
+        """Return a server's load, assuming that each entry sent as much as this one.
 
-        Announced load is the same for all entries: by it all would choose the same
-        servers until the next sum.
+        The announced load is the same for all entries. If they chose by it, all would
+        choose the same servers until the next announcement.
         """
         own = self.fleet_load.own_load(server_id)
         return ServerLoad(
@@ -353,30 +369,30 @@
             known_share=1.0 / max(1, self.entries),
         )
 
-    def count(self, destination: Destination, part: EntryLoad) -> None:
-        """Add what was sent to the load of a destination's backend servers."""
+    def add_load(self, destination: Destination, load: EntryLoad) -> None:
+        """Add the load of a request to the servers of its destination."""
         for server_id in destination.server_ids:
             if self.directory.get(server_id) is not None:
-                self.fleet_load.add(server_id, part)
+                self.fleet_load.add(server_id, load)
 
-    def uncount(
-        self, destination: Destination, part: EntryLoad, *, ran: bool = False
+    def subtract_load(
+        self, destination: Destination, load: EntryLoad, *, ran: bool = False
     ) -> None:
-        """Take back what was counted.
+        """Subtract load that was added by :meth:`add_load`.
 
-        :param ran: whether the request has held room there, and gives it back.
+        :param ran: whether the request ran there, so that its capacity is free now.
         """
         for server_id in destination.server_ids:
-            self.fleet_load.subtract(server_id, part)
+            self.fleet_load.subtract(server_id, load)
             if ran:
                 self.fleet_load.capacity_freed(server_id)
 
     def record_arrival(
         self, route: Route, priority: int, workspace: str, tokens: int
     ) -> None:
-        """A client's request arrived.
+        """Record the arrival of a client's request as demand for its services.
 
-        :param tokens: that it may grow to at a model.
+        :param tokens: size to which a request to a model may grow.
         """
         now_s = asyncio.get_running_loop().time()
         total = sum(choice.weight for choice in route.services)
@@ -387,9 +403,9 @@
             self.fleet_demand.arrived(key, amount * choice.weight / total, now_s)
 
     def record_rejection(self, entry: DirectoryEntry) -> None:
-        """An engine rejected a request for want of room.
+        """Record that an engine rejected a request for lack of capacity.
 
-        It counts as full for about as long as until a usual request ends there.
+        The engine counts as full for about the time until a typical request ends there.
         """
         model = self.model_of_service(entry.registration.service)
         layers = entry.registration.layers
@@ -399,22 +415,28 @@
         if accelerator is None:
             return
         tokens = model.capacity_tokens(accelerator, len(layers))
-        room = min(float(model.max_sequences), max(1.0, tokens / model.mean_tokens))
-        stay_s = stage_residence_s(
-            accelerator.slowed(entry.slowness), model, model.layer_count, room
+        capacity_requests = min(
+            float(model.max_sequences), max(1.0, tokens / model.mean_tokens)
+        )
+        residence_s = stage_residence_s(
+            accelerator.slowed(entry.slowness),
+            model,
+            model.layer_count,
+            capacity_requests,
         )
         now_s = asyncio.get_running_loop().time()
-        full_s = min(_FULL_MOST_S, stay_s / room)
+        full_s = min(_MAX_FULL_S, residence_s / capacity_requests)
         if not self.fleet_load.is_full(entry.server_id, now_s):
             self.metrics.count("servers.full")
         self.fleet_load.rejected(entry.server_id, now_s + full_s)
 
     def record_first_event(
-        self, destination: Destination, seen_s: float, objective_s: float
+        self, destination: Destination, elapsed_s: float, objective_s: float
     ) -> None:
-        """Compare a first event with its prediction.
+        """Compare the time to a first event with its prediction.
 
-        :param seen_s: time from the sending of the attempt.
+        :param elapsed_s: time from sending the attempt to its first event.
+        :param objective_s: latency objective of the route.
         """
         chain, prediction = destination.chain, destination.prediction
         if chain is None or prediction is None:
@@ -423,31 +445,35 @@
         known = [entry.registration for entry in entries if entry is not None]
         if len(known) < len(entries):
             return
-        late_s = seen_s - prediction.first_event_s
-        side = "late" if late_s > 0.0 else "early"
+        late_s = elapsed_s - prediction.first_event_s
+        deviation = "late" if late_s > 0.0 else "early"
         kind = known[0].accelerator
-        self.metrics.timing(f"prediction.first_event_{side}.{kind}", abs(late_s))
+        self.metrics.timing(f"prediction.first_event_{deviation}.{kind}", abs(late_s))
         now_s = asyncio.get_running_loop().time()
-        for one, other in crossings([r.failure_domain for r in known]):
-            if self.pipes.record_first_event(one, other, late_s, objective_s, now_s):
+        for domain, other_domain in crossings([r.failure_domain for r in known]):
+            if self.pipes.record_first_event(
+                domain, other_domain, late_s, objective_s, now_s
+            ):
                 self.metrics.count("pipes.cut")
-                share = round(self.pipes.quota_share(one, other), 3)
-                self.log.write(PipeShareCut(one, other, share, round(late_s * 1000)))
+                share = round(self.pipes.quota_share(domain, other_domain), 3)
+                self.log.write(
+                    PipeShareCut(domain, other_domain, share, round(late_s * 1000))
+                )
 
     def registered_id(self, server_id: str) -> str:
-        """Return the id that an incarnation is registered under."""
+        """Return the id under which an incarnation is registered."""
         entry = self.directory.get(server_id)
         return entry.registration.registered_id if entry is not None else server_id
 
     def report_lost(self, server_ids: frozenset[str]) -> None:
-        """Tell all requests under way of lost backend servers."""
+        """Notify all requests in flight that backend servers don't answer."""
         for server_id in server_ids:
             self.pool.drop(server_id)
         for request in list(self.active):
             request.servers_lost(server_ids)
 
     def report_ended(self, server_ids: frozenset[str]) -> None:
-        """Tell all requests under way of incarnations that surely ended."""
+        """Notify all requests in flight that incarnations have ended."""
         self.metrics.count("servers.replaced", len(server_ids))
         for server_id in server_ids:
             self.pool.drop(server_id)
--- a/tests/forwarding/test_suspicion.py
+++ b/tests/forwarding/test_suspicion.py
@@ -26,14 +26,14 @@
     Deployment,
     begin_stream,
     configuration,
-    events_of,
+    drain_other_domains,
     later_engine,
-    let_others_drain,
-    rest_of,
+    read_reply,
+    remove_registration,
     routes,
-    runs,
-    suspects,
-    take_off_the_list,
+    run_count,
+    stream_body,
+    suspected_servers,
     until,
 )
 
@@ -54,8 +54,8 @@
     silence = Silence(0.1, chain.hosts)
     deployment.entry._prober.probe_suspects(chain, silence, "s-1")
     await asyncio.sleep(0.5)
-    assert suspects(deployment) == []
-    assert runs(deployment, "s-1") == 1
+    assert suspected_servers(deployment) == []
+    assert run_count(deployment, "s-1") == 1
     connection.close()
 
 
@@ -66,8 +66,8 @@
     first.report_delay_s = 10.0
     deployment.entry._prober.record_broken_answer(first.server_id)
     await asyncio.sleep(0.4)
-    assert suspects(deployment) == []
-    assert runs(deployment, "s-1") == 1
+    assert suspected_servers(deployment) == []
+    assert run_count(deployment, "s-1") == 1
     connection.close()
 
 
@@ -88,7 +88,7 @@
     lost_host = chain_in_use(deployment).hosts[1]
     deployment.entry.router.report_lost(frozenset({lost_host}))
     await asyncio.sleep(0.6)
-    assert runs(deployment, "s-1") == 1
+    assert run_count(deployment, "s-1") == 1
     connection.close()
 
 
@@ -103,7 +103,7 @@
     prober = deployment.entry._prober
     await prober._probe_suspects(chain, stalled, "s-1", rerouted=False)
     await asyncio.sleep(0.1)
-    assert runs(deployment, "s-1") == 1
+    assert run_count(deployment, "s-1") == 1
     connection.close()
 
 
@@ -116,9 +116,9 @@
     await connection.send("/draft/1", "s-1", events=3)
     await until(lambda: any(e.runs["s-1"] for e in deployment.engines))
     (first,) = [e for e in deployment.engines if e.runs["s-1"]]
-    take_off_the_list(deployment, first)
+    remove_registration(deployment, first)
     first.mode = "dead"
-    await until(lambda: runs(deployment, "s-1") == 2, 1.0)
+    await until(lambda: run_count(deployment, "s-1") == 2, 1.0)
     connection.close()
 
 
@@ -126,13 +126,13 @@
     deployment: Deployment,
 ) -> None:
     connection, first = await begin_stream(deployment, events=80)
-    await let_others_drain(deployment, first)
+    await drain_other_domains(deployment, first)
     later = later_engine(deployment, first)
     later.mode = "dead"
     await asyncio.sleep(1.6)
     later.mode = "ok"
-    reply = await rest_of(connection)
-    assert (reply.whole, reply.body) == (True, events_of(80))
+    reply = await read_reply(connection)
+    assert (reply.complete, reply.body) == (True, stream_body(80))
 
 
 async def test_stream_moves_to_destination_found_before_it_is_cut(
@@ -154,7 +154,7 @@
 
     monkeypatch.setattr(DestinationChooser, "choose", choose_every_second_time)
     deployment.entry.router.report_lost(frozenset({first.server_id}))
-    assert (await rest_of(connection)).whole
+    assert (await read_reply(connection)).complete
 
 
 async def stream_without_chain(
@@ -191,10 +191,10 @@
     await asyncio.sleep(0.1)
     used.mode = "dead"
     deployment.entry._prober.record_broken_answer(used.server_id)
-    await until(lambda: used.server_id in suspects(deployment))
+    await until(lambda: used.server_id in suspected_servers(deployment))
     other.state = "ready"
     other.register()
-    assert (await rest_of(connection)).body == events_of(60)
+    assert (await read_reply(connection)).body == stream_body(60)
 
 
 async def test_full_server_that_resets_connections_completes_running_requests(
@@ -226,7 +226,7 @@
     monkeypatch.setattr(exchange, "connect", reset_by_full)
     refused = await deployment.ask("/tray/1", "t-1", headers=token_headers)
     assert refused.status == 503
-    assert (await rest_of(connection)).status == 200
+    assert (await read_reply(connection)).status == 200
 
 
 async def test_unrepeatable_request_stays_at_server_reported_lost(
@@ -236,11 +236,11 @@
         service.event_s = 0.3
     connection = await deployment.connect()
     await connection.send("/slip/1", "u-1")
-    await until(lambda: runs(deployment, "u-1") == 1)
+    await until(lambda: run_count(deployment, "u-1") == 1)
     (used,) = [p for p in deployment.plain if p.runs["u-1"]]
     deployment.entry.router.report_lost(frozenset({used.server_id}))
-    assert (await rest_of(connection)).status == 200
-    assert runs(deployment, "u-1") == 1
+    assert (await read_reply(connection)).status == 200
+    assert run_count(deployment, "u-1") == 1
 
 
 async def test_engine_isnt_lost_if_no_server_answers(
