--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -14,100 +14,106 @@
 
 import click
 
-from soak.clients import RECOVER, Client, Observed, check_servers
-from soak.faults import FAULTS, Planned, inject, plan
-from soak.world import World, machine_load
+from soak.clients import RECOVER, Client, Observations, check_servers
+from soak.deployment import Deployment, machine_load
+from soak.faults import FAULTS, PlannedFault, inject, plan_faults
 
 # Served again within this time after the last fault (the sites' recover_s).
-RECOVER_S = 12.0
+RECOVERY_TIMEOUT_S = 12.0
 
-READY_S = 15.0
+READY_TIMEOUT_S = 15.0
 
 # An entry that is told to stop or killed ends with these; so does one that is
 # told while it starts, before it listens to signals.
-EXPECTED_ENDS = (0, -signal.SIGKILL, -signal.SIGTERM)
+EXPECTED_EXIT_CODES = (0, -signal.SIGKILL, -signal.SIGTERM)
 
-FIRST_LANE = 12
+FIRST_WORKER_NUMBER = 12
 REGRESSIONS = Path(__file__).with_name("regressions.json")
 
 
 @dataclass(frozen=True)
-class Case:
+class SoakCase:
     """A seed and what it is run with.
 
     :param names: the faults that are drawn from.
     """
 
     seed: int
-    seconds: float
+    duration_s: float
     names: tuple[str, ...]
 
 
-def regressions() -> list[Case]:
+def load_regressions() -> list[SoakCase]:
     """Return the cases that ever failed, as they were run then."""
     rows = json.loads(REGRESSIONS.read_text())
-    return [Case(row["seed"], row["seconds"], tuple(row["faults"])) for row in rows]
+    return [SoakCase(row["seed"], row["seconds"], tuple(row["faults"])) for row in rows]
 
 
-async def run_case(case: Case, entries: int) -> dict[str, object]:
+async def run_case(case: SoakCase, entries: int) -> dict[str, object]:
     """Run one case; return its record."""
-    seed, seconds = case.seed, case.seconds
-    faults = plan(seed, seconds, list(case.names))
-    world, seen = World(), Observed()
-    await world.start(entries)
-    clients = [Client(f"c{n}", world, seen, seed) for n in range(3 * entries)]
+    seed, duration_s = case.seed, case.duration_s
+    faults = plan_faults(seed, duration_s, list(case.names))
+    deployment, observations = Deployment(), Observations()
+    await deployment.start(entries)
+    clients = [
+        Client(f"c{n}", deployment, observations, seed) for n in range(3 * entries)
+    ]
     watchdog = asyncio.get_running_loop().call_later(
-        seconds + RECOVER_S + READY_S + 20.0, _show_tasks
+        duration_s + RECOVERY_TIMEOUT_S + READY_TIMEOUT_S + 20.0, _abort_hung_run
     )
     try:
-        await _until_served(world, seen)
+        await _wait_until_served(deployment, observations)
         tasks = [asyncio.create_task(client.run()) for client in clients]
-        await _inject(world, faults, seed, seconds)
-        await _check_recovery(seen)
+        await _inject(deployment, faults, seed, duration_s)
+        await _check_recovery(observations)
         for client, task in zip(clients, tasks, strict=True):
             client.stopping = True
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         await asyncio.sleep(0.5)
-        check_servers(world, seen)
-        ends = [code for entry in world.entries for code in entry.ends]
-        crashes = [code for code in ends if code not in EXPECTED_ENDS]
+        check_servers(deployment, observations)
+        exit_codes = [code for entry in deployment.entries for code in entry.exit_codes]
+        crashes = [code for code in exit_codes if code not in EXPECTED_EXIT_CODES]
         if crashes:
-            seen.violated("FAULT", f"entries ended by themselves: {crashes}")
+            observations.record_violation(
+                "FAULT", f"entries ended by themselves: {crashes}"
+            )
     finally:
-        await world.stop()
+        await deployment.stop()
         watchdog.cancel()
     return {
         "seed": seed,
-        "seconds": seconds,
-        "violations": seen.violations,
-        "outcomes": dict(seen.outcomes),
+        "seconds": duration_s,
+        "violations": observations.violations,
+        "outcomes": dict(observations.outcomes),
         "faults": [f"{fault.at_s} {fault.name}" for fault in faults],
-        "logs": str(world.folder),
+        "logs": str(deployment.folder),
         "machine_load": machine_load(),
     }
 
 
-def _show_tasks() -> None:
+def _abort_hung_run() -> None:
     """A run that hangs is a fault of the soak: show where, and end it."""
     for task in asyncio.all_tasks():
         task.print_stack(limit=3)
     os._exit(2)
 
 
-async def _until_served(world: World, seen: Observed) -> None:
-    probe = Client("probe", world, seen, 0)
-    deadline_s = time.monotonic() + READY_S
-    while not seen.served_at_s:
+async def _wait_until_served(
+    deployment: Deployment, observations: Observations
+) -> None:
+    probe = Client("probe", deployment, observations, 0)
+    deadline_s = time.monotonic() + READY_TIMEOUT_S
+    while not observations.served_at_s:
         if time.monotonic() > deadline_s:
-            seen.violated(RECOVER, "nothing was served after the start")
+            observations.record_violation(RECOVER, "nothing was served after the start")
             return
-        await probe._one()
+        await probe._send_request()
         await asyncio.sleep(0.1)
 
 
 async def _inject(
-    world: World, faults: list[Planned], seed: int, seconds: float
+    deployment: Deployment, faults: list[PlannedFault], seed: int, duration_s: float
 ) -> None:
     started_s = asyncio.get_running_loop().time()
     running: list[asyncio.Task[None]] = []
@@ -115,25 +121,27 @@
         wait_s = started_s + fault.at_s - asyncio.get_running_loop().time()
         await asyncio.sleep(max(0.0, wait_s))
         rng = random.Random(f"{seed}/{number}")
-        running.append(asyncio.create_task(inject(world, fault.name, rng)))
+        running.append(asyncio.create_task(inject(deployment, fault.name, rng)))
     await asyncio.gather(*running)
-    left_s = started_s + seconds - asyncio.get_running_loop().time()
+    left_s = started_s + duration_s - asyncio.get_running_loop().time()
     await asyncio.sleep(max(0.0, left_s))
 
 
-async def _check_recovery(seen: Observed) -> None:
+async def _check_recovery(observations: Observations) -> None:
     """After the last fault clients must be served again."""
-    before = len(seen.served_at_s)
-    deadline_s = time.monotonic() + RECOVER_S
-    while len(seen.served_at_s) < before + 20:
+    before = len(observations.served_at_s)
+    deadline_s = time.monotonic() + RECOVERY_TIMEOUT_S
+    while len(observations.served_at_s) < before + 20:
         if time.monotonic() > deadline_s:
-            served = len(seen.served_at_s) - before
-            seen.violated(RECOVER, f"{served} served in {RECOVER_S} s after the faults")
+            served = len(observations.served_at_s) - before
+            observations.record_violation(
+                RECOVER, f"{served} served in {RECOVERY_TIMEOUT_S} s after the faults"
+            )
             return
         await asyncio.sleep(0.1)
 
 
-def _seeds(text: str) -> list[int]:
+def _parse_seeds(text: str) -> list[int]:
     first, _, last = text.partition("-")
     return list(range(int(first), int(last or first) + 1))
 
@@ -161,17 +169,17 @@
 ) -> None:
     """Run seeds one after the other; exit with 1 if a promise was broken."""
     # Ports are dealt out as to test workers, behind the last of those.
-    os.environ["PYTEST_XDIST_WORKER"] = f"gw{FIRST_LANE + lane}"
+    os.environ["PYTEST_XDIST_WORKER"] = f"gw{FIRST_WORKER_NUMBER + lane}"
     names = tuple(sorted(faults or FAULTS))
-    wanted = [Case(seed, seconds, names) for seed in _seeds(seeds)]
+    cases = [SoakCase(seed, seconds, names) for seed in _parse_seeds(seeds)]
     if with_regressions:
-        wanted += regressions()
+        cases += load_regressions()
     failed = 0
-    for case in wanted:
+    for case in cases:
         record = asyncio.run(run_case(case, entries))
         failed += bool(record["violations"])
         click.echo(json.dumps(record))
-    click.echo(f"{len(wanted) - failed} passed, {failed} failed")
+    click.echo(f"{len(cases) - failed} passed, {failed} failed")
     sys.exit(1 if failed else 0)
 
 
--- a/soak/world.py
+++ b/soak/deployment.py
@@ -17,7 +17,7 @@
 from tornado.httpserver import HTTPServer
 from tornado.netutil import bind_sockets
 
-from soak.proxy import Link, Pipe
+from soak.proxy import Link, SharedBandwidth
 from standins.chaining_engine import LAYERS, Engine
 from standins.cluster import free_port
 from standins.metadata_store import MetadataStore
@@ -36,7 +36,7 @@
 BUDGET_WINDOW_S = 5.0
 
 # A backend server that a request has ended is back after this time.
-_BACK_S = 1.5
+_REPLACEMENT_DELAY_S = 1.5
 
 SETTINGS = """
 node = "{name}"
@@ -74,15 +74,15 @@
     ready: int = 0
     peers: int = 0
     process: asyncio.subprocess.Process | None = None
-    ends: list[int] = field(default_factory=list)
+    exit_codes: list[int] = field(default_factory=list)
     stopping: bool = False
-    _keeper: asyncio.Task[None] | None = None
+    _restart_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Write the settings and keep the process running."""
         self.clients, self.ready, self.peers = free_port(), free_port(), free_port()
         self.write_settings()
-        self._keeper = asyncio.create_task(self._keep())
+        self._restart_task = asyncio.create_task(self._run_until_stopped())
 
     def write_settings(self) -> None:
         """Write the settings file."""
@@ -99,7 +99,7 @@
         )
         (self.folder / f"{self.name}.toml").write_text(text)
 
-    async def _keep(self) -> None:
+    async def _run_until_stopped(self) -> None:
         while not self.stopping:
             log = (self.folder / f"{self.name}.log").open("ab")
             self.process = await asyncio.create_subprocess_exec(
@@ -114,7 +114,7 @@
             log.close()
             if self.stopping:  # Told to stop while the process was being started.
                 self.process.kill()
-            self.ends.append(await self.process.wait())
+            self.exit_codes.append(await self.process.wait())
             await asyncio.sleep(0.3)
 
     def signal(self, number: int) -> None:
@@ -127,20 +127,20 @@
         self.stopping = True
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
-        if self._keeper is not None:
-            await self._keeper
+        if self._restart_task is not None:
+            await self._restart_task
 
 
 @dataclass
-class Injected:
+class InjectedFault:
     """A fault that was injected, and when it ended if it has."""
 
     name: str
-    ended_s: float = math.inf
+    ended_at_s: float = math.inf
 
 
 @dataclass(frozen=True)
-class LimitNamed:
+class AnnouncedLimit:
     """A backend server names this rate limit from a time on; ``None`` if none."""
 
     server: Engine
@@ -149,7 +149,7 @@
 
 
 @dataclass
-class World:
+class Deployment:
     """Everything of one run; proxies stand before the store and each engine."""
 
     folder: Path = field(default_factory=lambda: Path(tempfile.mkdtemp(prefix="soak-")))
@@ -157,28 +157,28 @@
     fleet: dict[str, Engine] = field(default_factory=dict)
     engines: list[Engine] = field(default_factory=list)
     plain: list[Engine] = field(default_factory=list)
-    gone: list[Engine] = field(default_factory=list)
+    replaced: list[Engine] = field(default_factory=list)
     entries: list[Entry] = field(default_factory=list)
     links: dict[str, Link] = field(default_factory=dict)
-    injected: list[Injected] = field(default_factory=list)
+    injected: list[InjectedFault] = field(default_factory=list)
     version: int = 1
     store_outages_s: list[float] = field(default_factory=list)
     crash_body: bytes | None = None
-    poisoned_s: dict[str, list[float]] = field(default_factory=dict)
-    slow_refused: list[str] = field(default_factory=list)
-    limits_named: list[LimitNamed] = field(default_factory=list)
-    disturbed: set[str] = field(default_factory=set)
+    poison_crashes_s: dict[str, list[float]] = field(default_factory=dict)
+    refused_slow_ids: list[str] = field(default_factory=list)
+    announced_limits: list[AnnouncedLimit] = field(default_factory=list)
+    disturbed_entries: set[str] = field(default_factory=set)
     _replacements: set[asyncio.Task[None]] = field(default_factory=set)
     _count: Counter[str] = field(default_factory=Counter)
 
     @property
     def servers(self) -> list[Engine]:
         """All backend servers there ever were."""
-        return [*self.engines, *self.plain, *self.gone]
+        return [*self.engines, *self.plain, *self.replaced]
 
     async def start(self, entries: int) -> None:
         """Start all; entries are ready once they answer their balancer."""
-        self.to_entries = Pipe(entries)
+        self.entry_bandwidth = SharedBandwidth(entries)
         sockets = bind_sockets(0, "127.0.0.1")
         self._store_server = HTTPServer(self.store.application())
         self._store_server.add_sockets(sockets)
@@ -192,7 +192,7 @@
                 self.engines.append(await self._engine(zone, layers))
             self.plain.append(await self._engine(zone, None))
         for number in range(entries):
-            link = Link(store_port, self.to_entries)
+            link = Link(store_port, self.entry_bandwidth)
             await link.start()
             name = f"entry-{number}"
             self.links[f"store-{name}"] = link
@@ -216,97 +216,97 @@
             port=free_port(),
             born=unix_time_ms(),
         )
-        link = Link(engine.port, self.to_entries)
+        link = Link(engine.port, self.entry_bandwidth)
         await link.start()
         self.links[server_id] = link
-        engine.told_address = f"127.0.0.1:{link.listen_port}"
-        self._arm(engine)
+        engine.advertised_address = f"127.0.0.1:{link.listen_port}"
+        self._set_crash_body(engine)
         engine.start()
         return engine
 
-    def poison(self) -> None:
+    def enable_poison_crashes(self) -> None:
         """Let all backend servers crash on one body, now and when they start."""
         self.crash_body = POISON_BODY
         for server in (*self.engines, *self.plain):
-            self._arm(server)
+            self._set_crash_body(server)
 
-    def _arm(self, server: Engine) -> None:
+    def _set_crash_body(self, server: Engine) -> None:
         server.crash_body = self.crash_body
-        server.on_crash = self._crashed
+        server.on_crash = self._handle_crash
 
-    def _crashed(self, server: Engine) -> None:
+    def _handle_crash(self, server: Engine) -> None:
         now_s = asyncio.get_running_loop().time()
-        self.poisoned_s.setdefault(server.crashed_by, []).append(now_s)
-        task = asyncio.get_running_loop().create_task(self._replace(server))
+        self.poison_crashes_s.setdefault(server.crash_path, []).append(now_s)
+        task = asyncio.get_running_loop().create_task(self._replace_after_delay(server))
         self._replacements.add(task)
         task.add_done_callback(self._replacements.discard)
 
-    async def _replace(self, server: Engine) -> None:
-        await asyncio.sleep(_BACK_S)
-        if self.runs(server):
-            await self.restart(server)
+    async def _replace_after_delay(self, server: Engine) -> None:
+        await asyncio.sleep(_REPLACEMENT_DELAY_S)
+        if self.is_current(server):
+            await self.replace_server(server)
 
-    async def restart(self, engine: Engine) -> Engine:
+    async def replace_server(self, engine: Engine) -> Engine:
         """Crash a backend server; an empty one takes its place."""
         group = self.engines if engine in self.engines else self.plain
         group.remove(engine)
-        self.gone.append(engine)
+        self.replaced.append(engine)
         engine.mode = "ok"
         await engine.stop()
         engine.deregister()
-        empty = await self._engine(engine.zone, (0, 0) if engine.model else None)
+        replacement = await self._engine(engine.zone, (0, 0) if engine.model else None)
         if engine.model:
-            empty.layers = None
-            empty.register()
-        group.append(empty)
-        return empty
+            replacement.layers = None
+            replacement.register()
+        group.append(replacement)
+        return replacement
 
-    async def restart_under_its_id(self, engine: Engine) -> None:
+    async def restart_in_place(self, engine: Engine) -> None:
         """Crash a backend server, and start it again at its address and id."""
         engine.mode = "ok"
         await engine.stop()
-        if self.runs(engine):
-            engine.start_again(unix_time_ms())
-            self.name_limit(engine, None)
+        if self.is_current(engine):
+            engine.start_without_state(unix_time_ms())
+            self.announce_limit(engine, None)
 
-    def name_limit(self, server: Engine, text: str | None) -> None:
+    def announce_limit(self, server: Engine, text: str | None) -> None:
         """Let a backend server name a rate limit from now on, or none."""
         now_s = asyncio.get_running_loop().time()
         server.rate_limit = text
-        self.limits_named.append(LimitNamed(server, text, now_s))
+        self.announced_limits.append(AnnouncedLimit(server, text, now_s))
 
-    def disturb(self, entry: Entry) -> Entry:
+    def mark_disturbed(self, entry: Entry) -> Entry:
         """Note that an entry is killed, stopped or frozen in this run."""
-        self.disturbed.add(entry.name)
+        self.disturbed_entries.add(entry.name)
         return entry
 
-    def runs(self, engine: Engine) -> bool:
+    def is_current(self, engine: Engine) -> bool:
         """Return whether a backend server wasn't replaced by another one."""
         return engine in self.engines or engine in self.plain
 
-    def store_was_out_after(self, since_s: float) -> bool:
+    def store_faulty_since(self, since_s: float) -> bool:
         """Return whether the store, or a link to it, was faulty from then on."""
         return any(at_s >= since_s - 4.0 for at_s in self.store_outages_s)
 
-    def faults_after(self, since_s: float) -> set[str]:
+    def faults_active_since(self, since_s: float) -> set[str]:
         """Return the names of faults that were active at some time from then on."""
-        return {fault.name for fault in self.injected if fault.ended_s >= since_s}
+        return {fault.name for fault in self.injected if fault.ended_at_s >= since_s}
 
-    def configure(self, further_routes: int = 0) -> None:
+    def configure(self, extra_routes: int = 0) -> None:
         """Publish the next version of the configuration.
 
         :param further_routes: how many routes it has that no client asks for.
         """
         self.version += 1
-        every = routes()
-        every += [
-            {**every[0], "name": f"further-{n}", "path_prefix": f"/further/{n}/"}
-            for n in range(further_routes)
+        all_routes = routes()
+        all_routes += [
+            {**all_routes[0], "name": f"further-{n}", "path_prefix": f"/further/{n}/"}
+            for n in range(extra_routes)
         ]
-        self.document = configuration(self.version, routes=every)
+        self.document = configuration(self.version, routes=all_routes)
         self.store.put("keyed.op", "config", self.document)
 
-    def write_again(self) -> None:
+    def rewrite_records(self) -> None:
         """Write what the operator and the servers had written; the store lost it."""
         self.store.put("keyed.op", "config", self.document)
         servers = {s.server_id: s for s in (*self.engines, *self.plain)}
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -10,14 +10,14 @@
 _CHUNK_BYTES = 16384
 
 # Chunks that are due within this time are on the way: their senders go on.
-_QUEUED_S = 0.1
+_MAX_QUEUE_S = 0.1
 
 # What a chunk takes at least: of callbacks due at one time any may run first.
-_LEAST_S = 1e-6
+_MIN_TRANSFER_S = 1e-6
 
 
 @dataclass
-class Pipe:
+class SharedBandwidth:
     """What several links share: chunks pass it first in, first out.
 
     :param hosts: how many hosts it leads to; each adds the same bandwidth.
@@ -26,7 +26,7 @@
 
     hosts: int
     limits_bps: list[float] = field(default_factory=list)
-    _free_s: float = 0.0
+    _available_at_s: float = 0.0
 
     async def send(self, writer: asyncio.StreamWriter, data: bytes) -> None:
         """Deliver a chunk in its turn; return when the sender may go on.
@@ -35,11 +35,15 @@
         """
         loop = asyncio.get_running_loop()
         rate_bps = self.hosts * min(self.limits_bps, default=math.inf)
-        takes_s = max(_LEAST_S, len(data) * 8 / rate_bps)
-        self._free_s = max(self._free_s, loop.time()) + takes_s
-        loop.call_at(self._free_s, _deliver, writer, data)
-        go_on_s = self._free_s - _QUEUED_S if data else self._free_s + _LEAST_S
-        await asyncio.sleep(go_on_s - loop.time())
+        transfer_s = max(_MIN_TRANSFER_S, len(data) * 8 / rate_bps)
+        self._available_at_s = max(self._available_at_s, loop.time()) + transfer_s
+        loop.call_at(self._available_at_s, _deliver, writer, data)
+        resume_at_s = (
+            self._available_at_s - _MAX_QUEUE_S
+            if data
+            else self._available_at_s + _MIN_TRANSFER_S
+        )
+        await asyncio.sleep(resume_at_s - loop.time())
 
 
 @dataclass
@@ -53,7 +57,7 @@
     """
 
     port: int
-    pipe: Pipe
+    bandwidth: SharedBandwidth
     mode: str = "ok"
     delay_s: float = 0.0
     listen_port: int = 0
@@ -83,41 +87,44 @@
             writer.transport.abort()
             return
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            upstream_reader, upstream_writer = await asyncio.open_connection(
                 "127.0.0.1", self.port
             )
         except OSError:
             writer.transport.abort()
             return
-        both = {writer, far_writer}
-        self._writers |= both
+        writers = {writer, upstream_writer}
+        self._writers |= writers
         try:
             await asyncio.gather(
-                self._pass(reader, far_writer, answers=False),
-                self._pass(far_reader, writer, answers=True),
+                self._forward(reader, upstream_writer, is_response=False),
+                self._forward(upstream_reader, writer, is_response=True),
             )
         finally:
-            self._writers -= both
-            for one in both:
-                one.transport.abort()
-
-    async def _pass(
-        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, answers: bool
+            self._writers -= writers
+            for each in writers:
+                each.transport.abort()
+
+    async def _forward(
+        self,
+        reader: asyncio.StreamReader,
+        writer: asyncio.StreamWriter,
+        is_response: bool,
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(_CHUNK_BYTES):
                 if self.mode == "delay":
                     await asyncio.sleep(self.delay_s)
-                while self.mode == "silent" or (self.mode == "deaf" and answers):  # noqa: ASYNC110
+                while self.mode == "silent" or (self.mode == "deaf" and is_response):  # noqa: ASYNC110
                     await asyncio.sleep(0.02)
-                if answers:
-                    await self.pipe.send(writer, data)
+                if is_response:
+                    await self.bandwidth.send(writer, data)
                 else:
                     _deliver(writer, data)
                 await writer.drain()
         # An end is passed on as it is: the far side tells a whole answer by it.
-        if answers:
-            await self.pipe.send(writer, b"")
+        if is_response:
+            await self.bandwidth.send(writer, b"")
         else:
             _deliver(writer, b"")
 
--- a/standins/chaining_engine.py
+++ b/standins/chaining_engine.py
@@ -81,7 +81,7 @@
     model: str = ""
     kind: str = ""
     layers: tuple[int, int] | None = None
-    event_s: float = 0.01
+    event_interval_s: float = 0.01
     report_delay_s: float = 0.0
     pace: float = 1.0
     born: int | None = None
@@ -89,40 +89,40 @@
     leaving: bool = False
     rate_limit: str | None = None
     retry_after: str | None = None
-    sheds_only: str = ""
-    blames: str = ""
-    shed: list[Refusal] = field(default_factory=list)
+    refused_id_prefix: str = ""
+    blamed_address: str = ""
+    refusals: list[Refusal] = field(default_factory=list)
     crash_body: bytes | None = None
     crash_after_s: float = 0.08
     on_crash: Callable[[Engine], None] | None = None
-    crashed_by: str = ""
+    crash_path: str = ""
     mode: str = "ok"
     state: str = "ready"
     port: int = 0
-    orders: int = 0
-    fence: int = -1
-    runs: Counter[str] = field(default_factory=Counter)
-    seen: list[dict[str, str]] = field(default_factory=list)
+    accepted_orders: int = 0
+    highest_fence_token: int = -1
+    run_counts: Counter[str] = field(default_factory=Counter)
+    received_headers: list[dict[str, str]] = field(default_factory=list)
     cancelled: list[str] = field(default_factory=list)
-    stalled: dict[str, str] = field(default_factory=dict)
+    stalled_on: dict[str, str] = field(default_factory=dict)
     problems: list[str] = field(default_factory=list)
     run_at_s: list[float] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    streamed: dict[str, float] = field(default_factory=dict)
+    last_event_at_s: dict[str, float] = field(default_factory=dict)
     paths: dict[str, str] = field(default_factory=dict)
     draining_since_s: float | None = None
     leaving_since_s: float | None = None
-    told_address: str = ""
-    given: list[dict[str, Any]] = field(default_factory=list)
+    advertised_address: str = ""
+    received_orders: list[dict[str, Any]] = field(default_factory=list)
     _server: HTTPServer | None = None
 
     @property
     def address(self) -> str:
         """The address that it registers: its own, or a proxy's before it."""
-        return self.told_address or f"127.0.0.1:{self.port}"
+        return self.advertised_address or f"127.0.0.1:{self.port}"
 
     @property
-    def runs_now(self) -> bool:
+    def is_listening(self) -> bool:
         """Whether it listens."""
         return self._server is not None
 
@@ -180,32 +180,34 @@
         if self.model:
             entry["models"] = [{"name": self.model, "version": 1, "adapters": []}]
             entry["kind"] = self.kind
-            entry["layers"] = self.told_layers()
-        self.store.put("keyed.servers", self.server_id, {**entry, **self.told_start()})
+            entry["layers"] = self.reported_layers()
+        self.store.put(
+            "keyed.servers", self.server_id, {**entry, **self.start_time_fields()}
+        )
 
-    def told_start(self) -> dict[str, int]:
+    def start_time_fields(self) -> dict[str, int]:
         """Return its start as it tells it in all that it says."""
         return {} if self.born is None else {"born": self.born}
 
     async def restart(self, born: int) -> None:
         """Crash, and start again under the same id."""
         await self.stop()
-        self.start_again(born)
+        self.start_without_state(born)
 
-    def start_again(self, born: int) -> None:
+    def start_without_state(self, born: int) -> None:
         """Start under the same id, knowing nothing of before."""
         self.born = born
         self.state = "ready"
         self.leaving = False
         self.leaving_since_s = None
-        self.shed.clear()
+        self.refusals.clear()
         self.rate_limit = self.retry_after = None
-        self.orders = 0
-        self.fence = -1
+        self.accepted_orders = 0
+        self.highest_fence_token = -1
         self.layers = None
         self.start()
 
-    def told_layers(self) -> dict[str, int] | None:
+    def reported_layers(self) -> dict[str, int] | None:
         """Return the held layers as reports tell them."""
         if self.layers is None:
             return None
@@ -222,11 +224,11 @@
         self.engine = engine
 
     async def prepare(self) -> None:
-        self.say_if_leaving()
+        self.set_leaving_header()
         if self.engine.mode == "dead":
             await asyncio.Event().wait()
 
-    def say_if_leaving(self) -> None:
+    def set_leaving_header(self) -> None:
         """Set the header that a leaving server sets in all its answers."""
         if self.engine.leaving:
             self.set_header("Server-Leaving", "1")
@@ -241,14 +243,14 @@
             self._finished = True
             return
         await asyncio.sleep(engine.report_delay_s)
-        stalled = [{"id": i, "address": a} for i, a in engine.stalled.items()]
+        stalled = [{"id": i, "address": a} for i, a in engine.stalled_on.items()]
         self.finish(
             {
-                "seq": engine.orders,
-                "layers": engine.told_layers(),
+                "seq": engine.accepted_orders,
+                "layers": engine.reported_layers(),
                 "stalled": stalled,
                 "pace": engine.pace,
-                **engine.told_start(),
+                **engine.start_time_fields(),
             }
         )
 
@@ -256,23 +258,23 @@
 class _Order(_Handler):
     def post(self) -> None:
         engine, order = self.engine, json.loads(self.request.body)
-        engine.given.append(order)
+        engine.received_orders.append(order)
         if order["operation"] == "repath":
             engine.paths[order["id"]] = order["path"]
             self.set_status(202)
-            self.finish(engine.told_start())
+            self.finish(engine.start_time_fields())
             return
-        if order["fence_token"] < engine.fence:
+        if order["fence_token"] < engine.highest_fence_token:
             self.set_status(412)
-        elif order["expected_rev"] != engine.orders:
+        elif order["expected_rev"] != engine.accepted_orders:
             self.set_status(409)
         else:
-            engine.fence = order["fence_token"]
-            engine.orders += 1
+            engine.highest_fence_token = order["fence_token"]
+            engine.accepted_orders += 1
             engine.layers = (order["from"], order["target_version"])
             engine.register()
             self.set_status(202)
-        self.finish(engine.told_start())
+        self.finish(engine.start_time_fields())
 
 
 class _Health(_Handler):
@@ -281,13 +283,13 @@
             # A health check waits for a slot, or is refused, as a request is.
             self.set_header("Retry-After", self.engine.retry_after)
             self.set_status(503)
-        self.finish(self.engine.told_start() or "ok")
+        self.finish(self.engine.start_time_fields() or "ok")
 
 
 class _Request(_Handler):
     async def prepare(self) -> None:
         """Name a limit; streams of a dead engine stand still."""
-        self.say_if_leaving()
+        self.set_leaving_header()
         if self.engine.rate_limit is not None:
             self.set_header("Server-Limit", self.engine.rate_limit)
 
@@ -303,23 +305,23 @@
     async def _answer(self) -> None:
         engine, headers = self.engine, self.request.headers
         request_id = headers["Railfold-Attempt-Id"]
-        engine.seen.append(dict(headers.get_all()))
+        engine.received_headers.append(dict(headers.get_all()))
         now_s = asyncio.get_running_loop().time()
         engine.arrivals.append(Arrival(request_id, now_s))
         if headers.get("Railfold-Target-Instance") != engine.server_id:
             self._refuse(421)
             return
-        if engine.mode == "shed" and request_id.startswith(engine.sheds_only):
+        if engine.mode == "shed" and request_id.startswith(engine.refused_id_prefix):
             if engine.retry_after is not None:
                 self.set_header("Retry-After", engine.retry_after)
-                engine.shed.append(Refusal(request_id, now_s, engine.retry_after))
-            if engine.blames:
-                self.set_header("At-Server", engine.blames)
+                engine.refusals.append(Refusal(request_id, now_s, engine.retry_after))
+            if engine.blamed_address:
+                self.set_header("At-Server", engine.blamed_address)
             self._refuse(503)
             return
         if engine.mode == "dead":
             await asyncio.Event().wait()
-        engine.runs[request_id] += 1
+        engine.run_counts[request_id] += 1
         engine.run_at_s.append(asyncio.get_running_loop().time())
         if engine.crash_body is not None and self.request.body == engine.crash_body:
             await self._crash()
@@ -347,7 +349,7 @@
             await self.flush()
         await asyncio.sleep(self.engine.crash_after_s)
         self._finished = True
-        self.engine.crashed_by = self.request.path
+        self.engine.crash_path = self.request.path
         self.engine.crash()
 
     @property
@@ -368,7 +370,7 @@
             await self._raw(request_id, body)
             self._finished = True
             return
-        await asyncio.sleep(self.engine.event_s)
+        await asyncio.sleep(self.engine.event_interval_s)
         self.finish(body)
 
     async def _raw(self, request_id: str, body: bytes) -> None:
@@ -381,13 +383,13 @@
 
     async def _stream(self, chain: str) -> None:
         try:
-            at_fault = server_without_its_part(chain, self.engine.fleet)
+            at_fault = server_missing_layers(chain, self.engine.fleet)
         except ChainError as error:
             self.engine.problems.append(str(error))
             at_fault = self.engine.address
         if at_fault:
             self.set_header("At-Server", at_fault)
-            self.engine.runs.pop(self.request.headers["Railfold-Attempt-Id"])
+            self.engine.run_counts.pop(self.request.headers["Railfold-Attempt-Id"])
             self._refuse(421)
             return
         self.set_header("Content-Type", "text/event-stream")
@@ -395,13 +397,13 @@
         last = int(self.request.headers["Railfold-Token-Counts"].split(",")[1])
         try:
             for number in range(first, last + 1):
-                await asyncio.sleep(self.engine.event_s)
+                await asyncio.sleep(self.engine.event_interval_s)
                 await self._wait_for(chain)
                 self.write(f"id: {number}\ndata: token {number}\n\n")
                 now_s = asyncio.get_running_loop().time()
-                self.engine.streamed[self.request.headers["Railfold-Attempt-Id"]] = (
-                    now_s
-                )
+                self.engine.last_event_at_s[
+                    self.request.headers["Railfold-Attempt-Id"]
+                ] = now_s
                 await self.flush()
             self.finish()
         except StreamClosedError:
@@ -411,9 +413,9 @@
         """Stand still while an engine of the chain is dead."""
         request_id = self.request.headers["Railfold-Attempt-Id"]
         while dead := self._first_dead(self.engine.paths.get(request_id, chain)):
-            self.engine.stalled[request_id] = dead
+            self.engine.stalled_on[request_id] = dead
             await asyncio.sleep(0.01)
-        self.engine.stalled.pop(request_id, None)
+        self.engine.stalled_on.pop(request_id, None)
 
     def _first_dead(self, chain: str) -> str:
         members = [part.partition("=")[0] for part in chain.split(",")]
@@ -428,7 +430,7 @@
     """A chain doesn't run every layer once and in order."""
 
 
-def server_without_its_part(chain: str, fleet: dict[str, Engine]) -> str:
+def server_missing_layers(chain: str, fleet: dict[str, Engine]) -> str:
     """Return the address of an engine that doesn't hold its part, if any.
 
     :raises ChainError: a layer is missing, or runs twice or out of order.
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -32,7 +32,7 @@
 SERVICE = "line-records"
 LAYER_COUNT = 12
 READY_TIMEOUT_S = 20.0
-POLL_S = 0.02
+POLL_INTERVAL_S = 0.02
 FIRST_PORT = 12_000
 PORTS_PER_WORKER = 1_200
 
@@ -148,8 +148,10 @@
     ports: dict[str, int] = field(default_factory=dict)
 
     def __enter__(self) -> Cluster:
-        self._folder = contextlib.ExitStack()
-        self.folder = Path(self._folder.enter_context(tempfile.TemporaryDirectory()))
+        self._exit_stack = contextlib.ExitStack()
+        self.folder = Path(
+            self._exit_stack.enter_context(tempfile.TemporaryDirectory())
+        )
         try:
             self._start_all()
         except BaseException:
@@ -163,7 +165,7 @@
                 process.popen.kill()
         for process in self.processes.values():
             process.popen.wait()
-        self._folder.close()
+        self._exit_stack.close()
 
     # Starting.
 
@@ -316,7 +318,7 @@
         log.close()
         self.processes[name] = Process(name, popen)
 
-    def log_of(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """Return what a process has logged."""
         return (self.folder / f"{name}.log").read_text()
 
@@ -396,14 +398,14 @@
     def wait_http(self, url: str) -> None:
         """Wait until ``url`` answers 200."""
 
-        def answers() -> bool:
+        def responds() -> bool:
             try:
                 with urllib.request.urlopen(url, timeout=2.0):
                     return True
             except OSError:
                 return False
 
-        self.wait_until(answers, f"an answer from {url}")
+        self.wait_until(responds, f"an answer from {url}")
 
     def wait_serving(self) -> None:
         """Wait until every entry sees every agent serving."""
@@ -433,11 +435,11 @@
         while not condition():
             if time.monotonic() > deadline_s:
                 logs = "\n".join(
-                    f"--- {name}\n{self.log_of(name)[-1500:]}"
+                    f"--- {name}\n{self.read_log(name)[-1500:]}"
                     for name in self.processes
                 )
                 raise TimeoutError(f"waited in vain for {what}\n{logs}")
-            time.sleep(POLL_S)
+            time.sleep(POLL_INTERVAL_S)
 
 
 def get(url: str) -> Any:
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -24,9 +24,9 @@
     print(f"\noutcome: {outcome['outcome']} (attempts: {outcome['attempts']})")
     for stage in outcome["lineage"]:
         print(f"  layers {stage['layers']:>5} ran on {stage['host']}")
-    whole = token_ids == expected_tokens(PROMPT, LAYER_COUNT, TOKENS)
-    print(f"every token as the whole model gives it: {whole}")
-    return 0 if whole and outcome["outcome"] == "answered" else 1
+    matches_model = token_ids == expected_tokens(PROMPT, LAYER_COUNT, TOKENS)
+    print(f"every token as the whole model gives it: {matches_model}")
+    return 0 if matches_model and outcome["outcome"] == "answered" else 1
 
 
 if __name__ == "__main__":
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -25,7 +25,7 @@
 VOCABULARY = 50_000
 
 
-@dataclass(frozen=True)
+@dataclass(unfrozen=True)
 class EngineSpec:
     """What one stand-in engine holds and how fast it is.
 
@@ -55,15 +55,15 @@
     sequence_steps: int = 0
     double_runs: int = 0
     out_of_order: int = 0
-    drops_left: int = 0
+    responses_to_drop: int = 0
     fencing: int = 0
     loads: int = 0
     refused_loads: int = 0
-    frozen: asyncio.Event = field(default_factory=asyncio.Event)
+    unfrozen: asyncio.Event = field(default_factory=asyncio.Event)
     lock: asyncio.Lock = field(default_factory=asyncio.Lock)
 
     def __post_init__(self) -> None:
-        self.frozen.set()
+        self.unfrozen.set()
 
     def run(self, item: dict[str, Any]) -> dict[str, Any]:
         """Run one sequence's part of a step."""
@@ -80,13 +80,13 @@
         self.positions[sequence] = step + 1
         self.started.add(sequence)
         cache = self.caches.setdefault(sequence, {})
-        states = [self._layers(cache, state) for state in inputs(item)]
+        states = [self._run_layers(cache, state) for state in input_states(item)]
         if self.spec.last_layer < self.spec.layer_count - 1:
             return {"activation": b"".join(states)}
-        token_id = token_of(states[-1])
+        token_id = token_from_state(states[-1])
         return {"token_id": token_id, "text": f" t{token_id}"}
 
-    def _layers(self, cache: dict[int, bytes], state: bytes) -> bytes:
+    def _run_layers(self, cache: dict[int, bytes], state: bytes) -> bytes:
         for layer in range(self.spec.first_layer, self.spec.last_layer + 1):
             state = run_layer(cache, layer, state)
         return state
@@ -105,7 +105,7 @@
     return hashlib.blake2b(mixed, digest_size=STATE_BYTES).digest()
 
 
-def inputs(item: dict[str, Any]) -> list[bytes]:
+def input_states(item: dict[str, Any]) -> list[bytes]:
     """Return the hidden states that a step feeds to the first layer held."""
     activation = item.get("activation")
     if activation is not None:
@@ -129,7 +129,7 @@
     return embed(b"token" + token_id.to_bytes(4, "big"))
 
 
-def token_of(state: bytes) -> int:
+def token_from_state(state: bytes) -> int:
     """Return the token that a last hidden state gives."""
     return int.from_bytes(state[:4], "big") % VOCABULARY
 
@@ -142,7 +142,7 @@
     while len(tokens) < count:
         for layer in range(layer_count):
             state = run_layer(cache, layer, state)
-        tokens.append(token_of(state))
+        tokens.append(token_from_state(state))
         state = embed_token(tokens[-1])
     return tokens
 
@@ -187,7 +187,7 @@
         items = msgspec.msgpack.decode(self.request.body)
         state, spec = self.state, self.state.spec
         async with state.lock:
-            await state.frozen.wait()
+            await state.unfrozen.wait()
             step_ms = spec.fixed_ms + spec.per_sequence_ms * len(items)
             # A thread's sleep is true to a tenth of a millisecond; the loop's
             # timers are late by one or two.
@@ -195,8 +195,8 @@
             results = [state.run(item) for item in items]
             state.steps += 1
             state.sequence_steps += len(items)
-        if state.drops_left:
-            state.drops_left -= 1
+        if state.responses_to_drop:
+            state.responses_to_drop -= 1
             self.request.connection.detach().close()
             self._finished = True
             return
@@ -245,11 +245,11 @@
         """Do it."""
         match what:
             case "freeze":
-                self.state.frozen.clear()
+                self.state.unfrozen.clear()
             case "thaw":
-                self.state.frozen.set()
+                self.state.unfrozen.set()
             case "drop":
-                self.state.drops_left += 1
+                self.state.responses_to_drop += 1
             case "restart":
                 self.state.engine_id = uuid.uuid4().hex
                 self.state.caches.clear()
--- a/standins/metadata_store.py
+++ b/standins/metadata_store.py
@@ -23,10 +23,10 @@
 PARTITIONS = 12
 
 # Of a group's topics no more are dealt out, as the platform's store does.
-MOST_TOPICS_DEALT = 20
+MAX_ASSIGNED_TOPICS = 20
 
 # A read returns no more than this, but one record at least.
-MOST_READ_KB = 1024
+MAX_READ_KB = 1024
 
 
 @dataclass
@@ -36,7 +36,7 @@
     first: int = 0
     records: list[tuple[str, bytes]] = field(default_factory=list)
     newest: dict[str, tuple[int, bytes]] = field(default_factory=dict)
-    grown: asyncio.Event = field(default_factory=asyncio.Event)
+    append_event: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
     def end(self) -> int:
@@ -49,8 +49,8 @@
         if not value:
             del self.newest[key]
         self.records.append((key, value))
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.append_event.set()
+        self.append_event = asyncio.Event()
 
     def forget(self) -> None:
         """Drop all history; the newest record of each key stays."""
@@ -63,36 +63,38 @@
     """Members of a group and the time each was last heard."""
 
     generation: int = 0
-    heard_s: dict[str, float] = field(default_factory=dict)
+    last_heartbeat_s: dict[str, float] = field(default_factory=dict)
     ttl_s: float = 1.0
-    confirmed: dict[str, int] = field(default_factory=dict)
+    acknowledged: dict[str, int] = field(default_factory=dict)
 
     def join(self, member: str, ttl_s: float, generation: int) -> None:
         """Hear of a member."""
         now_s = time.monotonic()
         self.ttl_s = ttl_s
-        known = set(self.heard_s)
-        self.heard_s = {
-            m: at for m, at in self.heard_s.items() if now_s - at < ttl_s or m == member
+        members_before = set(self.last_heartbeat_s)
+        self.last_heartbeat_s = {
+            m: at
+            for m, at in self.last_heartbeat_s.items()
+            if now_s - at < ttl_s or m == member
         }
-        self.heard_s[member] = now_s
-        if set(self.heard_s) != known:
+        self.last_heartbeat_s[member] = now_s
+        if set(self.last_heartbeat_s) != members_before:
             self.generation += 1
-        self.confirmed[member] = generation
+        self.acknowledged[member] = generation
 
     def leave(self, member: str) -> None:
         """A member goes."""
-        if self.heard_s.pop(member, None) is not None:
+        if self.last_heartbeat_s.pop(member, None) is not None:
             self.generation += 1
 
     def rows(self, member: str, topics: list[str]) -> list[list[Any]]:
         """Return the partitions dealt to a member, once all know the deal."""
-        members = sorted(self.heard_s)
-        behind = [m for m in members if self.confirmed.get(m) != self.generation]
-        dealt = topics[:MOST_TOPICS_DEALT]
-        parts = [[topic, part, 0] for topic in dealt for part in range(PARTITIONS)]
-        mine = parts[members.index(member) :: len(members)]
-        return mine if not behind or behind == [member] else []
+        members = sorted(self.last_heartbeat_s)
+        behind = [m for m in members if self.acknowledged.get(m) != self.generation]
+        assigned = topics[:MAX_ASSIGNED_TOPICS]
+        parts = [[topic, part, 0] for topic in assigned for part in range(PARTITIONS)]
+        own_partitions = parts[members.index(member) :: len(members)]
+        return own_partitions if not behind or behind == [member] else []
 
 
 @dataclass
@@ -110,7 +112,7 @@
     topics: dict[str, Topic] = field(default_factory=dict)
     groups: dict[str, Group] = field(default_factory=dict)
     mode: str = "ok"
-    turned_away: set[str] = field(default_factory=set)
+    ignored_members: set[str] = field(default_factory=set)
     calls: int = 0
     era: int = 0
 
@@ -131,20 +133,22 @@
         }
         groups = {
             name: replace(
-                group, heard_s=dict(group.heard_s), confirmed=dict(group.confirmed)
+                group,
+                last_heartbeat_s=dict(group.last_heartbeat_s),
+                acknowledged=dict(group.acknowledged),
             )
             for name, group in self.groups.items()
         }
         return StoreCopy(topics, groups)
 
-    def go_back(self, copy: StoreCopy) -> None:
+    def restore_copy(self, copy: StoreCopy) -> None:
         """Come back from a copy; calls that wait are answered from it."""
-        waiting = [topic.grown for topic in self.topics.values()]
+        waiting = [topic.append_event for topic in self.topics.values()]
         self.topics = copy.topics
         self.groups = copy.groups
         self.era += 1
-        for grown in waiting:
-            grown.set()
+        for append_event in waiting:
+            append_event.set()
 
     def application(self) -> Application:
         """Return the HTTP application."""
@@ -167,14 +171,14 @@
 
     async def prepare(self) -> None:
         self.store.calls += 1
-        self.tell_era()
-        await self.fault()
+        self.set_era_header()
+        await self.apply_fault()
 
-    def tell_era(self) -> None:
+    def set_era_header(self) -> None:
         """Say which of its histories the answer is of."""
         self.set_header("Store-Era", str(self.store.era))
 
-    async def fault(self) -> None:
+    async def apply_fault(self) -> None:
         """Do what the mode says."""
         match self.store.mode:
             case "out":
@@ -194,22 +198,22 @@
         wait_s = float(self.get_query_argument("wait_ms", "0")) / 1000.0
         if start >= topic.end and wait_s > 0:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(topic.grown.wait(), wait_s)
-            await self.fault()
+                await asyncio.wait_for(topic.append_event.wait(), wait_s)
+            await self.apply_fault()
             if self._finished:
                 return
-            self.tell_era()
+            self.set_era_header()
             topic = self.store.topic(self.get_query_argument("topic"))
         if not topic.first <= start <= topic.end:
             self.set_status(410)
             self.finish({"first": topic.first})
             return
-        most_bytes = 1024 * int(self.get_query_argument("max_kb", str(MOST_READ_KB)))
+        max_bytes = 1024 * int(self.get_query_argument("max_kb", str(MAX_READ_KB)))
         body = struct.pack(">QQ", topic.end, topic.first)
         body_has_record = False
         for key, value in topic.records[start - topic.first :]:
             record = bytes([len(key)]) + key.encode() + value
-            if body_has_record and len(body) + len(record) > most_bytes:
+            if body_has_record and len(body) + len(record) > max_bytes:
                 break
             body += struct.pack(">I", len(record)) + record
             body_has_record = True
@@ -247,7 +251,7 @@
     async def post(self) -> None:
         body = json.loads(self.request.body)
         member = body["member"]
-        if member in self.store.turned_away:
+        if member in self.store.ignored_members:
             await asyncio.Event().wait()
         group = self.store.groups.setdefault(body["group"], Group())
         group.join(member, body["ttl_ms"] / 1000.0, body["generation"])
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -18,7 +18,7 @@
 import msgspec
 from tornado.web import Application, RequestHandler
 
-KEPT_FOR_EVER = 1 << 62
+RETAINED_FOREVER = 1 << 62
 
 
 @dataclass
@@ -27,7 +27,7 @@
 
     first_offset: int = 0
     records: list[dict[str, Any]] = field(default_factory=list)
-    grown: asyncio.Event = field(default_factory=asyncio.Event)
+    append_event: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
     def next_offset(self) -> int:
@@ -45,15 +45,15 @@
                 "body": body,
             }
             self.records.append(record)
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.append_event.set()
+        self.append_event = asyncio.Event()
         return offsets
 
     def truncate(self, first_offset: int) -> None:
         """Forget records before ``first_offset``."""
-        gone = max(0, min(first_offset, self.next_offset) - self.first_offset)
-        self.records = self.records[gone:]
-        self.first_offset += gone
+        dropped_count = max(0, min(first_offset, self.next_offset) - self.first_offset)
+        self.records = self.records[dropped_count:]
+        self.first_offset += dropped_count
 
 
 @dataclass
@@ -64,7 +64,7 @@
     hosts: list[dict[str, str]] = field(default_factory=list)
     mode: str = "ok"
     delay_s: float = 0.0
-    cleared: asyncio.Event = field(default_factory=asyncio.Event)
+    fault_cleared: asyncio.Event = field(default_factory=asyncio.Event)
     appends: int = 0
     hosts_reads: int = 0
 
@@ -83,7 +83,7 @@
             case "out":
                 self.send_error(503)
             case "hang":
-                await platform.cleared.wait()
+                await platform.fault_cleared.wait()
             case "slow":
                 await asyncio.sleep(platform.delay_s)
 
@@ -120,9 +120,9 @@
             return
         offset = max(offset, stream.first_offset)
         if offset >= stream.next_offset and wait_s > 0:
-            grown = stream.grown
+            append_event = stream.append_event
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(grown.wait(), wait_s)
+                await asyncio.wait_for(append_event.wait(), wait_s)
             if self.platform.mode in ("out", "log_out"):
                 self.send_error(503)
                 return
@@ -185,8 +185,8 @@
             case "faults":
                 platform.mode = body["mode"]
                 platform.delay_s = body.get("delay_s", 0.0)
-                platform.cleared.set()
-                platform.cleared = asyncio.Event()
+                platform.fault_cleared.set()
+                platform.fault_cleared = asyncio.Event()
                 self._wake_readers()
             case "truncate":
                 platform.stream(body["stream"]).truncate(body["first_offset"])
@@ -194,8 +194,8 @@
 
     def _wake_readers(self) -> None:
         for stream in self.platform.streams.values():
-            stream.grown.set()
-            stream.grown = asyncio.Event()
+            stream.append_event.set()
+            stream.append_event = asyncio.Event()
 
 
 def make_application(platform: Platform) -> Application:
--- a/tests/forwarding/test_deregistered_during_outage.py
+++ b/tests/forwarding/test_deregistered_during_outage.py
@@ -34,4 +34,4 @@
     for number in range(8):
         reply = await deployment.ask("/draft/1", f"late-{number}", events=2)
         assert reply.status == 200
-    assert not [run for run in engine.runs if run.startswith("late")]
+    assert not [run for run in engine.run_counts if run.startswith("late")]
--- a/tests/forwarding/test_failures.py
+++ b/tests/forwarding/test_failures.py
@@ -71,14 +71,14 @@
         deployment.add_engine(f"i-{zone}-stand-in", zone, (4, 8))
     await until(deployment.all_known)
     connection, first = await begin_stream(deployment, events=80)
-    addresses = first.seen[0]["Railfold-Hop-Count"].split(",")
+    addresses = first.received_headers[0]["Railfold-Hop-Count"].split(",")
     later = deployment.fleet[addresses[1].partition("=")[0]]
     later.mode = "dead"
     reply = await read_reply(connection)
     assert (reply.complete, reply.body) == (True, stream_body(80))
     assert deployment.entry.metrics.counters["streams.rerouted"] == 1
     assert deployment.entry.metrics.counters["requests.retries"] == 0
-    assert sum(engine.runs["s-1"] for engine in deployment.engines) == 1
+    assert sum(engine.run_counts["s-1"] for engine in deployment.engines) == 1
 
 
 async def test_an_attempt_at_an_unreachable_engine_counts_as_one_that_ran(
@@ -91,13 +91,15 @@
     connection, _ = await begin_stream(deployment, events=150)
     for _ in range(2):
         (driver,) = deployment.entry.router.active
-        before = sum(engine.runs["s-1"] for engine in deployment.engines)
+        before = sum(engine.run_counts["s-1"] for engine in deployment.engines)
         destination = driver._destination
         deployment.entry.router.report_lost(frozenset({destination.server.host}))
         await asyncio.sleep(0.2)
-        assert sum(engine.runs["s-1"] for engine in deployment.engines) <= before + 1
+        assert (
+            sum(engine.run_counts["s-1"] for engine in deployment.engines) <= before + 1
+        )
     await read_reply(connection)
-    assert sum(engine.runs["s-1"] for engine in deployment.engines) == 2
+    assert sum(engine.run_counts["s-1"] for engine in deployment.engines) == 2
 
 
 async def test_engines_are_not_suspected_if_all_answer_late(
@@ -122,7 +124,7 @@
 ) -> None:
     slow = deployment.engines[0]
     for engine in deployment.engines:
-        engine.event_s = 0.1 if engine.zone == slow.zone else 0.01
+        engine.event_interval_s = 0.1 if engine.zone == slow.zone else 0.01
     slow.pace = 8.0
     entry = deployment.entry.router.directory.get(slow.server_id)
     assert entry is not None
@@ -155,7 +157,7 @@
     await until(deployment.all_known)
     for number in range(8):
         await deployment.ask("/slip/1", f"c-{number}")
-    assert not draining.seen
+    assert not draining.received_headers
 
 
 async def test_a_deregistered_server_gets_no_new_requests(
@@ -167,7 +169,7 @@
     await until(lambda: directory.get(deregistered.server_id) is None)
     for number in range(8):
         await deployment.ask("/slip/1", f"c-{number}")
-    assert not deregistered.seen
+    assert not deregistered.received_headers
 
 
 async def test_a_new_incarnation_at_an_address_replaces_the_old_one(
@@ -251,7 +253,7 @@
     await until(empty_deployment.all_known)
     reply = await empty_deployment.ask("/draft/1", "s-1")
     assert reply.body == stream_body(10)
-    orders = [order for e in empty_deployment.engines for order in e.given]
+    orders = [order for e in empty_deployment.engines for order in e.received_orders]
     assert len(orders) == len(empty_deployment.engines)
     assert all(order["fence_token"] > 0 for order in orders)
 
@@ -263,8 +265,8 @@
     neighbour = deployment.engines[1]
     await lost.stop()
     lost.deregister()
-    await until(lambda: bool(neighbour.given), 8.0)
-    assert neighbour.given[0]["operation"] == "place"
+    await until(lambda: bool(neighbour.received_orders), 8.0)
+    assert neighbour.received_orders[0]["operation"] == "place"
     (planned,) = [e for e in deployment.log_lines() if e["type"] == "layers_planned"]
     assert planned["failure_domain"] == lost.zone
     assert planned["served_rps"] == 0.0
@@ -275,12 +277,12 @@
     empty_deployment: Deployment,
 ) -> None:
     for engine in empty_deployment.engines:
-        engine.fence = 1 << 30
-    await until(lambda: any(e.given for e in empty_deployment.engines), 8.0)
+        engine.highest_fence_token = 1 << 30
+    await until(lambda: any(e.received_orders for e in empty_deployment.engines), 8.0)
     await asyncio.sleep(4 * placement._INTERVAL_S)
-    refused = sum(len(e.given) for e in empty_deployment.engines)
+    refused = sum(len(e.received_orders) for e in empty_deployment.engines)
     await asyncio.sleep(1.0)
-    assert sum(len(e.given) for e in empty_deployment.engines) == refused
+    assert sum(len(e.received_orders) for e in empty_deployment.engines) == refused
 
 
 async def test_a_drain_finishes_running_requests_and_closes_connections(
@@ -314,7 +316,7 @@
         await asyncio.sleep(0)
     clients.stop_accepting()
     await asyncio.sleep(0.2)
-    assert sum(server.runs["c-2"] for server in deployment.plain) == 0
+    assert sum(server.run_counts["c-2"] for server in deployment.plain) == 0
 
 
 async def test_a_drain_ends_once_no_request_runs(deployment: Deployment) -> None:
--- a/tests/forwarding/test_incarnations.py
+++ b/tests/forwarding/test_incarnations.py
@@ -93,7 +93,7 @@
     deployment_with_start_times: Deployment,
 ) -> None:
     for server in deployment_with_start_times.plain:
-        server.event_s = 3.0
+        server.event_interval_s = 3.0
     request_task = asyncio.create_task(
         deployment_with_start_times.ask("/slip/1", "r-1")
     )
@@ -132,7 +132,7 @@
         entry, order
     )
     assert outcome == OrderOutcomeUnknown("the engine has started again")
-    assert not engine.given
+    assert not engine.received_orders
 
 
 async def test_a_restarted_engine_without_registration_no_longer_serves_its_streams(
--- a/tests/forwarding/test_own_lateness.py
+++ b/tests/forwarding/test_own_lateness.py
@@ -54,10 +54,10 @@
 async def delay_all_answers(deployment: Deployment, seconds: float) -> None:
     """Delay all events and reports of the engines, as on a saturated link."""
     for engine in deployment.engines:
-        engine.event_s = engine.report_delay_s = seconds
+        engine.event_interval_s = engine.report_delay_s = seconds
     await asyncio.sleep(2 * seconds)
     for engine in deployment.engines:
-        engine.event_s, engine.report_delay_s = EVENT_S, 0.0
+        engine.event_interval_s, engine.report_delay_s = EVENT_S, 0.0
 
 
 async def test_engines_are_not_suspected_while_all_answers_are_late(
--- a/tests/forwarding/test_proofs_from_peers.py
+++ b/tests/forwarding/test_proofs_from_peers.py
@@ -125,7 +125,7 @@
     """Proofs from before that no longer count, whichever entry reports them."""
     entry = two_entries.entry
     fail_store_reads(entry)
-    two_entries.store.go_back(two_entries.store.copy())
+    two_entries.store.restore_copy(two_entries.store.copy())
     await until(lambda: entry.metrics.counters["store.went_back"] > 0)
 
 
--- a/tests/forwarding/test_repeated_crashes.py
+++ b/tests/forwarding/test_repeated_crashes.py
@@ -288,8 +288,8 @@
     async def crash_in_turn() -> None:
         for _ in range(3):
             await asyncio.sleep(0.4)
-            await until(lambda: any(s.runs_now for s in two_entries.plain))
-            next(s for s in two_entries.plain if s.runs_now).crash()
+            await until(lambda: any(s.is_listening for s in two_entries.plain))
+            next(s for s in two_entries.plain if s.is_listening).crash()
 
     await asyncio.gather(crash_in_turn(), *map(send_popular, senders))
     replies = [reply for sender in senders for reply in sender.replies if reply]
--- a/tests/forwarding/test_requests.py
+++ b/tests/forwarding/test_requests.py
@@ -38,7 +38,7 @@
 async def test_a_chain_stays_within_one_failure_domain(deployment: Deployment) -> None:
     await deployment.ask("/draft/1", "s-1")
     (engine,) = [e for e in deployment.engines if e.runs["s-1"]]
-    chain = engine.seen[0]["Railfold-Hop-Count"]
+    chain = engine.received_headers[0]["Railfold-Hop-Count"]
     zones = {deployment.fleet[part.partition("=")[0]].zone for part in chain.split(",")}
     assert zones == {"hall-a"}
 
@@ -57,8 +57,8 @@
         "X-Kept": "2",
     }
     await deployment.ask("/slip/1", "c-1", headers=client_headers)
-    (server,) = [s for s in deployment.plain if s.seen]
-    seen = server.seen[0]
+    (server,) = [s for s in deployment.plain if s.received_headers]
+    seen = server.received_headers[0]
     assert seen["Railfold-Tenant"] == "quality"
     assert seen["Railfold-Target-Instance"] == server.server_id
     assert seen["X-Kept"] == "2"
@@ -160,7 +160,7 @@
     deployment: Deployment,
 ) -> None:
     for server in deployment.plain:
-        server.event_s = 2.0
+        server.event_interval_s = 2.0
     started_s = asyncio.get_running_loop().time()
     reply = await deployment.ask("/brief/1", "c-1", method="GET", body=b"")
     assert reply.status == 504
@@ -222,7 +222,7 @@
     )
     await until(lambda: deployment.entry.router.table.version == 2)
     await deployment.ask("/draft/1", "r-1", events=2)
-    (seen,) = [h for e in deployment.first_stage_engines for h in e.seen]
+    (seen,) = [h for e in deployment.first_stage_engines for h in e.received_headers]
     assert seen["Railfold-Request-Priority"] == engine
 
 
@@ -235,7 +235,7 @@
     thirty calls was refused although servers were idle.
     """
     for server in deployment.plain:
-        server.event_s = 0.3
+        server.event_interval_s = 0.3
     asked = [
         deployment.ask("/tray/1", f"c-{number}", method="GET", body=b"", events=1000)
         for number in range(8)
--- a/tests/forwarding/test_server_backoff.py
+++ b/tests/forwarding/test_server_backoff.py
@@ -48,7 +48,7 @@
         server = first_servers(deployment, path)[0]
         load = ClientLoad(deployment, path, PER_S, rng=random.Random(3))
         outcome = await run_shedding_scenario(deployment, load, [server], "3")
-        assert server.shed
+        assert server.refusals
         assert max_requests_during_backoff(server) <= MAX_REQUESTS_DURING_BACKOFF
         assert (
             outcome.served_share(outcome.shedding_began_s, outcome.shedding_ended_s)
@@ -87,7 +87,7 @@
     assert min(retry_at_s) >= outcome.shedding_began_s + 3.0
     assert max(retry_at_s) - min(retry_at_s) >= 0.5
     assert len(refused) > 20
-    sends = sum(len(server.shed) for server in servers)
+    sends = sum(len(server.refusals) for server in servers)
     assert deployment.entry.metrics.counters["requests.retries"] <= sends
 
 
@@ -96,7 +96,11 @@
         entries = deployment.entries
         await until(functools.partial(all_know_peers, entries))
         for server in deployment.plain:
-            server.mode, server.retry_after, server.sheds_only = "shed", "5", "e0-"
+            server.mode, server.retry_after, server.refused_id_prefix = (
+                "shed",
+                "5",
+                "e0-",
+            )
         assert (await deployment.ask(SAFE, "e0-1")).status == 503
         reply = await deployment.ask(SAFE, "e0-2")
         assert reply.status == 503
@@ -113,7 +117,7 @@
         outcome = await run_shedding_scenario(
             deployment, load, [server], "1.5", duration_s=1.0, after_s=5.0
         )
-        end_s = server.shed[-1].at_s + 1.5
+        end_s = server.refusals[-1].at_s + 1.5
         arrivals_after_end_s = [a.at_s for a in server.arrivals if a.at_s > end_s]
         assert arrivals_after_end_s[0] <= end_s + 1.0
         arrivals_after_slow_start_s = [
@@ -199,7 +203,7 @@
     first.mode = "ok"
     for number in range(12, 40):
         assert (await deployment.ask(STREAM, f"s-{number}")).status == 200
-    assert first.runs
+    assert first.run_counts
 
 
 async def test_backoff_applies_to_answering_server_even_if_it_blames_another(
@@ -207,7 +211,7 @@
 ) -> None:
     first = deployment.first_stage_engines[0]
     later = later_engine(deployment, first)
-    first.mode, first.retry_after, first.blames = "shed", "3", later.address
+    first.mode, first.retry_after, first.blamed_address = "shed", "3", later.address
     for number in range(12):
         assert (await deployment.ask(STREAM, f"s-{number}")).status == 200
     backoffs = deployment.entry.router.backoffs
@@ -231,7 +235,9 @@
     replies = [await deployment.ask(STREAM, f"s-{n}") for n in range(6)]
     assert {(reply.status, reply.complete) for reply in replies} == {(200, True)}
     assert len(whole.arrivals) <= 1
-    chains = [seen["Railfold-Hop-Count"] for seen in deployment.engines[-2].seen]
+    chains = [
+        seen["Railfold-Hop-Count"] for seen in deployment.engines[-2].received_headers
+    ]
     assert all(whole.address in chain for chain in chains)
 
 
--- a/tests/forwarding/test_server_leaving.py
+++ b/tests/forwarding/test_server_leaving.py
@@ -150,7 +150,11 @@
     await until(lambda: not notified_entry.routable)
     for number in range(12):
         assert (await deployment.ask(STREAM, f"s-{number}")).status == 200
-    chains = [seen["Railfold-Hop-Count"] for e in deployment.engines for seen in e.seen]
+    chains = [
+        seen["Railfold-Hop-Count"]
+        for e in deployment.engines
+        for seen in e.received_headers
+    ]
     assert len(chains) == 12
     assert not any(later.address in chain for chain in chains)
     lines = deployment.log_lines()
--- a/tests/forwarding/test_slow_store_link.py
+++ b/tests/forwarding/test_slow_store_link.py
@@ -17,7 +17,7 @@
 from railfold._internal.errors import LogUnavailableError
 from railfold._internal.platform.adapter import UsersPlatform
 from railfold._internal.store.records import LogPage
-from soak.proxy import Link, Pipe
+from soak.proxy import Link, SharedBandwidth
 from standins.metadata_store import PARTITIONS
 from tests.lib.forwarding import (
     KEY,
@@ -38,7 +38,7 @@
     """One entry whose link to the store has a capacity of 8 Mbit/s."""
     deployment = Deployment(lease_s=5.0)
     deployment.prepare()
-    link = Link(deployment.store_address.port, Pipe(1, [LINK_BPS]))
+    link = Link(deployment.store_address.port, SharedBandwidth(1, [LINK_BPS]))
     await link.start()
     address = Address("127.0.0.1", link.listen_port)
     deployment._adapter = UsersPlatform(address, PARTITIONS)
--- a/tests/forwarding/test_store_goes_back.py
+++ b/tests/forwarding/test_store_goes_back.py
@@ -46,7 +46,7 @@
 
 async def restore_store(deployment: Deployment, copy: StoreCopy) -> None:
     """Restore the store from a copy; return when all entries have read it."""
-    deployment.store.go_back(copy)
+    deployment.store.restore_copy(copy)
     deployment.store.mode = "ok"
     for entry in deployment.entries:
         await until(entry._store_reachable.is_set)
@@ -65,7 +65,7 @@
     store.put("keyed.op", "config", configuration(2))
     await until(lambda: router.table is not None and router.table.version == 2)
     await lose_store(deployment)
-    store.go_back(copy)
+    store.restore_copy(copy)
     store.put("keyed.op", "config", configuration(3))
     for number in range(9):
         store.put("keyed.op", "else", {"n": number})
@@ -107,7 +107,9 @@
     deployment.store.put("keyed.op", "config", configuration(2, tenants=tenants))
     await until(lambda: lease.valid(loop.time()))
     assert (await deployment.ask("/tray/1", "r-late", key=KEY)).status == 401
-    assert not [s for s in deployment.plain if s.runs["r-early"] or s.runs["r-late"]]
+    assert not [
+        s for s in deployment.plain if s.run_counts["r-early"] or s.run_counts["r-late"]
+    ]
 
 
 async def test_an_older_configuration_proves_nothing_until_the_newer_one_is_back(
@@ -162,7 +164,7 @@
     for number in range(12):
         assert (await deployment.ask("/tray/1", f"late-{number}")).status == 200
         await asyncio.sleep(0.1)
-    assert not [run for run in leaving.runs if run.startswith("late")]
+    assert not [run for run in leaving.run_counts if run.startswith("late")]
 
 
 async def test_a_server_that_registered_as_draining_gets_no_requests(
@@ -179,7 +181,7 @@
     for number in range(12):
         assert (await deployment.ask("/tray/1", f"late-{number}")).status == 200
         await asyncio.sleep(0.1)
-    assert not [run for run in leaving.runs if run.startswith("late")]
+    assert not [run for run in leaving.run_counts if run.startswith("late")]
 
 
 async def test_entries_write_their_lost_records_again(two_entries: Deployment) -> None:
@@ -221,7 +223,7 @@
     await lease.renew("a", 1.0)
     before = await lease.renew("a", 1.0)
     assert before.is_holder
-    deployment.store.go_back(copy)
+    deployment.store.restore_copy(copy)
     first = await lease.renew("a", 1.0)
     # The lease may have been granted to another process meanwhile.
     assert not first.is_holder
--- a/tests/forwarding/test_suspended_hosts.py
+++ b/tests/forwarding/test_suspended_hosts.py
@@ -104,7 +104,9 @@
         monkeypatch.setattr(exchange, "connect", suspending_while_connecting(host, 1.5))
         reply: Reply = await deployment.ask("/tray/1")
         assert reply.status == 200
-        (seen,) = [seen for server in deployment.plain for seen in server.seen]
+        (seen,) = [
+            seen for server in deployment.plain for seen in server.received_headers
+        ]
         assert int(seen["Railfold-Deadline-Ms"]) <= 4000 - 1500
 
     run_scenario(scenario, placed=True)
@@ -133,7 +135,9 @@
         await until(ordered, 30.0)
         assert outcomes[0].startswith("refused: the lease was lost")
         # The entry sends orders again once it holds the lease again.
-        await until(lambda: any(engine.given for engine in deployment.engines), 30.0)
+        await until(
+            lambda: any(engine.received_orders for engine in deployment.engines), 30.0
+        )
 
     run_scenario(scenario, placed=False)
 
--- a/tests/forwarding/test_suspicion.py
+++ b/tests/forwarding/test_suspicion.py
@@ -111,11 +111,11 @@
     deployment: Deployment,
 ) -> None:
     for engine in deployment.engines:
-        engine.event_s = 0.5
+        engine.event_interval_s = 0.5
     connection = await deployment.connect()
     await connection.send("/draft/1", "s-1", events=3)
-    await until(lambda: any(e.runs["s-1"] for e in deployment.engines))
-    (first,) = [e for e in deployment.engines if e.runs["s-1"]]
+    await until(lambda: any(e.run_counts["s-1"] for e in deployment.engines))
+    (first,) = [e for e in deployment.engines if e.run_counts["s-1"]]
     remove_registration(deployment, first)
     first.mode = "dead"
     await until(lambda: run_count(deployment, "s-1") == 2, 1.0)
@@ -187,7 +187,7 @@
     await until(deployment.all_known)
     connection = await deployment.connect()
     await connection.send("/tape/1", "p-1")
-    await until(lambda: used.runs["p-1"] == 1)
+    await until(lambda: used.run_counts["p-1"] == 1)
     await asyncio.sleep(0.1)
     used.mode = "dead"
     deployment.entry._prober.record_broken_answer(used.server_id)
@@ -206,12 +206,12 @@
 
     monkeypatch.setattr(chaining_engine._Health, "get", wait_for_a_slot)
     for service in deployment.plain:
-        service.event_s = 1.5
+        service.event_interval_s = 1.5
     token_headers = {"Railfold-Token-Counts": "0,0"}
     connection = await deployment.connect()
     await connection.send("/slip/1", "u-1", headers=token_headers)
-    await until(lambda: any(p.runs["u-1"] for p in deployment.plain))
-    (full,) = [p for p in deployment.plain if p.runs["u-1"]]
+    await until(lambda: any(p.run_counts["u-1"] for p in deployment.plain))
+    (full,) = [p for p in deployment.plain if p.run_counts["u-1"]]
     (other,) = [p for p in deployment.plain if p is not full]
     other.state = "draining"
     other.register()
@@ -233,11 +233,11 @@
     deployment: Deployment,
 ) -> None:
     for service in deployment.plain:
-        service.event_s = 0.3
+        service.event_interval_s = 0.3
     connection = await deployment.connect()
     await connection.send("/slip/1", "u-1")
     await until(lambda: run_count(deployment, "u-1") == 1)
-    (used,) = [p for p in deployment.plain if p.runs["u-1"]]
+    (used,) = [p for p in deployment.plain if p.run_counts["u-1"]]
     deployment.entry.router.report_lost(frozenset({used.server_id}))
     assert (await read_reply(connection)).status == 200
     assert run_count(deployment, "u-1") == 1
--- a/tests/functional/test_outcomes.py
+++ b/tests/functional/test_outcomes.py
@@ -233,7 +233,7 @@
             lambda: get(status_url)["open_sequences"] == 0, "the sequence's end"
         )
         assert cluster.status()["counters"]["callers.gone"] == 1
-        assert "Traceback" not in cluster.log_of("entry-0")
+        assert "Traceback" not in cluster.read_log("entry-0")
 
 
 def test_entry_that_dies_frees_the_engines() -> None:
--- a/tests/functional/test_planned_stops.py
+++ b/tests/functional/test_planned_stops.py
@@ -64,4 +64,4 @@
 @pytest.mark.parametrize("name", ["agent-meter-a1", "entry-0"])
 def test_idle_process_stops_cleanly(cluster: Cluster, name: str) -> None:
     assert cluster.processes[name].stop() == 0
-    assert "Traceback" not in cluster.log_of(name)
+    assert "Traceback" not in cluster.read_log(name)
--- a/tests/lib/backoffs.py
+++ b/tests/lib/backoffs.py
@@ -26,7 +26,7 @@
     """
     max_requests = 0
     arrived = [(entry_of(a.request_id), a.at_s) for a in server.arrivals]
-    for refusal in server.shed:
+    for refusal in server.refusals:
         entry = entry_of(refusal.request_id)
         if entry is None:
             continue
--- a/tests/lib/crashing_fleet.py
+++ b/tests/lib/crashing_fleet.py
@@ -66,7 +66,7 @@
     async def _replace(self, server: Engine) -> None:
         if self.same_id:
             await asyncio.sleep(RESTART_S)
-            server.start_again(_unix_time_ms())
+            server.start_without_state(_unix_time_ms())
             return
         await asyncio.sleep(REGISTRATION_LAPSE_S)
         server.deregister()
@@ -307,7 +307,7 @@
     fleet.enable_crashes()
     for server in fleet.servers:
         server.crash_after_s = 0.05
-        server.event_s = 0.01 if server.model else 0.1
+        server.event_interval_s = 0.01 if server.model else 0.1
     await until(lambda: all(map(deployment.all_known, deployment.entries)))
     rng = random.Random(1)
     poison, popular, one_off = (
--- a/tests/unit/test_fleet_size.py
+++ b/tests/unit/test_fleet_size.py
@@ -22,7 +22,7 @@
 from railfold._internal.decisions.retry_budget import RetryBudget, RetryLimits
 from railfold._internal.forwarding import fleet_limits
 from railfold._internal.platform.store import GroupLease
-from standins.metadata_store import MOST_TOPICS_DEALT
+from standins.metadata_store import MAX_ASSIGNED_TOPICS
 from tests.lib.forwarding import Deployment, until
 from tests.lib.properties import examples
 
@@ -76,7 +76,7 @@
     """
     lease = GroupLease(Address("127.0.0.1", 1), "placement", partitions)
     assert lease._partitions == partitions * len(lease._topics)
-    assert len(lease._topics) == min(MOST_TOPICS_DEALT, -(-400 // partitions))
+    assert len(lease._topics) == min(MAX_ASSIGNED_TOPICS, -(-400 // partitions))
 
 
 async def test_entries_estimate_the_actual_fleet_size(five_entries: Deployment) -> None:
