--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,4 +1,5 @@
-"""A randomized soak: real entries as processes, faults from outside, promises checked.
+"""A randomized soak test that injects faults into real entry processes.
 
-``docs/operations/soak.md`` says how to run and read it.
+It checks the guarantees to clients from outside the processes.
+``docs/operations/soak.md`` describes how to run it and read its results.
 """
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -18,13 +18,14 @@
 from soak.deployment import Deployment, machine_load
 from soak.faults import FAULTS, PlannedFault, inject, plan_faults
 
-# Served again within this time after the last fault (the sites' recover_s).
+# Clients must be served again within this time after the last fault; it is the
+# sites' recover_s.
 RECOVERY_TIMEOUT_S = 12.0
 
 READY_TIMEOUT_S = 15.0
 
-# An entry that is told to stop or killed ends with these; so does one that is
-# told while it starts, before it listens to signals.
+# Exit codes of an entry that was stopped or killed. SIGTERM ends an entry that is
+# still starting and has no signal handler yet.
 EXPECTED_EXIT_CODES = (0, -signal.SIGKILL, -signal.SIGTERM)
 
 FIRST_WORKER_NUMBER = 12
@@ -33,9 +34,9 @@
 
 @dataclass(frozen=True)
 class SoakCase:
-    """A seed and what it is run with.
+    """One soak run: its seed and parameters.
 
-    :param names: the faults that are drawn from.
+    :param names: names of the faults that the run draws from.
     """
 
     seed: int
@@ -44,13 +45,13 @@
 
 
 def load_regressions() -> list[SoakCase]:
-    """Return the cases that ever failed, as they were run then."""
+    """Return the regression cases: failed runs with their original parameters."""
     rows = json.loads(REGRESSIONS.read_text())
     return [SoakCase(row["seed"], row["seconds"], tuple(row["faults"])) for row in rows]
 
 
 async def run_case(case: SoakCase, entries: int) -> dict[str, object]:
-    """Run one case; return its record."""
+    """Run one case and return its result record."""
     seed, duration_s = case.seed, case.duration_s
     faults = plan_faults(seed, duration_s, list(case.names))
     deployment, observations = Deployment(), Observations()
@@ -93,7 +94,7 @@
 
 
 def _abort_hung_run() -> None:
-    """A run that hangs is a fault of the soak: show where, and end it."""
+    """Print the stacks of all tasks of a run that hangs and exit with status 2."""
     for task in asyncio.all_tasks():
         task.print_stack(limit=3)
     os._exit(2)
@@ -128,7 +129,7 @@
 
 
 async def _check_recovery(observations: Observations) -> None:
-    """After the last fault clients must be served again."""
+    """Record a violation unless clients are served again after the last fault."""
     before = len(observations.served_at_s)
     deadline_s = time.monotonic() + RECOVERY_TIMEOUT_S
     while len(observations.served_at_s) < before + 20:
@@ -148,16 +149,25 @@
 
 @click.command()
 @click.option("--seeds", default="1", help="One seed, or a range like 1-50.")
-@click.option("--seconds", default=12.0, help="How long faults come.")
-@click.option("--entries", default=3, help="Entries, each a process.")
+@click.option("--seconds", default=12.0, help="How long faults are injected.")
+@click.option("--entries", default=3, help="Number of entry processes.")
 @click.option(
-    "--regressions", "with_regressions", is_flag=True, help="Also cases that failed."
+    "--regressions",
+    "with_regressions",
+    is_flag=True,
+    help="Also run the regression cases.",
 )
 @click.option(
-    "--faults", multiple=True, type=click.Choice(sorted(FAULTS)), help="Only these."
+    "--faults",
+    multiple=True,
+    type=click.Choice(sorted(FAULTS)),
+    help="Inject only these faults.",
 )
 @click.option(
-    "--lane", default=0, type=click.IntRange(0, 3), help="Ports: one a soak at a time."
+    "--lane",
+    default=0,
+    type=click.IntRange(0, 3),
+    help="Port range; one soak per lane at a time.",
 )
 def main(
     seeds: str,
@@ -167,8 +177,9 @@
     faults: tuple[str, ...],
     lane: int,
 ) -> None:
-    """Run seeds one after the other; exit with 1 if a promise was broken."""
-    # Ports are dealt out as to test workers, behind the last of those.
+    """Run the seeds in sequence; exit with status 1 if a rule was violated."""
+    # Each lane uses the port range of a test worker whose number is above those
+    # that test runs use.
     os.environ["PYTEST_XDIST_WORKER"] = f"gw{FIRST_WORKER_NUMBER + lane}"
     names = tuple(sorted(faults or FAULTS))
     cases = [SoakCase(seed, seconds, names) for seed in _parse_seeds(seeds)]
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak run, and what they and the backend servers may see."""
+"""Clients of a soak run and the checks of what clients and backend servers observe."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 )
 from tests.lib.limits import WINDOW_S, allowed_requests
 
-# Rules, by the names of the users' pages.
+# The rules that a run checks, under the names that the users' pages give them.
 (
     MIXED,
     TWICE,
@@ -53,43 +53,45 @@
     "LIMIT",
 )
 
-# An engine that drains gets nothing later than this; the platform says 2 s, and
-# the store of a run may be out at that time.
+# A draining server receives no request later than this after it began to drain, the
+# 2 s that the platform specifies. The check is skipped if the store was faulty then.
 DRAIN_S = 2.0
 
 _RESPONSE_TIMEOUT_S = 6.0
 
-# What ended three servers is known everywhere after this time, and is sent no more than
-# so often from then on.
+# After a request has crashed three servers, all entries know this within
+# _CRASH_PROPAGATION_S and send it at most _MAX_LATE_SENDS times from then on.
 _CRASH_PROPAGATION_S = 3.0
 _MAX_LATE_SENDS = 3
 
-# A limit that a server names is known at all entries after this time, with demand.
+# While requests arrive, all entries know a server's announced rate limit after this
+# time.
 _LIMIT_PROPAGATION_S = 1.0
 
-# A server's first answer after it began to leave takes no longer.
+# Longest time until a server's first response after it began to leave.
 _FIRST_RESPONSE_S = 0.5
 
-# A stream whose client left may run on for this long; more than a quarter of those
-# left that do, of this many at least, break the rule.
+# A stream may continue for _CANCELLATION_DELAY_S after its client disconnected. The
+# rule is violated if more than _MAX_UNCANCELLED_SHARE of the abandoned streams take
+# longer; it is checked only with at least _MIN_ABANDONED_STREAMS of them.
 _CANCELLATION_DELAY_S = 0.5
 _MAX_UNCANCELLED_SHARE = 0.25
 _MIN_ABANDONED_STREAMS = 8
 
-# A stream may be cut by what another fault left behind for this long.
+# For this long after a fault has ended, its effects may still cut a stream.
 _FAULT_AFTEREFFECT_S = 4.0
 
-# How often a client leaves its stream after the first events.
+# Share of streams that their client abandons after the first events.
 _ABANDON_SHARE = 0.08
 
-# Events of a stream that is left: two seconds of them, so that one that runs on
-# shows.
+# An abandoned stream has events for two seconds, so that one that isn't cancelled is
+# noticed.
 _ABANDONED_STREAM_EVENTS = 200
 
 
 @dataclass
 class Observations:
-    """What was seen of one run."""
+    """What the clients of one run observed, and the violations found."""
 
     violations: list[str] = field(default_factory=list)
     outcomes: Counter[str] = field(default_factory=Counter)
@@ -101,23 +103,23 @@
     entry_by_request: dict[str, str] = field(default_factory=dict)
 
     def record_sent(self, service: str) -> None:
-        """Note that a client sent a request on a route to a service."""
+        """Record that a client sent a request on a route to a service."""
         now_s = asyncio.get_running_loop().time()
         self.sent_at_s.setdefault(service, []).append(now_s)
 
     def record_violation(self, rule: str, what: str) -> None:
-        """Note a broken promise."""
+        """Record a violation of a rule."""
         self.violations.append(f"{rule}: {what}")
 
 
 class Client:
-    """Sends requests one after the other, over kept connections where it can."""
+    """Sends requests in sequence and reuses its connection where possible."""
 
     def __init__(
         self, name: str, deployment: Deployment, observations: Observations, seed: int
     ) -> None:
         self._name = name
-        self._world = deployment
+        self._deployment = deployment
         self._observations = observations
         self._rng = random.Random(f"{seed}/{name}")
         self._connection: Connection | None = None
@@ -126,9 +128,10 @@
         self.stopping = False
 
     async def run(self) -> None:
-        """Send until told to stop; a cancellation alone may get lost.
+        """Send requests until ``stopping`` is set.
 
-        (``asyncio.wait_for`` drops one that meets the end of what it waits for.)
+        Cancelling the task isn't enough: ``asyncio.wait_for`` drops a cancellation
+        that coincides with the completion of the awaited operation.
         """
         while not self.stopping:
             await self._send_request()
@@ -137,7 +140,7 @@
     async def _send_request(self) -> None:
         self._number += 1
         request_id = f"{self._name}-{self._number}"
-        began_s = asyncio.get_running_loop().time()
+        started_s = asyncio.get_running_loop().time()
         kind = self._rng.choice(["draft", "draft", "slip", "tray"])
         count = self._rng.randint(3, 60)
         abandons = kind == "draft" and self._rng.random() < _ABANDON_SHARE
@@ -163,12 +166,12 @@
             return
         self._check_reply(kind, request_id, count, reply)
         if kind == "draft" and reply.status == 200 and not reply.complete:
-            self._check_truncation(request_id, began_s)
+            self._check_truncation(request_id, started_s)
         if not reply.complete or reply.headers.get("Connection") == "close":
             self._disconnect()
 
     async def _abandon(self, connection: Connection, request_id: str) -> None:
-        """Close the connection in the middle of an answer."""
+        """Close the connection in the middle of a response."""
         await asyncio.wait_for(connection.read_head(), _RESPONSE_TIMEOUT_S)
         await asyncio.sleep(self._rng.uniform(0.0, 0.1))
         self._disconnect()
@@ -179,7 +182,7 @@
 
     async def _connect(self) -> Connection:
         if self._connection is None:
-            entry = self._rng.choice(self._world.entries)
+            entry = self._rng.choice(self._deployment.entries)
             self._entry = entry.name
             reader, writer = await asyncio.wait_for(
                 asyncio.open_connection("127.0.0.1", entry.clients), 1.0
@@ -201,42 +204,44 @@
             observations.refused_ids.add(request_id)
         if b"repeated_crashes" in reply.body:
             observations.record_violation(
-                DENIED, f"{request_id} was held back, and ends no server"
+                DENIED, f"{request_id} was quarantined but crashes no server"
             )
         if reply.status != 200:
             return
         if reply.headers.get("Railfold-Response-Seal") != SEAL:
             observations.record_violation(
-                MIXED, f"{request_id} got a success without signature"
+                MIXED, f"{request_id} got a success response without a signature"
             )
         if reply.headers.get("Railfold-Attempt-Id") != request_id:
             observations.record_violation(
                 MIXED, f"{request_id} got another request's answer"
             )
         if kind == "draft":
-            whole = stream_body(count)
-            good = (
-                reply.body == whole if reply.complete else whole.startswith(reply.body)
+            expected = stream_body(count)
+            matches = (
+                reply.body == expected
+                if reply.complete
+                else expected.startswith(reply.body)
             )
-            if not good:
+            if not matches:
                 observations.record_violation(ORDER, f"{request_id} got a wrong stream")
         elif reply.body != f"record of {request_id}".encode():
             observations.record_violation(MIXED, f"{request_id} got a wrong body")
         if reply.complete:
             observations.served_at_s.append(asyncio.get_running_loop().time())
 
-    def _check_truncation(self, request_id: str, began_s: float) -> None:
-        """A stream that began may be cut only where a fault may have caused it."""
-        active = self._world.faults_active_since(began_s - _FAULT_AFTEREFFECT_S)
+    def _check_truncation(self, request_id: str, started_s: float) -> None:
+        """Record a violation if no active fault can have cut the stream."""
+        active = self._deployment.faults_active_since(started_s - _FAULT_AFTEREFFECT_S)
         if active <= STREAM_PRESERVING_FAULTS:
             active_names = ", ".join(sorted(active)) or "no fault"
             self._observations.record_violation(
-                LOST, f"{request_id} was cut, beside {active_names}"
+                LOST, f"{request_id} was cut; active faults: {active_names}"
             )
 
 
 def check_servers(deployment: Deployment, observations: Observations) -> None:
-    """Look at what the backend servers saw, once nothing runs any more."""
+    """Check what the backend servers observed, after the run has ended."""
     runs: Counter[str] = Counter()
     for server in deployment.servers:
         runs.update(server.run_counts)
@@ -270,10 +275,10 @@
 
 
 def _check_limits(deployment: Deployment, observations: Observations) -> None:
-    """Count what servers with a rate limit got from all undisturbed entries.
+    """Check the rate limit of each server over all undisturbed entries.
 
-    Whatever any of them was told, the others know a moment later. What a faulty link
-    holds up arrives together.
+    Entries share an announced limit within ``_LIMIT_PROPAGATION_S``. Runs with link
+    faults are skipped: requests that a link delays arrive in a burst.
     """
     if any(fault.name == "link_fault" for fault in deployment.injected):
         return
@@ -291,44 +296,47 @@
             and observations.entry_by_request.get(arrival.request_id, "")
             not in deployment.disturbed_entries
         ]
-        most = max(
+        max_count = max(
             (sum(1 for at_s in counted if s - WINDOW_S < at_s <= s) for s in counted),
             default=0,
         )
-        if most > allowed_requests(float(limit.text)):
+        if max_count > allowed_requests(float(limit.text)):
             server_id = limit.server.server_id
             observations.record_violation(
-                LIMIT, f"{server_id} takes {limit.text} a second: {most}"
+                LIMIT, f"{server_id} takes {limit.text} a second: {max_count}"
             )
 
 
 def _check_backoffs(deployment: Deployment, observations: Observations) -> None:
-    """Count what servers got from one entry before their Retry-After was over.
+    """Check how many requests an entry sends to a server during its Retry-After.
 
-    What a faulty link holds up arrives later than it was sent.
+    Runs with link faults are skipped: a delayed request arrives later than it was
+    sent.
     """
     if any(fault.name == "link_fault" for fault in deployment.injected):
         return
     for server in deployment.servers:
-        most = max_requests_during_backoff(
+        max_count = max_requests_during_backoff(
             server, lambda i: _undisturbed(deployment, observations, i)
         )
-        if most > MAX_REQUESTS_DURING_BACKOFF:
+        if max_count > MAX_REQUESTS_DURING_BACKOFF:
             observations.record_violation(
-                BUDGET, f"{server.server_id} backs off and got {most}"
+                BUDGET, f"{server.server_id} backs off and got {max_count}"
             )
 
 
 def _undisturbed(
     deployment: Deployment, observations: Observations, request_id: str
 ) -> str | None:
-    """Return the entry that a request was sent to, if nothing was done to it."""
+    """Return the entry that a request was sent to, or ``None`` if it was disturbed."""
     entry = observations.entry_by_request.get(request_id)
     return None if entry in deployment.disturbed_entries else entry
 
 
 def _check_leaving(deployment: Deployment, observations: Observations) -> None:
-    """Look for requests to servers whose answers have said that they leave."""
+    """Check that servers whose responses announce that they leave get no requests.
+
+    Each entry may send some until it has received such a response."""
     if any(fault.name == "link_fault" for fault in deployment.injected):
         return
     for server in deployment.servers:
@@ -348,9 +356,9 @@
 
 
 def _check_poison(deployment: Deployment, observations: Observations) -> None:
-    """Count how often a request that ended three servers was sent on after that.
+    """Check how often a request that crashed three servers is sent after that.
 
-    One path is one request: their callers and bodies are the same.
+    Requests of one path count as the same request: they share caller and body.
     """
     for path, ended_at_s in deployment.poison_crashes_s.items():
         if len(ended_at_s) < 3:
@@ -371,15 +379,16 @@
         ]
         if len(late) > _MAX_LATE_SENDS:
             observations.record_violation(
-                BUDGET, f"{path} ends its servers: {len(late)} late sends"
+                BUDGET, f"{path} crashes its servers: {len(late)} late sends"
             )
 
 
 def _check_budget(deployment: Deployment, observations: Observations) -> None:
-    """Count arrivals beyond the first of each request, in every window.
+    """Check the retry budget in every window.
 
-    They are bound by the requests that clients sent to the service, whether or not
-    those arrived there: entries refuse some themselves.
+    Every arrival after the first of a request is a retry. The budget depends on the
+    number of requests that clients sent to the service, including those that entries
+    refused themselves.
     """
     for service in (MODEL_SERVICE, PLAIN_SERVICE):
         arrivals = sorted(
@@ -395,7 +404,7 @@
             known.add(arrival.request_id)
         for end_s in retried_at_s:
             retries = _count_in_window(retried_at_s, end_s)
-            # The rule takes the busiest of this window and those before it.
+            # The budget is based on the busiest of this window and the ones before it.
             asked = max(
                 _count_in_window(sent_s, end_s - earlier * BUDGET_WINDOW_S)
                 for earlier in (0.0, 0.5, 1.0)
@@ -414,7 +423,7 @@
 def _check_abandoned_streams(
     deployment: Deployment, observations: Observations
 ) -> None:
-    """Look at streams that were made after their clients had left."""
+    """Check that streams end soon after their clients have disconnected."""
     uncancelled = [
         request_id
         for request_id, left_s in observations.abandoned_at_s.items()
@@ -427,5 +436,5 @@
         and len(uncancelled) > _MAX_UNCANCELLED_SHARE * left
     ):
         observations.record_violation(
-            GONE, f"{len(uncancelled)} of {left} streams ran on"
+            GONE, f"{len(uncancelled)} of {left} abandoned streams weren't cancelled"
         )
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -1,4 +1,4 @@
-"""The store, the engines and the entries of one soak run."""
+"""The store, the backend servers and the entries of one soak run."""
 
 from __future__ import annotations
 
@@ -30,12 +30,12 @@
     routes,
 )
 
-# What all entries together may send beyond the first send of each request.
+# Retry budget of all entries together.
 BUDGET_RATIO = 0.1
 BUDGET_SLACK = 12
 BUDGET_WINDOW_S = 5.0
 
-# A backend server that a request has ended is back after this time.
+# A backend server that a request has crashed is replaced after this time.
 _REPLACEMENT_DELAY_S = 1.5
 
 SETTINGS = """
@@ -64,7 +64,7 @@
 
 @dataclass
 class Entry:
-    """One entry: a process that is started again whenever it ends."""
+    """One entry process, which is restarted whenever it exits."""
 
     name: str
     zone: str
@@ -79,7 +79,7 @@
     _restart_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Write the settings and keep the process running."""
+        """Choose ports, write the settings and keep the process running."""
         self.clients, self.ready, self.peers = free_port(), free_port(), free_port()
         self.write_settings()
         self._restart_task = asyncio.create_task(self._run_until_stopped())
@@ -112,7 +112,7 @@
                 stderr=log,
             )
             log.close()
-            if self.stopping:  # Told to stop while the process was being started.
+            if self.stopping:  # stop() ran while the process was being started.
                 self.process.kill()
             self.exit_codes.append(await self.process.wait())
             await asyncio.sleep(0.3)
@@ -123,7 +123,7 @@
             self.process.send_signal(number)
 
     async def stop(self) -> None:
-        """End it for good."""
+        """Kill the process and don't restart it."""
         self.stopping = True
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGKILL)
@@ -133,7 +133,7 @@
 
 @dataclass
 class InjectedFault:
-    """A fault that was injected, and when it ended if it has."""
+    """An injected fault and its end time; infinite while the fault is active."""
 
     name: str
     ended_at_s: float = math.inf
@@ -141,7 +141,7 @@
 
 @dataclass(frozen=True)
 class AnnouncedLimit:
-    """A backend server names this rate limit from a time on; ``None`` if none."""
+    """A rate limit that a server announces from a time on; ``None`` for no limit."""
 
     server: Engine
     text: str | None
@@ -150,7 +150,7 @@
 
 @dataclass
 class Deployment:
-    """Everything of one run; proxies stand before the store and each engine."""
+    """All parts of one run, with a proxy in front of the store and of each server."""
 
     folder: Path = field(default_factory=lambda: Path(tempfile.mkdtemp(prefix="soak-")))
     store: MetadataStore = field(default_factory=MetadataStore)
@@ -173,11 +173,11 @@
 
     @property
     def servers(self) -> list[Engine]:
-        """All backend servers there ever were."""
+        """All backend servers of the run, including replaced ones."""
         return [*self.engines, *self.plain, *self.replaced]
 
     async def start(self, entries: int) -> None:
-        """Start all; entries are ready once they answer their balancer."""
+        """Start the store, the servers and the entries; don't wait for readiness."""
         self.entry_bandwidth = SharedBandwidth(entries)
         sockets = bind_sockets(0, "127.0.0.1")
         self._store_server = HTTPServer(self.store.application())
@@ -225,7 +225,7 @@
         return engine
 
     def enable_poison_crashes(self) -> None:
-        """Let all backend servers crash on one body, now and when they start."""
+        """Make all current and future backend servers crash on ``POISON_BODY``."""
         self.crash_body = POISON_BODY
         for server in (*self.engines, *self.plain):
             self._set_crash_body(server)
@@ -247,7 +247,7 @@
             await self.replace_server(server)
 
     async def replace_server(self, engine: Engine) -> Engine:
-        """Crash a backend server; an empty one takes its place."""
+        """Crash a backend server; return its replacement, which holds no layers."""
         group = self.engines if engine in self.engines else self.plain
         group.remove(engine)
         self.replaced.append(engine)
@@ -262,7 +262,7 @@
         return replacement
 
     async def restart_in_place(self, engine: Engine) -> None:
-        """Crash a backend server, and start it again at its address and id."""
+        """Crash a backend server and restart it with the same address and id."""
         engine.mode = "ok"
         await engine.stop()
         if self.is_current(engine):
@@ -270,32 +270,35 @@
             self.announce_limit(engine, None)
 
     def announce_limit(self, server: Engine, text: str | None) -> None:
-        """Let a backend server name a rate limit from now on, or none."""
+        """Make a backend server announce a rate limit, or none, from now on."""
         now_s = asyncio.get_running_loop().time()
         server.rate_limit = text
         self.announced_limits.append(AnnouncedLimit(server, text, now_s))
 
     def mark_disturbed(self, entry: Entry) -> Entry:
-        """Note that an entry is killed, stopped or frozen in this run."""
+        """Record that an entry is killed, stopped or suspended, and return it."""
         self.disturbed_entries.add(entry.name)
         return entry
 
     def is_current(self, engine: Engine) -> bool:
-        """Return whether a backend server wasn't replaced by another one."""
+        """Return whether a backend server hasn't been replaced."""
         return engine in self.engines or engine in self.plain
 
     def store_faulty_since(self, since_s: float) -> bool:
-        """Return whether the store, or a link to it, was faulty from then on."""
+        """Return whether requests may have been late because of the store or a pause.
+
+        This holds if the store or a link to it failed, or an entry was suspended, at
+        most 4 s before ``since_s`` or later."""
         return any(at_s >= since_s - 4.0 for at_s in self.store_outages_s)
 
     def faults_active_since(self, since_s: float) -> set[str]:
-        """Return the names of faults that were active at some time from then on."""
+        """Return the names of all faults that were active at or after ``since_s``."""
         return {fault.name for fault in self.injected if fault.ended_at_s >= since_s}
 
     def configure(self, extra_routes: int = 0) -> None:
         """Publish the next version of the configuration.
 
-        :param further_routes: how many routes it has that no client asks for.
+        :param extra_routes: number of additional routes that no client uses.
         """
         self.version += 1
         all_routes = routes()
@@ -307,7 +310,7 @@
         self.store.put("keyed.op", "config", self.document)
 
     def rewrite_records(self) -> None:
-        """Write what the operator and the servers had written; the store lost it."""
+        """Rewrite the configuration and registrations that the store has lost."""
         self.store.put("keyed.op", "config", self.document)
         servers = {s.server_id: s for s in (*self.engines, *self.plain)}
         for name in set(self.store.topic("keyed.servers").newest) - servers.keys():
@@ -316,7 +319,7 @@
             server.register()
 
     async def stop(self) -> None:
-        """Stop all that was started."""
+        """Stop the entries, servers, links and the store."""
         for task in self._replacements:
             task.cancel()
         await asyncio.gather(*(entry.stop() for entry in self.entries))
@@ -330,10 +333,10 @@
 
 
 def unix_time_ms() -> int:
-    """Return the time of day as servers tell their start."""
+    """Return the Unix time in milliseconds, the format of servers' start times."""
     return time.time_ns() // 1_000_000
 
 
 def machine_load() -> float:
-    """Return the load average of the last minute, for the record of a run."""
+    """Return the machine's load average of the last minute."""
     return os.getloadavg()[0]
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults of one run: drawn from its seed, injected from outside the processes."""
+"""Faults of a run: drawn from its seed and injected from outside the processes."""
 
 from __future__ import annotations
 
@@ -32,33 +32,36 @@
 from tests.lib.crashing_fleet import POISON_BODY
 from tests.lib.forwarding import Connection
 
-# The link of an entry of the smaller kind, and for how long entries have it.
+# Link bandwidth of the smaller kind of entry host, and how long the fault limits
+# entries to it.
 _SLOW_BPS = 20e6
 _SLOW_S = 1.5
 
-# 0.5 to 0.75 MB of JSON.
+# Range of the number of additional routes, which make 0.5 to 0.75 MB of JSON.
 _EXTRA_ROUTES = (2000, 3000)
 
-# A client that doesn't wait: 4 s of it, and how long it reads each answer.
+# A client that sends crashing requests for 4 s without waiting for responses, and how
+# long it waits to read each response.
 _POISON_SENDS = 27
 _POISON_INTERVAL_S = 0.15
 _POISON_READ_S = 3.0
 
-# What servers in need take, in requests a second; small next to what clients send.
+# Rate limits that overloaded servers announce, in requests per second; all are small
+# relative to what clients send.
 _RATE_LIMITS = ("0", "0.5", "1.4", "2.5", "6", "20")
 
-# What servers that shed load ask for, in seconds.
+# Retry-After values of servers that shed load, in seconds.
 _RETRY_AFTERS = ("0", "0.3", "1", "1.5", "3", "6")
 
-# False load, for 2 s.
+# Number and interval of false load messages; they take 2 s.
 _FALSE_LOAD_MESSAGES = 100
 _FALSE_LOAD_INTERVAL_S = 0.02
 
-# How the ids of its requests begin.
+# Prefix of the ids of requests that crash servers.
 POISON_ID = "poison-"
 
-# Clients that send and read slowly: their number, their bodies in pieces, the pause
-# before each piece and before they read.
+# Clients that send and read slowly: their number, the pieces of their bodies, the
+# pause before each piece and before reading, and the timeout of the whole exchange.
 _SLOW_CLIENTS = 12
 _SLOW_PIECE = b"s" * 50_000
 _SLOW_PIECES = 4
@@ -70,14 +73,14 @@
 
 @dataclass(frozen=True)
 class PlannedFault:
-    """A fault and when it begins."""
+    """A fault and its start time, relative to the start of the run."""
 
     at_s: float
     name: str
 
 
 def plan_faults(seed: int, seconds: float, names: list[str]) -> list[PlannedFault]:
-    """Return the faults of a seed; they come in series and overlap."""
+    """Return the faults that a seed draws, ordered by start; they may overlap."""
     rng = random.Random(seed)
     count = max(3, round(seconds / 1.5))
     times = sorted(rng.uniform(0.5, max(1.0, seconds - 2.0)) for _ in range(count))
@@ -85,7 +88,7 @@
 
 
 async def inject(deployment: Deployment, name: str, rng: random.Random) -> None:
-    """Inject a fault, and note when it was active."""
+    """Inject a fault and record when it ended."""
     injected = InjectedFault(name)
     deployment.injected.append(injected)
     await FAULTS[name](deployment, rng)
@@ -98,24 +101,26 @@
 
 
 async def entry_stop(deployment: Deployment, rng: random.Random) -> None:
-    """Tell an entry to stop, as for planned work."""
+    """Stop an entry with SIGTERM, as for planned maintenance."""
     deployment.mark_disturbed(rng.choice(deployment.entries)).signal(signal.SIGTERM)
 
 
 async def entry_pause(deployment: Deployment, rng: random.Random) -> None:
-    """Freeze an entry, and wake it."""
+    """Suspend an entry with SIGSTOP and resume it."""
     entry = deployment.mark_disturbed(rng.choice(deployment.entries))
     entry.signal(signal.SIGSTOP)
-    # What a frozen entry had taken before may leave when it wakes.
+    # An entry that resumes may send requests that it accepted before it was suspended,
+    # so the drain check treats this like a store outage.
     deployment.store_outages_s.append(asyncio.get_running_loop().time())
     await asyncio.sleep(rng.uniform(0.3, 3.0))
     entry.signal(signal.SIGCONT)
 
 
 async def entry_long_pause(deployment: Deployment, rng: random.Random) -> None:
-    """Freeze an entry for longer than any lease or bound that it holds.
+    """Suspend an entry for longer than all its leases and time bounds.
 
-    A suspended host's would be the same to others; its own steady clock would stand.
+    To others a suspended host looks the same, but there the entry's own monotonic
+    clock would stop too.
     """
     entry = deployment.mark_disturbed(rng.choice(deployment.entries))
     entry.signal(signal.SIGSTOP)
@@ -125,14 +130,14 @@
 
 
 async def entry_reload(deployment: Deployment, rng: random.Random) -> None:
-    """Change an entry's settings file and tell it."""
+    """Rewrite an entry's settings file and reload it with SIGHUP."""
     entry = rng.choice(deployment.entries)
     entry.write_settings()
     entry.signal(signal.SIGHUP)
 
 
 async def store_fault(deployment: Deployment, rng: random.Random) -> None:
-    """Make the store refuse, fall silent or reset."""
+    """Make the store refuse requests, stop answering, or reset connections."""
     deployment.store.mode = rng.choice(["out", "silent", "reset"])
     deployment.store_outages_s.append(asyncio.get_running_loop().time())
     await asyncio.sleep(rng.uniform(0.3, 3.0))
@@ -140,13 +145,13 @@
 
 
 async def store_forgets(deployment: Deployment, rng: random.Random) -> None:
-    """Drop the store's history."""
+    """Drop the history of all topics of the store."""
     for topic in deployment.store.topics.values():
         topic.forget()
 
 
 async def store_goes_back(deployment: Deployment, rng: random.Random) -> None:
-    """Let the store come back from a copy, and others write again what it lost."""
+    """Restore the store from an old copy, then rewrite the records that it lost."""
     copy = deployment.store.copy()
     await asyncio.sleep(rng.uniform(0.3, 2.5))
     deployment.store.mode = "out"
@@ -160,7 +165,7 @@
 
 
 async def link_fault(deployment: Deployment, rng: random.Random) -> None:
-    """Delay, silence, cut one way or refuse one link, or reset it."""
+    """Delay, block, block one direction of, refuse, or reset one link."""
     name = rng.choice(sorted(deployment.links))
     link = deployment.links[name]
     if name.startswith("store"):
@@ -177,7 +182,7 @@
 
 
 async def server_fault(deployment: Deployment, rng: random.Random) -> None:
-    """Let a backend server refuse, fail, lose or spoil answers, or fall silent."""
+    """Make a backend server refuse, fail, lose or mix up responses, or hang."""
     server = rng.choice([*deployment.engines, *deployment.plain])
     modes = ["dead", "shed", "error", "lose"]
     if not server.model:
@@ -188,7 +193,7 @@
 
 
 async def all_servers_refuse(deployment: Deployment, rng: random.Random) -> None:
-    """Let all backend servers refuse for a while, as under too much work."""
+    """Make all backend servers refuse requests for a while, as under overload."""
     refusing = [s for s in (*deployment.engines, *deployment.plain) if s.mode == "ok"]
     for server in refusing:
         server.mode = "shed"
@@ -198,7 +203,7 @@
 
 
 async def server_limits(deployment: Deployment, rng: random.Random) -> None:
-    """Let servers name rate limits, name other ones, and none any more."""
+    """Make servers announce rate limits, change them, and withdraw them."""
     servers = [*deployment.engines, *deployment.plain]
     chosen = rng.sample(servers, rng.randint(1, len(servers)))
     tasks = [_announce_limits(deployment, server, rng) for server in chosen]
@@ -215,7 +220,7 @@
 
 
 async def servers_shed(deployment: Deployment, rng: random.Random) -> None:
-    """Let servers refuse for a while, and say for how long they want nothing."""
+    """Make servers refuse requests for a while, with a Retry-After."""
     servers = [*deployment.engines, *deployment.plain]
     chosen = rng.sample(servers, rng.randint(1, len(servers)))
     await asyncio.gather(*(_shed(server, rng) for server in chosen))
@@ -230,7 +235,7 @@
 
 
 async def server_says_leaving(deployment: Deployment, rng: random.Random) -> None:
-    """Let a server leave that only its answers tell of."""
+    """Make a server leave that announces this only in its responses."""
     server = rng.choice([*deployment.engines, *deployment.plain])
     if server.leaving or server.state == "draining":
         return
@@ -242,22 +247,22 @@
 
 
 async def server_crash(deployment: Deployment, rng: random.Random) -> None:
-    """Crash a backend server; an empty one takes its place."""
+    """Crash a backend server and replace it by one without layers."""
     servers = [*deployment.engines, *deployment.plain]
     await deployment.replace_server(rng.choice(servers))
 
 
 async def server_starts_again(deployment: Deployment, rng: random.Random) -> None:
-    """Crash a backend server; it is back at once, under its id and address."""
+    """Crash a backend server and restart it at once with the same id and address."""
     await deployment.restart_in_place(
         rng.choice([*deployment.engines, *deployment.plain])
     )
 
 
 async def odd_records(deployment: Deployment, rng: random.Random) -> None:
-    """Write registrations that name no backend server, as another writer may.
+    """Write malformed registrations, as a faulty writer may.
 
-    Some stand in place of a live server's own, which that one writes again.
+    One replaces the record of a live server, which that server writes again later.
     """
     registrations = deployment.store.topic("keyed.servers")
     server = rng.choice([*deployment.engines, *deployment.plain])
@@ -269,7 +274,7 @@
 
 
 def malformed_registration(rng: random.Random, address: str) -> bytes:
-    """Return bytes that a reader may take for a registration."""
+    """Return a malformed registration record."""
     entry = {
         "service": "inspect-llm",
         "address": address,
@@ -296,7 +301,7 @@
 
 
 async def server_leaves(deployment: Deployment, rng: random.Random) -> None:
-    """Let a backend server drain; then an empty one takes its place."""
+    """Drain a backend server, then replace it by one without layers."""
     server = rng.choice([*deployment.engines, *deployment.plain])
     if server.state == "draining":
         return
@@ -309,7 +314,7 @@
 
 
 async def load_lies(deployment: Deployment, rng: random.Random) -> None:
-    """Send entries false load, as another one that has their key."""
+    """Send false load messages to entries, signed with the key that entries share."""
     records = deployment.store.topic("keyed.railfold-quarantine").newest
     if PEER_KEY_RECORD not in records:
         return
@@ -324,7 +329,7 @@
             sent_ms = int(clock.unix_time_s() * 1000)
             envelope = Envelope("liar", rng.randbytes(8), sent_ms, message, True)
             address = ("127.0.0.1", rng.choice(deployment.entries).peers)
-            with contextlib.suppress(OSError):  # That entry doesn't run now.
+            with contextlib.suppress(OSError):  # The entry isn't running now.
                 sender.sendto(codec.encode(envelope), address)
             await asyncio.sleep(_FALSE_LOAD_INTERVAL_S)
 
@@ -350,7 +355,7 @@
 
 
 async def poison_request(deployment: Deployment, rng: random.Random) -> None:
-    """Send a request that ends who runs it again and again, at any entry."""
+    """Repeatedly send a request that crashes the servers that run it."""
     deployment.enable_poison_crashes()
     path = rng.choice(["/draft/1", "/tray/1", "/slip/1"])
     tasks = []
@@ -362,7 +367,7 @@
 
 
 async def _send_poison(port: int, path: str, number: int) -> None:
-    """Send it once; whatever comes of it, its client does it again."""
+    """Send the crashing request once and ignore the result; clients send it again."""
     request_id = f"{POISON_ID}{port}-{number}-{path}"
     with contextlib.suppress(OSError, asyncio.IncompleteReadError, ValueError):
         async with asyncio.timeout(_POISON_READ_S):
@@ -376,7 +381,7 @@
 
 
 async def slow_clients(deployment: Deployment, rng: random.Random) -> None:
-    """Send large bodies slowly, and read the answers late."""
+    """Send large request bodies slowly and read the responses late."""
     entry = rng.choice(deployment.entries)
     path = rng.choice(["/tray/1", "/slip/1"])
     tasks = []
@@ -413,7 +418,7 @@
 
 
 async def large_configuration(deployment: Deployment, rng: random.Random) -> None:
-    """Publish a large configuration while little bandwidth leads to the entries."""
+    """Publish a large configuration while the bandwidth to the entries is low."""
     deployment.entry_bandwidth.limits_bps.append(_SLOW_BPS)
     deployment.configure(extra_routes=rng.randint(*_EXTRA_ROUTES))
     await asyncio.sleep(_SLOW_S)
@@ -447,8 +452,8 @@
     "store_goes_back": store_goes_back,
 }
 
-# Beside these all entries reach each other and the store, or one that doesn't is
-# started again and reads what the others know.
+# During these faults all entries reach each other and the store, or an entry that
+# doesn't is restarted and reads the shared state of the others.
 CONNECTIVITY_PRESERVING_FAULTS = frozenset(
     {
         "all_servers_refuse",
@@ -469,7 +474,7 @@
     }
 )
 
-# Beside these no stream that began may be cut.
+# These faults must not cut any stream that has started.
 STREAM_PRESERVING_FAULTS = frozenset(
     {
         "configure",
--- a/soak/proxy.py
+++ b/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose connections can be delayed, reset, cut or silenced."""
+"""A loopback proxy that can delay, reset, refuse or block its connections."""
 
 from __future__ import annotations
 
@@ -9,19 +9,21 @@
 
 _CHUNK_BYTES = 16384
 
-# Chunks that are due within this time are on the way: their senders go on.
+# A sender continues once its chunk is due within this time, which models data in
+# flight.
 _MAX_QUEUE_S = 0.1
 
-# What a chunk takes at least: of callbacks due at one time any may run first.
+# Minimum transfer time of a chunk. It keeps chunks in order: callbacks that are due at
+# the same time may run in any order.
 _MIN_TRANSFER_S = 1e-6
 
 
 @dataclass
 class SharedBandwidth:
-    """What several links share: chunks pass it first in, first out.
+    """Bandwidth that several links share; it delivers chunks first in, first out.
 
-    :param hosts: how many hosts it leads to; each adds the same bandwidth.
-    :param limits_bps: of the bandwidth of each host; the lowest counts.
+    :param hosts: number of destination hosts; each adds the same bandwidth.
+    :param limits_bps: limits of the bandwidth per host; the lowest applies.
     """
 
     hosts: int
@@ -29,9 +31,10 @@
     _available_at_s: float = 0.0
 
     async def send(self, writer: asyncio.StreamWriter, data: bytes) -> None:
-        """Deliver a chunk in its turn; return when the sender may go on.
+        """Schedule a chunk for delivery; return when the sender may continue.
 
-        :param data: empty for an end, which is waited for.
+        :param data: the chunk, or empty for the end of the stream. The call returns
+            only after the end has been delivered.
         """
         loop = asyncio.get_running_loop()
         rate_bps = self.hosts * min(self.limits_bps, default=math.inf)
@@ -48,12 +51,12 @@
 
 @dataclass
 class Link:
-    """One proxied address and its fault.
+    """A proxy for one address, with its fault mode.
 
     :param mode: ``"ok"``, ``"delay"`` (each chunk waits ``delay_s``),
-        ``"silent"`` (nothing passes), ``"deaf"`` (nothing comes back) or
+        ``"silent"`` (no data passes), ``"deaf"`` (no response data passes) or
         ``"refuse"`` (new connections are closed).
-    :param pipe: what answers pass, also those of other links.
+    :param bandwidth: limits the response data of this and other links.
     """
 
     port: int
@@ -65,12 +68,12 @@
     _writers: set[asyncio.StreamWriter] = field(default_factory=set)
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen on a free loopback port."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.listen_port = self._server.sockets[0].getsockname()[1]
 
     async def stop(self) -> None:
-        """Stop listening and close all."""
+        """Stop listening and reset all connections."""
         self.reset()
         if self._server is not None:
             self._server.close()
@@ -122,7 +125,7 @@
                 else:
                     _deliver(writer, data)
                 await writer.drain()
-        # An end is passed on as it is: the far side tells a whole answer by it.
+        # The end of the stream is forwarded too, since it marks a complete response.
         if is_response:
             await self.bandwidth.send(writer, b"")
         else:
@@ -130,7 +133,7 @@
 
 
 def _deliver(writer: asyncio.StreamWriter, data: bytes) -> None:
-    """Write a chunk, or an end, unless the connection was reset meanwhile."""
+    """Write a chunk, or EOF if it is empty, unless the connection is closing."""
     if writer.transport.is_closing():
         return
     with contextlib.suppress(OSError, RuntimeError):
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins for what surrounds railfold: log, host list, engines, services.
+"""Stand-ins for the systems around railfold: log, host list, engines, services.
 
-They are for tests, benchmarks and the demonstration, and speak the protocols
-that the adapters in ``railfold`` expect.
+Tests, benchmarks and the demonstration use them. They implement the protocols that
+the adapters in ``railfold`` expect.
 """
--- a/standins/__main__.py
+++ b/standins/__main__.py
@@ -21,7 +21,7 @@
 
 @click.group()
 def cli() -> None:
-    """Run a stand-in on loopback."""
+    """Run a stand-in on the loopback interface."""
 
 
 @cli.command("platform")
@@ -39,7 +39,7 @@
 @cli.command("engines")
 @click.argument("specs")
 def run_engines(specs: str) -> None:
-    """Run engines: SPECS is JSON, a list of [port, {engine fields}]."""
+    """Run engines. SPECS is a JSON list of [port, {engine fields}]."""
 
     async def run() -> None:
         await _serve(
--- a/standins/chaining_engine.py
+++ b/standins/chaining_engine.py
@@ -1,9 +1,9 @@
 """Stand-in for engines and plain services that clients' requests are sent to.
 
-An engine holds a range of layers, forwards requests over the chain that they
-name by itself, and registers what it holds in the store. Only the first engine
-of a chain streams; it looks at the others as the platform's engines do: a dead
-one makes the stream stand still. Faults are attributes.
+An engine holds a range of layers, forwards requests itself along the chain that they
+name, and registers its layers in the store. Only the first engine of a chain streams.
+Like the platform's engines it checks the others: its stream stalls while one of them is
+dead. Tests inject faults by setting attributes.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request that reached a backend server, whatever became of it."""
+    """A request that reached a backend server, whether or not it ran."""
 
     request_id: str
     at_s: float
@@ -47,30 +47,32 @@
 class Engine:
     """One engine or plain service.
 
-    ``arrivals`` holds all requests sent to it, refused ones too; ``streamed`` when
-    it made each request's last event; ``paths`` the chains that running requests
-    were ordered onto.
-
-    :param mode: ``"ok"``, ``"dead"`` (streams over it stand still, probes get no
-        answer), ``"shed"`` (refuses unrun), ``"error"`` (fails what it ran),
-        ``"lose"`` (runs, and closes without an answer), ``"foreign"`` (sends
-        another request's answer first), ``"surplus"`` (sends a second answer).
-    :param runs: how often each request ran here.
-    :param pace: how many times longer than usual its steps take, as it tells.
-    :param born: when it started, in Unix milliseconds, as it tells; ``None`` if it
-        doesn't.
-    :param crash_body: a request with this body ends it ``crash_after_s`` after it has
-        begun to run there, whatever else runs; ``on_crash`` is called then, and
-        ``crashed_by`` is its path.
-    :param rate_limit: what it names as the requests a second that it takes, in the
-        heads of answers to requests; it serves all the same.
-    :param retry_after: value of Retry-After in its refusals in mode ``"shed"``.
-    :param sheds_only: how ids of the requests begin that it refuses in that mode.
-    :param blames: the address that those refusals name as the one at fault.
-    :param shed: its refusals with Retry-After.
-    :param leaving: whether all its answers say that it leaves; it serves all the same.
-    :param reports_to_drop: how many calls for its report it answers by closing the
-        connection, as one that was idle for too long.
+    ``arrivals`` holds all requests sent to it, including refused ones.
+    ``last_event_at_s`` holds the time at which it sent the last event of each request,
+    and ``paths`` the chains that running requests were rerouted to. ``stalled_on``
+    holds the address of the dead engine that each stalled request waits for.
+
+    :param mode: ``"ok"``, ``"dead"`` (its streams stall, probes get no response),
+        ``"shed"`` (refuses requests without running them), ``"error"`` (runs requests
+        and fails them), ``"lose"`` (runs requests and closes the connection without a
+        response), ``"foreign"`` (sends another request's response first),
+        ``"surplus"`` (sends the response twice).
+    :param run_counts: how often each request ran on this server.
+    :param pace: the factor by which it reports that its steps are slower than usual.
+    :param born: the start time that it reports, in Unix milliseconds; ``None`` if it
+        reports none.
+    :param crash_body: a request with this body crashes the server ``crash_after_s``
+        after it starts to run there, even while others run. ``crash_path`` is then
+        set to its path and ``on_crash`` is called.
+    :param rate_limit: the rate limit, in requests per second, that it announces in the
+        headers of responses; it doesn't enforce it.
+    :param retry_after: the value of Retry-After in its refusals in mode ``"shed"``.
+    :param refused_id_prefix: it refuses only requests with this id prefix in that mode.
+    :param blamed_address: the address that those refusals name as the one at fault.
+    :param refusals: its refusals with Retry-After.
+    :param leaving: whether all its responses announce that it leaves; it still serves.
+    :param reports_to_drop: the number of next report requests at which it closes the
+        connection, as if that had been idle for too long.
     """
 
     server_id: str
@@ -118,16 +120,16 @@
 
     @property
     def address(self) -> str:
-        """The address that it registers: its own, or a proxy's before it."""
+        """The address that it registers: its own, or that of a proxy in front of it."""
         return self.advertised_address or f"127.0.0.1:{self.port}"
 
     @property
     def is_listening(self) -> bool:
-        """Whether it listens."""
+        """Whether the server listens."""
         return self._server is not None
 
     def start(self) -> None:
-        """Listen and register."""
+        """Listen for requests and register in the store."""
         sockets = bind_sockets(self.port, "127.0.0.1")
         self.port = sockets[0].getsockname()[1]
         application = Application(
@@ -148,13 +150,13 @@
         """Stop listening and close connections, as a crash does."""
         if self._server is not None:
             self._server.stop()
-            # A request that stands still for ever must not hold the crash up.
+            # A request that never finishes must not delay the crash.
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._server.close_all_connections(), 1.0)
         self.fleet.pop(self.address, None)
 
     def crash(self) -> None:
-        """End at once; its registration stays, as after a real crash."""
+        """Close all connections at once and keep the registration, like a real crash."""
         server, self._server = self._server, None
         if server is None:
             return
@@ -166,7 +168,7 @@
             self.on_crash(self)
 
     def register(self) -> None:
-        """Write what it is into the store."""
+        """Write the registration to the store."""
         entry: dict[str, Any] = {
             "service": self.service,
             "address": self.address,
@@ -186,16 +188,16 @@
         )
 
     def start_time_fields(self) -> dict[str, int]:
-        """Return its start as it tells it in all that it says."""
+        """Return the start time field of all its messages; empty if ``born`` is unset."""
         return {} if self.born is None else {"born": self.born}
 
     async def restart(self, born: int) -> None:
-        """Crash, and start again under the same id."""
+        """Crash and restart with the same id."""
         await self.stop()
         self.start_without_state(born)
 
     def start_without_state(self, born: int) -> None:
-        """Start under the same id, knowing nothing of before."""
+        """Start with the same id and without the previous state."""
         self.born = born
         self.state = "ready"
         self.leaving = False
@@ -208,14 +210,14 @@
         self.start()
 
     def reported_layers(self) -> dict[str, int] | None:
-        """Return the held layers as reports tell them."""
+        """Return the loaded layers in the format of reports, or ``None`` if there are none."""
         if self.layers is None:
             return None
         first, end = self.layers
         return {"from": first, "target_version": end, "version": 1}
 
     def deregister(self) -> None:
-        """Let its entry disappear."""
+        """Delete the registration from the store."""
         self.store.put("keyed.servers", self.server_id, None)
 
 
@@ -229,7 +231,7 @@
             await asyncio.Event().wait()
 
     def set_leaving_header(self) -> None:
-        """Set the header that a leaving server sets in all its answers."""
+        """Set the header that a leaving server sends in all responses."""
         if self.engine.leaving:
             self.set_header("Server-Leaving", "1")
 
@@ -280,7 +282,7 @@
 class _Health(_Handler):
     def get(self) -> None:
         if self.engine.mode == "shed" and self.engine.retry_after is not None:
-            # A health check waits for a slot, or is refused, as a request is.
+            # An overloaded server refuses health checks like requests.
             self.set_header("Retry-After", self.engine.retry_after)
             self.set_status(503)
         self.finish(self.engine.start_time_fields() or "ok")
@@ -288,7 +290,7 @@
 
 class _Request(_Handler):
     async def prepare(self) -> None:
-        """Name a limit; streams of a dead engine stand still."""
+        """Announce the rate limit; requests to a dead engine wait in the handler."""
         self.set_leaving_header()
         if self.engine.rate_limit is not None:
             self.set_header("Server-Limit", self.engine.rate_limit)
@@ -341,7 +343,7 @@
             await self._plain(request_id)
 
     async def _crash(self) -> None:
-        """Begin an answer if it is a stream, and end the engine."""
+        """Start the response if the request is a stream, then crash the engine."""
         if "Railfold-Hop-Count" in self.request.headers:
             self.set_header("Railfold-Attempt-Id", self._request_id)
             self.set_header("Railfold-Response-Seal", SEAL)
@@ -410,7 +412,7 @@
             return
 
     async def _wait_for(self, chain: str) -> None:
-        """Stand still while an engine of the chain is dead."""
+        """Wait while an engine of the chain is dead."""
         request_id = self.request.headers["Railfold-Attempt-Id"]
         while dead := self._first_dead(self.engine.paths.get(request_id, chain)):
             self.engine.stalled_on[request_id] = dead
@@ -427,13 +429,13 @@
 
 
 class ChainError(Exception):
-    """A chain doesn't run every layer once and in order."""
+    """A chain doesn't run every layer exactly once and in order."""
 
 
 def server_missing_layers(chain: str, fleet: dict[str, Engine]) -> str:
-    """Return the address of an engine that doesn't hold its part, if any.
+    """Return the address of the first engine that lacks layers of its part, or ``""``.
 
-    :raises ChainError: a layer is missing, or runs twice or out of order.
+    :raises ChainError: a layer is missing, repeated or out of order.
     """
     position = 0
     for part in chain.split(","):
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -1,7 +1,7 @@
-"""A small deployment on loopback: real processes, stand-ins around them.
+"""A small deployment of real processes and stand-ins on the loopback interface.
 
-For functional tests, benchmarks and the demonstration. Each process gets a
-settings file in a temporary folder, and is waited for by its readiness probe.
+Functional tests, benchmarks and the demonstration use it. Each process gets a settings
+file in a temporary folder; the start waits for the readiness probes.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class EngineHost:
-    """An engine and its agent."""
+    """A host that runs an engine and its agent."""
 
     host: str
     first_layer: int
@@ -54,7 +54,7 @@
 
 @dataclass
 class Process:
-    """One started process."""
+    """A started process."""
 
     name: str
     popen: subprocess.Popen[bytes]
@@ -64,20 +64,22 @@
         self.popen.send_signal(number)
 
     def freeze(self) -> None:
-        """Stop the process where it is."""
+        """Suspend the process with SIGSTOP."""
         self.signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self.signal(signal.SIGCONT)
 
     def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process and wait until it has exited."""
         self.signal(signal.SIGKILL)
         self.popen.wait()
 
     def stop(self, timeout_s: float = 20.0) -> int:
-        """Ask the process to stop; return its exit code."""
+        """Stop the process with SIGTERM and return its exit code.
+
+        :raises subprocess.TimeoutExpired: the process hasn't exited in time."""
         self.signal(signal.SIGTERM)
         return self.popen.wait(timeout_s)
 
@@ -96,9 +98,10 @@
 
 
 def _free_ports() -> Iterator[int]:
-    # Below the range that the system gives to outgoing connections, which
-    # could take a port between its choice and its use. Each test worker has
-    # ports of its own, and begins elsewhere than that of another run beside it.
+    # The ports are below the range that the system uses for outgoing connections,
+    # which could take a port between its choice and its use. Each test worker has
+    # its own range and starts at an offset that depends on the process, so that
+    # concurrent test runs rarely choose the same port.
     worker = int(os.environ.get("PYTEST_XDIST_WORKER", "gw8").removeprefix("gw"))
     first = FIRST_PORT + worker * PORTS_PER_WORKER
     offset = random.Random(os.getpid()).randrange(PORTS_PER_WORKER)
@@ -110,7 +113,7 @@
 
 
 def _is_free(port: int) -> bool:
-    """Return whether nobody takes connections or datagrams there."""
+    """Return whether no TCP or UDP socket is bound to the loopback port."""
     datagrams = socket.socket(type=socket.SOCK_DGRAM)
     with socket.socket() as probe, datagrams:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -126,13 +129,13 @@
 
 
 def free_port() -> int:
-    """Return a port on loopback that nobody uses, nor another test worker."""
+    """Return an unused loopback port from this test worker's range."""
     return next(_FREE_PORTS)
 
 
 @dataclass
 class Cluster:
-    """A deployment; use it as a context manager."""
+    """A deployment of processes, used as a context manager."""
 
     engines: list[EngineHost]
     entries: int = 1
@@ -196,7 +199,7 @@
 
     @property
     def platform_url(self) -> str:
-        """Base URL of the platform's stand-in."""
+        """Base URL of the platform stand-in."""
         return f"http://127.0.0.1:{self.port('platform')}"
 
     def start_engine(self, host: EngineHost) -> None:
@@ -268,7 +271,7 @@
         return f"http://127.0.0.1:{self.port(f'agent-{host}')}"
 
     def start_entry(self, index: int) -> None:
-        """Start an entry; :meth:`wait_serving` waits for it and its agents."""
+        """Start an entry; :meth:`wait_serving` waits until it and its agents serve."""
         sections: dict[str, dict[str, Any]] = {
             "listen": {
                 "callers": f"127.0.0.1:{self.port(f'callers-{index}')}",
@@ -319,11 +322,11 @@
         self.processes[name] = Process(name, popen)
 
     def read_log(self, name: str) -> str:
-        """Return what a process has logged."""
+        """Return the log output of a process."""
         return (self.folder / f"{name}.log").read_text()
 
     def port(self, name: str) -> int:
-        """Return the port of a name, choosing a free one at first."""
+        """Return the port of a name; the first call chooses a free one."""
         if name not in self.ports:
             self.ports[name] = next(_FREE_PORTS)
         return self.ports[name]
@@ -331,7 +334,9 @@
     # The platform.
 
     def publish_hosts(self, leaving: tuple[str, ...] = ()) -> None:
-        """Set the platform's host list."""
+        """Set the platform's host list.
+
+        :param leaving: names of the hosts that are listed as leaving."""
         names = [host.host for host in self.engines]
         names += [f"records-{index}" for index in range(self.service_hosts)]
         hosts = [
@@ -345,7 +350,7 @@
         post(f"{self.platform_url}/control/hosts", {"hosts": hosts})
 
     def publish_configuration(self) -> None:
-        """Append the first configuration to the log."""
+        """Append the initial configuration to the log."""
         placements = [
             {"host": h.host, "first_layer": h.first_layer, "last_layer": h.last_layer}
             for h in self.engines
@@ -375,7 +380,7 @@
     def change(
         self, kind: str, name: str, base_version: int, body: dict[str, Any] | None
     ) -> int:
-        """Append one configuration change; return its offset."""
+        """Append a configuration change to the log and return its offset."""
         record = {
             "type": "change",
             "write_id": uuid.uuid4().hex,
@@ -396,7 +401,7 @@
     # Waiting.
 
     def wait_http(self, url: str) -> None:
-        """Wait until ``url`` answers 200."""
+        """Wait until a request to ``url`` succeeds."""
 
         def responds() -> bool:
             try:
@@ -405,10 +410,10 @@
             except OSError:
                 return False
 
-        self.wait_until(responds, f"an answer from {url}")
+        self.wait_until(responds, f"a response from {url}")
 
     def wait_serving(self) -> None:
-        """Wait until every entry sees every agent serving."""
+        """Wait until every entry reports all agents as serving."""
         expected = len(self.engines) + self.service_hosts
         for index in range(self.entries):
             self.wait_http(f"{self.entry_url(index)}/readyz")
@@ -418,18 +423,18 @@
             )
 
     def serving(self, index: int = 0) -> int:
-        """Return how many agents an entry sees serving."""
+        """Return the number of agents that an entry reports as serving."""
         agents = self.status(index)["agents"]
         return sum(agent["state"] == "serving" for agent in agents)
 
     def status(self, index: int = 0) -> dict[str, Any]:
-        """Return an entry's status."""
+        """Return the status that an entry's operator port reports."""
         return get(f"{self.entry_url(index)}/v1/status")
 
     def wait_until(self, condition: Callable[[], bool], what: str) -> None:
-        """Wait for a condition.
+        """Poll a condition until it holds.
 
-        :raises TimeoutError: it didn't come true.
+        :raises TimeoutError: it doesn't hold within ``READY_TIMEOUT_S``.
         """
         deadline_s = time.monotonic() + READY_TIMEOUT_S
         while not condition():
@@ -438,18 +443,18 @@
                     f"--- {name}\n{self.read_log(name)[-1500:]}"
                     for name in self.processes
                 )
-                raise TimeoutError(f"waited in vain for {what}\n{logs}")
+                raise TimeoutError(f"timed out waiting for {what}\n{logs}")
             time.sleep(POLL_INTERVAL_S)
 
 
 def get(url: str) -> Any:
-    """Return the JSON at ``url``."""
+    """Return the decoded JSON response of a GET request."""
     with urllib.request.urlopen(url, timeout=10.0) as response:
         return json.load(response)
 
 
 def post(url: str, value: Any) -> Any:
-    """Send JSON to ``url`` and return the answer's."""
+    """Send JSON in a POST request and return the decoded response, if any."""
     request = urllib.request.Request(
         url,
         data=json.dumps(value).encode(),
@@ -462,7 +467,9 @@
 
 
 def caller_headers(workspace: str = WORKSPACE, **extra: str) -> dict[str, str]:
-    """Return the headers of a caller's request."""
+    """Return the headers of a caller's request.
+
+    :param extra: more headers; ``_`` in a name stands for ``-``."""
     return {
         "Railfold-Workspace": workspace,
         "Authorization": f"Bearer {CREDENTIAL}",
@@ -482,7 +489,9 @@
 def stream_generate(
     base_url: str, prompt: str, max_tokens: int, **headers: str
 ) -> Iterator[Event]:
-    """Send one streamed request; yield its events."""
+    """Send a streaming generate request and yield its events.
+
+    A response that isn't a stream yields one ``outcome`` event."""
     request = urllib.request.Request(
         f"{base_url}/v1/pipelines/{PIPELINE}/generate",
         data=json.dumps(
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: one streamed request through a small deployment."""
+"""Demonstration that streams one request through a small deployment."""
 
 from __future__ import annotations
 
@@ -10,7 +10,9 @@
 
 
 def main() -> int:
-    """Start everything, send the request, print the answer and its lineage."""
+    """Start the deployment, send the request and print the response and its lineage.
+
+    Returns the exit status: 0 if all tokens are as expected, else 1."""
     print("starting a log, an entry and three agents with engines ...")
     with Cluster(THREE_STAGES) as cluster:
         token_ids: list[int] = []
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -1,11 +1,10 @@
 """Stand-in for a model engine that holds a range of layers.
 
 The model is a chain of hashes: each layer mixes a position's hidden state into
-its KV cache, and the last layer's state gives the token. The answer depends on
-the prompt alone, however the layers are split over engines and however often
-an attempt begins anew, so that a test can state it in advance. The engine
-counts every (sequence, position) it runs twice and every one it is given out
-of order; both must stay zero.
+its KV cache, and the last layer's state determines the token. The output depends only
+on the prompt, not on how the layers are split over engines or how often an attempt is
+restarted, so tests can compute it in advance. The engine counts each position of a
+sequence that it is sent twice or out of order; both counts must stay zero.
 """
 
 from __future__ import annotations
@@ -27,7 +26,7 @@
 
 @dataclass(unfrozen=True)
 class EngineSpec:
-    """What one stand-in engine holds and how fast it is.
+    """The layers and the speed of one stand-in engine.
 
     A step takes ``fixed_ms`` plus ``per_sequence_ms`` for each sequence.
     """
@@ -66,7 +65,7 @@
         self.unfrozen.set()
 
     def run(self, item: dict[str, Any]) -> dict[str, Any]:
-        """Run one sequence's part of a step."""
+        """Run one sequence's part of a step; return its activation, token or error."""
         sequence, step = item["sequence"], item["step"]
         expected = self.positions.get(sequence)
         if expected is None and not item.get("begins"):
@@ -92,13 +91,13 @@
         return state
 
     def close(self, sequence: str) -> None:
-        """Free a sequence."""
+        """Free the cache and the position of a sequence."""
         self.caches.pop(sequence, None)
         self.positions.pop(sequence, None)
 
 
 def run_layer(cache: dict[int, bytes], layer: int, state: bytes) -> bytes:
-    """Return a layer's output; mixes the input into the layer's cache."""
+    """Mix the input state into the layer's cache and return the layer's output."""
     key = hashlib.blake2b(cache.get(layer, b"") + state, digest_size=STATE_BYTES)
     cache[layer] = key.digest()
     mixed = layer.to_bytes(4, "big") + cache[layer]
@@ -106,7 +105,7 @@
 
 
 def input_states(item: dict[str, Any]) -> list[bytes]:
-    """Return the hidden states that a step feeds to the first layer held."""
+    """Return the hidden states that a step feeds to the engine's first layer."""
     activation = item.get("activation")
     if activation is not None:
         return [
@@ -120,7 +119,7 @@
 
 
 def embed(data: bytes) -> bytes:
-    """Return the hidden state of an input."""
+    """Return the hidden state of an encoded input, ``STATE_BYTES`` long."""
     return hashlib.blake2b(data, digest_size=STATE_BYTES).digest()
 
 
@@ -130,12 +129,12 @@
 
 
 def token_from_state(state: bytes) -> int:
-    """Return the token that a last hidden state gives."""
+    """Return the token for the output state of the last layer."""
     return int.from_bytes(state[:4], "big") % VOCABULARY
 
 
 def expected_tokens(prompt: str, layer_count: int, count: int) -> list[int]:
-    """Return the answer that the whole model gives to a prompt."""
+    """Return the tokens that the complete model generates for a prompt."""
     cache: dict[int, bytes] = {}
     state = embed(prompt.encode())
     tokens: list[int] = []
@@ -153,10 +152,10 @@
 
 
 class StatusHandler(_Handler):
-    """What the engine has loaded, and its counters."""
+    """Reports the loaded layers and the counters."""
 
     def get(self) -> None:
-        """Answer."""
+        """Return the status."""
         state, spec = self.state, self.state.spec
         self.finish(
             {
@@ -180,7 +179,7 @@
 
 
 class StepHandler(_Handler):
-    """One step for several sequences; steps run one at a time."""
+    """Runs a step for several sequences; steps run one at a time."""
 
     async def post(self) -> None:
         """Run the step."""
@@ -189,8 +188,8 @@
         async with state.lock:
             await state.unfrozen.wait()
             step_ms = spec.fixed_ms + spec.per_sequence_ms * len(items)
-            # A thread's sleep is true to a tenth of a millisecond; the loop's
-            # timers are late by one or two.
+            # Sleeping in a thread is accurate to 0.1 ms; timers of the event loop are
+            # late by 1 or 2 ms.
             await asyncio.to_thread(time.sleep, step_ms / 1000.0)
             results = [state.run(item) for item in items]
             state.steps += 1
@@ -207,17 +206,17 @@
     """Frees sequences."""
 
     def post(self) -> None:
-        """Free them."""
+        """Free the sequences."""
         for sequence in msgspec.msgpack.decode(self.request.body):
             self.state.close(sequence)
         self.finish()
 
 
 class LoadHandler(_Handler):
-    """Loads other layers; caches of what was loaded are gone."""
+    """Loads other layers, which discards all caches."""
 
     async def post(self) -> None:
-        """Carry out the order, unless it is an old one and numbers are checked."""
+        """Execute the order; refuse an outdated fencing token if those are checked."""
         state = self.state
         order = msgspec.json.decode(self.request.body)
         fencing = order.pop("fencing")
@@ -236,13 +235,13 @@
 
 
 class ControlHandler(_Handler):
-    """What tests set: ``freeze``, ``thaw``, ``restart`` and ``drop``.
+    """Lets tests ``freeze``, ``thaw`` or ``restart`` the engine or ``drop`` a response.
 
-    ``drop`` loses the answer of the next step, which has run.
+    ``drop`` runs the next step but loses its response.
     """
 
     def post(self, what: str) -> None:
-        """Do it."""
+        """Apply the control action."""
         match what:
             case "freeze":
                 self.state.unfrozen.clear()
--- a/standins/metadata_store.py
+++ b/standins/metadata_store.py
@@ -1,10 +1,11 @@
-"""Stand-in for the users' metadata store, as its pages tell it.
+"""Stand-in for the users' metadata store, as its documentation describes it.
 
 Topics whose names begin with ``keyed.`` keep the newest record of each key.
-Faults are attributes: ``mode`` is ``"ok"``, ``"out"`` (answers 503), ``"silent"``
-(no answer) or ``"reset"`` (closes the connection); ``turned_away`` holds the
-members whose joins get no answer. :meth:`MetadataStore.go_back` lets it come back
-from an older copy: what was written since is gone, and its era rises by one.
+Tests inject faults by setting attributes: ``mode`` is ``"ok"``, ``"out"`` (answers
+503), ``"silent"`` (no response) or ``"reset"`` (closes the connection), and
+``ignored_members`` holds the members whose joins get no response.
+:meth:`MetadataStore.restore_copy` restores an older copy: later writes are lost, and
+the era increases by one.
 """
 
 from __future__ import annotations
@@ -22,16 +23,16 @@
 
 PARTITIONS = 12
 
-# Of a group's topics no more are dealt out, as the platform's store does.
+# The platform's store assigns partitions of at most this many topics of a group.
 MAX_ASSIGNED_TOPICS = 20
 
-# A read returns no more than this, but one record at least.
+# Default size limit of a read, which returns at least one record even if it is larger.
 MAX_READ_KB = 1024
 
 
 @dataclass
 class Topic:
-    """One partition of records: key, value (empty if the key is gone)."""
+    """One partition of (key, value) records; an empty value deletes the key."""
 
     first: int = 0
     records: list[tuple[str, bytes]] = field(default_factory=list)
@@ -40,7 +41,7 @@
 
     @property
     def end(self) -> int:
-        """The offset that the next record gets."""
+        """The offset of the next record."""
         return self.first + len(self.records)
 
     def append(self, key: str, value: bytes) -> None:
@@ -53,14 +54,14 @@
         self.append_event = asyncio.Event()
 
     def forget(self) -> None:
-        """Drop all history; the newest record of each key stays."""
+        """Drop the history but keep the newest record of each key."""
         self.first = self.end
         self.records = []
 
 
 @dataclass
 class Group:
-    """Members of a group and the time each was last heard."""
+    """A consumer group: its members, their last joins and acknowledged generations."""
 
     generation: int = 0
     last_heartbeat_s: dict[str, float] = field(default_factory=dict)
@@ -68,7 +69,10 @@
     acknowledged: dict[str, int] = field(default_factory=dict)
 
     def join(self, member: str, ttl_s: float, generation: int) -> None:
-        """Hear of a member."""
+        """Add a member or renew it, and drop members whose time to live is over.
+
+        :param generation: the generation that the member acknowledges.
+        """
         now_s = time.monotonic()
         self.ttl_s = ttl_s
         members_before = set(self.last_heartbeat_s)
@@ -83,12 +87,15 @@
         self.acknowledged[member] = generation
 
     def leave(self, member: str) -> None:
-        """A member goes."""
+        """Remove a member."""
         if self.last_heartbeat_s.pop(member, None) is not None:
             self.generation += 1
 
     def rows(self, member: str, topics: list[str]) -> list[list[Any]]:
-        """Return the partitions dealt to a member, once all know the deal."""
+        """Return the partitions of a member once the others know the generation.
+
+        Empty until all other members have acknowledged it, so that no partition has
+        two owners."""
         members = sorted(self.last_heartbeat_s)
         behind = [m for m in members if self.acknowledged.get(m) != self.generation]
         assigned = topics[:MAX_ASSIGNED_TOPICS]
@@ -99,7 +106,7 @@
 
 @dataclass
 class StoreCopy:
-    """What a store held at some time."""
+    """A copy of a store's contents."""
 
     topics: dict[str, Topic]
     groups: dict[str, Group]
@@ -107,7 +114,7 @@
 
 @dataclass
 class MetadataStore:
-    """What the store holds, and its faults."""
+    """The contents of the store, its era and its fault mode."""
 
     topics: dict[str, Topic] = field(default_factory=dict)
     groups: dict[str, Group] = field(default_factory=dict)
@@ -117,16 +124,16 @@
     era: int = 0
 
     def topic(self, name: str) -> Topic:
-        """Return a topic, made at its first use."""
+        """Return a topic; create it if it doesn't exist."""
         return self.topics.setdefault(name, Topic())
 
     def put(self, topic: str, key: str, document: Any) -> None:
-        """Write a record, as operators and backend servers do."""
+        """Append a JSON record, or a deletion if ``document`` is ``None``."""
         value = b"" if document is None else json.dumps(document).encode()
         self.topic(topic).append(key, value)
 
     def copy(self) -> StoreCopy:
-        """Return what it holds now."""
+        """Return a copy of the topics and groups."""
         topics = {
             name: Topic(topic.first, list(topic.records), dict(topic.newest))
             for name, topic in self.topics.items()
@@ -142,7 +149,7 @@
         return StoreCopy(topics, groups)
 
     def restore_copy(self, copy: StoreCopy) -> None:
-        """Come back from a copy; calls that wait are answered from it."""
+        """Restore a copy and increment the era; waiting reads get its records."""
         waiting = [topic.append_event for topic in self.topics.values()]
         self.topics = copy.topics
         self.groups = copy.groups
@@ -175,11 +182,11 @@
         await self.apply_fault()
 
     def set_era_header(self) -> None:
-        """Say which of its histories the answer is of."""
+        """Set the header with the era that the response belongs to."""
         self.set_header("Store-Era", str(self.store.era))
 
     async def apply_fault(self) -> None:
-        """Do what the mode says."""
+        """Apply the fault mode to the request."""
         match self.store.mode:
             case "out":
                 self.set_status(503)
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -1,10 +1,10 @@
 """Stand-in for the platform's log service and host list.
 
 Faults are set with ``POST /faults``: ``{"mode": "ok"}``, ``"out"`` (answers
-503), ``"hang"`` (no answer), ``"slow"`` (answers after ``delay_s``),
-``"lose_answer"`` (appends take effect, but the answer is lost),
-``"lose_append"`` (appends break before any effect) and ``"log_out"`` (the log
-answers 503, the host list works).
+503), ``"hang"`` (no response), ``"slow"`` (responds after ``delay_s``),
+``"lose_answer"`` (appends take effect, but the response is lost),
+``"lose_append"`` (the connection closes before an append takes effect) and
+``"log_out"`` (the log answers 503, the host list works).
 """
 
 from __future__ import annotations
@@ -31,11 +31,11 @@
 
     @property
     def next_offset(self) -> int:
-        """The offset that the next record gets."""
+        """The offset of the next record."""
         return self.first_offset + len(self.records)
 
     def append(self, bodies: list[Any]) -> list[int]:
-        """Append records; return their offsets."""
+        """Append records and return their offsets."""
         offsets = []
         for body in bodies:
             offsets.append(self.next_offset)
@@ -50,7 +50,7 @@
         return offsets
 
     def truncate(self, first_offset: int) -> None:
-        """Forget records before ``first_offset``."""
+        """Drop the records before ``first_offset``."""
         dropped_count = max(0, min(first_offset, self.next_offset) - self.first_offset)
         self.records = self.records[dropped_count:]
         self.first_offset += dropped_count
@@ -58,7 +58,7 @@
 
 @dataclass
 class Platform:
-    """The stand-in's state."""
+    """State of the log service and the host list, and the fault mode."""
 
     streams: dict[str, Stream] = field(default_factory=dict)
     hosts: list[dict[str, str]] = field(default_factory=list)
@@ -69,7 +69,7 @@
     hosts_reads: int = 0
 
     def stream(self, name: str) -> Stream:
-        """Return a stream, making it if need be."""
+        """Return a stream; create it if it doesn't exist."""
         return self.streams.setdefault(name, Stream())
 
 
@@ -88,18 +88,18 @@
                 await asyncio.sleep(platform.delay_s)
 
     def break_connection(self) -> None:
-        """End the connection without an answer."""
+        """Close the connection without a response."""
         self.request.connection.detach().close()
         self._finished = True
 
     def answer(self, value: Any) -> None:
-        """Answer with JSON."""
+        """Respond with JSON."""
         self.set_header("Content-Type", "application/json")
         self.finish(msgspec.json.encode(value))
 
 
 class RecordsHandler(_Handler):
-    """Reads and appends."""
+    """Reads and appends records of a stream."""
 
     async def prepare(self) -> None:
         """Apply the fault mode."""
@@ -109,7 +109,7 @@
         await super().prepare()
 
     async def get(self, name: str) -> None:
-        """Read records, waiting for one if there is none."""
+        """Return records; wait up to ``wait_s`` if there is none yet."""
         stream = self.platform.stream(name)
         offset = int(self.get_query_argument("from"))
         limit = int(self.get_query_argument("limit"))
@@ -150,23 +150,23 @@
 
 
 class HostsHandler(_Handler):
-    """The host list."""
+    """Serves the host list."""
 
     def get(self) -> None:
-        """Return the list."""
+        """Return the hosts."""
         self.platform.hosts_reads += 1
         self.answer({"hosts": self.platform.hosts})
 
 
 class ControlHandler(RequestHandler):
-    """What tests set and read; never subject to faults."""
+    """Lets tests set and read state; fault modes don't affect it."""
 
     def initialize(self, platform: Platform) -> None:
-        """Set up."""
+        """Keep the platform's state."""
         self.platform = platform
 
     def get(self, what: str) -> None:
-        """Return counters."""
+        """Return the counters and the next offset of each stream."""
         self.finish(
             {
                 "appends": self.platform.appends,
@@ -176,7 +176,7 @@
         )
 
     def post(self, what: str) -> None:
-        """Set hosts, faults or retention."""
+        """Set the hosts or the fault mode, or truncate a stream."""
         body = msgspec.json.decode(self.request.body)
         platform = self.platform
         match what:
--- a/standins/service.py
+++ b/standins/service.py
@@ -1,8 +1,8 @@
-"""Stand-in for a plain service whose calls may not be repeated.
+"""Stand-in for a plain service whose calls aren't idempotent.
 
-``POST /slips/<id>`` logs a slip and counts it; ``POST /drops/<id>`` does so and
-loses the answer; ``GET /slips`` returns the counts; ``GET /echo`` answers at
-once.
+``POST /slips/<id>`` records a slip and counts it. ``POST /drops/<id>`` does the same
+but closes the connection without a response. ``GET /slips`` returns the counts, and
+``GET /echo`` responds at once.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass
 class ServiceState:
-    """What was logged."""
+    """How often each slip was recorded, and the delay of each call."""
 
     slips: Counter[str] = field(default_factory=Counter)
     delay_s: float = 0.0
@@ -28,10 +28,10 @@
 
 
 class SlipHandler(_Handler):
-    """Logs slips."""
+    """Records slips."""
 
     async def post(self, slip: str) -> None:
-        """Log one."""
+        """Record a slip and return its count."""
         self.state.slips[slip] += 1
         await asyncio.sleep(self.state.delay_s)
         self.set_status(201)
@@ -39,28 +39,28 @@
 
 
 class DropHandler(_Handler):
-    """Logs a slip and ends the connection without an answer."""
+    """Records a slip and closes the connection without a response."""
 
     def post(self, slip: str) -> None:
-        """Log one."""
+        """Record a slip."""
         self.state.slips[slip] += 1
         self.request.connection.detach().close()
         self._finished = True
 
 
 class SlipsHandler(_Handler):
-    """Returns all counts."""
+    """Returns the counts of all slips."""
 
     def get(self) -> None:
-        """Answer."""
+        """Return the counts."""
         self.finish(dict(self.state.slips))
 
 
 class HealthHandler(_Handler):
-    """Always healthy."""
+    """Reports the service as healthy."""
 
     def get(self) -> None:
-        """Answer."""
+        """Respond with ``ok``."""
         self.finish("ok")
 
 
@@ -68,7 +68,7 @@
     """Sets the delay of each call, in milliseconds."""
 
     def post(self, what: str) -> None:
-        """Set it."""
+        """Set the delay."""
         self.state.delay_s = int(what) / 1000.0
         self.finish({})
 
