--- a/soak/clients.py
+++ b/soak/clients.py
@@ -336,7 +336,8 @@
 def _check_leaving(deployment: Deployment, observations: Observations) -> None:
     """Check that servers whose responses announce that they leave get no requests.
 
-    Each entry may send some until it has received such a response."""
+    Each entry may send some until it has received such a response.
+    """
     if any(fault.name == "link_fault" for fault in deployment.injected):
         return
     for server in deployment.servers:
--- a/soak/deployment.py
+++ b/soak/deployment.py
@@ -288,7 +288,8 @@
         """Return whether requests may have been late because of the store or a pause.
 
         This holds if the store or a link to it failed, or an entry was suspended, at
-        most 4 s before ``since_s`` or later."""
+        most 4 s before ``since_s`` or later.
+        """
         return any(at_s >= since_s - 4.0 for at_s in self.store_outages_s)
 
     def faults_active_since(self, since_s: float) -> set[str]:
--- a/standins/chaining_engine.py
+++ b/standins/chaining_engine.py
@@ -156,7 +156,7 @@
         self.fleet.pop(self.address, None)
 
     def crash(self) -> None:
-        """Close all connections at once and keep the registration, like a real crash."""
+        """Close all connections at once; the registration stays, as in a real crash."""
         server, self._server = self._server, None
         if server is None:
             return
@@ -188,7 +188,7 @@
         )
 
     def start_time_fields(self) -> dict[str, int]:
-        """Return the start time field of all its messages; empty if ``born`` is unset."""
+        """Return the start time field of its messages; empty without ``born``."""
         return {} if self.born is None else {"born": self.born}
 
     async def restart(self, born: int) -> None:
@@ -210,7 +210,7 @@
         self.start()
 
     def reported_layers(self) -> dict[str, int] | None:
-        """Return the loaded layers in the format of reports, or ``None`` if there are none."""
+        """Return the loaded layers as reports have them, or ``None``."""
         if self.layers is None:
             return None
         first, end = self.layers
--- a/standins/cluster.py
+++ b/standins/cluster.py
@@ -79,7 +79,8 @@
     def stop(self, timeout_s: float = 20.0) -> int:
         """Stop the process with SIGTERM and return its exit code.
 
-        :raises subprocess.TimeoutExpired: the process hasn't exited in time."""
+        :raises subprocess.TimeoutExpired: the process hasn't exited in time.
+        """
         self.signal(signal.SIGTERM)
         return self.popen.wait(timeout_s)
 
@@ -336,7 +337,8 @@
     def publish_hosts(self, leaving: tuple[str, ...] = ()) -> None:
         """Set the platform's host list.
 
-        :param leaving: names of the hosts that are listed as leaving."""
+        :param leaving: names of the hosts that are listed as leaving.
+        """
         names = [host.host for host in self.engines]
         names += [f"records-{index}" for index in range(self.service_hosts)]
         hosts = [
@@ -469,7 +471,8 @@
 def caller_headers(workspace: str = WORKSPACE, **extra: str) -> dict[str, str]:
     """Return the headers of a caller's request.
 
-    :param extra: more headers; ``_`` in a name stands for ``-``."""
+    :param extra: more headers; ``_`` in a name stands for ``-``.
+    """
     return {
         "Railfold-Workspace": workspace,
         "Authorization": f"Bearer {CREDENTIAL}",
@@ -491,7 +494,8 @@
 ) -> Iterator[Event]:
     """Send a streaming generate request and yield its events.
 
-    A response that isn't a stream yields one ``outcome`` event."""
+    A response that isn't a stream yields one ``outcome`` event.
+    """
     request = urllib.request.Request(
         f"{base_url}/v1/pipelines/{PIPELINE}/generate",
         data=json.dumps(
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -12,7 +12,8 @@
 def main() -> int:
     """Start the deployment, send the request and print the response and its lineage.
 
-    Returns the exit status: 0 if all tokens are as expected, else 1."""
+    Returns the exit status: 0 if all tokens are as expected, else 1.
+    """
     print("starting a log, an entry and three agents with engines ...")
     with Cluster(THREE_STAGES) as cluster:
         token_ids: list[int] = []
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -24,7 +24,7 @@
 VOCABULARY = 50_000
 
 
-@dataclass(unfrozen=True)
+@dataclass(frozen=True)
 class EngineSpec:
     """The layers and the speed of one stand-in engine.
 
--- a/standins/metadata_store.py
+++ b/standins/metadata_store.py
@@ -95,7 +95,8 @@
         """Return the partitions of a member once the others know the generation.
 
         Empty until all other members have acknowledged it, so that no partition has
-        two owners."""
+        two owners.
+        """
         members = sorted(self.last_heartbeat_s)
         behind = [m for m in members if self.acknowledged.get(m) != self.generation]
         assigned = topics[:MAX_ASSIGNED_TOPICS]
--- a/tests/forwarding/test_incarnations.py
+++ b/tests/forwarding/test_incarnations.py
@@ -98,7 +98,7 @@
         deployment_with_start_times.ask("/slip/1", "r-1")
     )
     await until(lambda: run_count(deployment_with_start_times, "r-1") == 1)
-    (server,) = [s for s in deployment_with_start_times.plain if s.runs["r-1"]]
+    (server,) = [s for s in deployment_with_start_times.plain if s.run_counts["r-1"]]
     started_s = asyncio.get_running_loop().time()
     # As after a power failure of the host, the old connection isn't closed.
     server.born = SECOND_START
--- a/tests/forwarding/test_memory_held_for_clients.py
+++ b/tests/forwarding/test_memory_held_for_clients.py
@@ -89,7 +89,7 @@
     assert reply.status == 503
     assert b"memory_short" in reply.body
     assert float(reply.headers["Retry-After"]) > 0
-    assert not any(server.runs["f-9"] for server in small_host.plain)
+    assert not any(server.run_counts["f-9"] for server in small_host.plain)
     for connection in connections:
         connection.close()
 
--- a/tests/forwarding/test_requests.py
+++ b/tests/forwarding/test_requests.py
@@ -37,7 +37,7 @@
 
 async def test_a_chain_stays_within_one_failure_domain(deployment: Deployment) -> None:
     await deployment.ask("/draft/1", "s-1")
-    (engine,) = [e for e in deployment.engines if e.runs["s-1"]]
+    (engine,) = [e for e in deployment.engines if e.run_counts["s-1"]]
     chain = engine.received_headers[0]["Railfold-Hop-Count"]
     zones = {deployment.fleet[part.partition("=")[0]].zone for part in chain.split(",")}
     assert zones == {"hall-a"}
@@ -152,7 +152,7 @@
     await connection.send("/draft/1", "s-1", events=1000)
     await connection.read_head()
     connection.close()
-    (engine,) = [e for e in deployment.engines if e.runs["s-1"]]
+    (engine,) = [e for e in deployment.engines if e.run_counts["s-1"]]
     await until(lambda: "s-1" in engine.cancelled)
 
 
--- a/tests/forwarding/test_starting.py
+++ b/tests/forwarding/test_starting.py
@@ -64,7 +64,7 @@
     reply = await asyncio.wait_for(connection.read(), front._MAX_STARTUP_WAIT_S + 2.0)
     assert reply.status == 503
     assert float(reply.headers["Retry-After"]) > 0
-    assert sum(engine.runs.total() for engine in prepared.engines) == 0
+    assert sum(engine.run_counts.total() for engine in prepared.engines) == 0
     connection.close()
 
 
--- a/tests/lib/forwarding.py
+++ b/tests/lib/forwarding.py
@@ -381,8 +381,8 @@
     """Begin a stream; return its connection and the engine that sends it."""
     connection = await deployment.connect()
     await connection.send("/draft/1", request_id, events=events)
-    await until(lambda: any(e.runs[request_id] for e in deployment.engines))
-    (engine,) = [e for e in deployment.engines if e.runs[request_id]]
+    await until(lambda: any(e.run_counts[request_id] for e in deployment.engines))
+    (engine,) = [e for e in deployment.engines if e.run_counts[request_id]]
     await asyncio.sleep(0.15)
     return connection, engine
 
@@ -395,7 +395,7 @@
 def run_count(deployment: Deployment, request_id: str) -> int:
     """Return how often backend servers ran a request."""
     servers = (*deployment.engines, *deployment.plain)
-    return sum(server.runs[request_id] for server in servers)
+    return sum(server.run_counts[request_id] for server in servers)
 
 
 def suspected_servers(deployment: Deployment) -> list[str]:
