--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -19,20 +19,20 @@
     new_client,
     percentile,
     print_table,
+    read_usage,
     run,
-    usage,
 )
 from railfold._internal.operations.processes import fetch
 from standins.cluster import LAYER_COUNT, SERVICE, Cluster, EngineHost
 
-GROUPS = (5, 10, 20, 40)
+AGENT_COUNTS = (5, 10, 20, 40)
 ENTRIES = 2
-SETTLE_S = 4.0
-WINDOW_S = 10.0
-CHANGES = 10
-SLOW_S = 1.0
-POLL_S = 0.05
-GIVE_UP_S = 30.0
+SETTLE_TIME_S = 4.0
+MEASURED_WINDOW_S = 10.0
+CHANGE_COUNT = 10
+SLOW_LOG_DELAY_S = 1.0
+POLL_INTERVAL_S = 0.05
+TIMEOUT_S = 30.0
 
 
 def hosts(count: int) -> list[EngineHost]:
@@ -60,33 +60,33 @@
     return int(status["link_bytes_sent"] + status["link_bytes_received"])
 
 
-def spent(before: Usage, after: Usage) -> float:
+def cpu_percent(before: Usage, after: Usage) -> float:
     """Return the processor time between, in percent of a core."""
-    return (after.cpu_s - before.cpu_s) / WINDOW_S * 100
+    return (after.cpu_s - before.cpu_s) / MEASURED_WINDOW_S * 100
 
 
 def idle_row(cluster: Cluster, count: int) -> list[object]:
     """Measure an idle deployment."""
-    time.sleep(SETTLE_S)
+    time.sleep(SETTLE_TIME_S)
     names = ["entry-0", *(f"agent-host-{n}" for n in range(count))]
-    before = {name: usage(cluster, name) for name in names}
+    before = {name: read_usage(cluster, name) for name in names}
     bytes_before = link_bytes(cluster)
-    time.sleep(WINDOW_S)
-    after = {name: usage(cluster, name) for name in names}
+    time.sleep(MEASURED_WINDOW_S)
+    after = {name: read_usage(cluster, name) for name in names}
     sent = link_bytes(cluster) - bytes_before
-    agents = [spent(before[n], after[n]) for n in names[1:]]
+    agents = [cpu_percent(before[n], after[n]) for n in names[1:]]
     return [
         count,
-        spent(before["entry-0"], after["entry-0"]),
-        sent / WINDOW_S,
+        cpu_percent(before["entry-0"], after["entry-0"]),
+        sent / MEASURED_WINDOW_S,
         after["entry-0"].resident_mib,
         median(agents),
-        sent / WINDOW_S / count,
+        sent / MEASURED_WINDOW_S / count,
         median([after[n].resident_mib for n in names[1:]]),
     ]
 
 
-async def times_in_force(
+async def times_until_in_force(
     cluster: Cluster, version: int, started_s: float
 ) -> list[float]:
     """Return the time until ``version`` was in force, for each process."""
@@ -95,12 +95,12 @@
     urls += [cluster.agent_url(h.host) for h in cluster.engines]
     return list(
         await asyncio.gather(
-            *(time_in_force(http, url, version, started_s) for url in urls)
+            *(time_until_in_force(http, url, version, started_s) for url in urls)
         )
     )
 
 
-async def time_in_force(
+async def time_until_in_force(
     http: AsyncHTTPClient, url: str, version: int, started_s: float
 ) -> float:
     """Return the time until one process has ``version``."""
@@ -108,9 +108,9 @@
         status = await fetch(http, url, "/v1/status")
         if status["configuration_version"] >= version:
             return time.perf_counter() - started_s
-        if time.perf_counter() - started_s > GIVE_UP_S:
+        if time.perf_counter() - started_s > TIMEOUT_S:
             raise TimeoutError(f"{url} doesn't come to version {version}")
-        await asyncio.sleep(POLL_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def change_row(
@@ -118,9 +118,9 @@
 ) -> list[object]:
     """Publish changes in one state of the log."""
     seconds: list[float] = []
-    for number in range(CHANGES):
+    for number in range(CHANGE_COUNT):
         if mode == "slow":
-            cluster.fault("slow", SLOW_S)
+            cluster.fault("slow", SLOW_LOG_DELAY_S)
         if mode == "out":
             cluster.processes["entry-1"].freeze()
         body = {"hosts": [f"{mode}-{number}"]}
@@ -131,11 +131,13 @@
         if mode == "out":
             # One entry has read the change; the other wakes in the outage and
             # can only learn of it from agents.
-            await time_in_force(new_client(), cluster.entry_url(0), version, started_s)
+            await time_until_in_force(
+                new_client(), cluster.entry_url(0), version, started_s
+            )
             cluster.fault("log_out")
             started_s = time.perf_counter()
             cluster.processes["entry-1"].thaw()
-        seconds += await times_in_force(cluster, version, started_s)
+        seconds += await times_until_in_force(cluster, version, started_s)
         cluster.fault("ok")
     return [
         mode,
@@ -146,7 +148,7 @@
     ]
 
 
-async def in_force(cluster: Cluster) -> list[list[object]]:
+async def measure_changes(cluster: Cluster) -> list[list[object]]:
     """Return the rows of all states of the log."""
     versions: dict[str, int] = {}
     modes = ("healthy", "slow", "out")
@@ -156,7 +158,7 @@
 def main() -> None:
     """Measure and print."""
     rows = []
-    for count in GROUPS:
+    for count in AGENT_COUNTS:
         with deployment(count) as cluster:
             rows.append(idle_row(cluster, count))
     print_table(
@@ -172,9 +174,9 @@
         ],
         rows,
     )
-    group = GROUPS[-1]
+    group = AGENT_COUNTS[-1]
     with deployment(group) as cluster:
-        changes = run(in_force(cluster))
+        changes = run(measure_changes(cluster))
     print_table(
         f"from accepted to in force, {group} agents and {ENTRIES} entries",
         ["log", "samples", "p50 ms", "p99 ms", "worst ms"],
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -27,9 +27,9 @@
 from railfold._internal.decisions.policy import Policy
 from tests.lib.models import FAST, MIDDLE, MODEL
 
-RUNNERS = (40, 150, 300, 600)
-ENGINES = (10, 20, 40, 60, 200)
-WORKSPACES = (10, 150, 300, 610)
+REPLICA_COUNTS = (40, 150, 300, 600)
+ENGINE_COUNTS = (10, 20, 40, 60, 200)
+WORKSPACE_COUNTS = (10, 150, 300, 610)
 STAGES = 4
 DOMAINS = 10
 REGIONS = 3
@@ -47,7 +47,7 @@
     return (time.perf_counter() - started_s) / count * 1e6
 
 
-def replicas(runners: int, rng: random.Random) -> list[Replica]:
+def replicas(replica_count: int, rng: random.Random) -> list[Replica]:
     """Return runners spread over stages, domains and regions."""
     return [
         Replica(
@@ -63,18 +63,18 @@
             capacity=64,
             step_ms=rng.uniform(5, 15),
         )
-        for n in range(runners)
+        for n in range(replica_count)
     ]
 
 
-def plan_cost_us(runners: int) -> float:
+def plan_cost_us(replica_count: int) -> float:
     """Return the time to plan one chain."""
     rng = random.Random(1)
-    known = replicas(runners, rng)
+    candidates = replicas(replica_count, rng)
 
     def plan() -> None:
         plan_chain(
-            known,
+            candidates,
             STAGES * 8,
             exclude=frozenset(),
             prefer=(),
@@ -86,7 +86,9 @@
     return time_us(plan, 200)
 
 
-def folded(workspaces: int, runners: int) -> tuple[Configuration, float]:
+def fold_configuration(
+    workspaces: int, replica_count: int
+) -> tuple[Configuration, float]:
     """Return a configuration and the seconds it took to fold it."""
     configuration = Configuration()
     offset = 0
@@ -105,7 +107,7 @@
                 "first_layer": n % STAGES * 8,
                 "last_layer": n % STAGES * 8 + 7,
             }
-            for n in range(runners // 8 // STAGES * STAGES)
+            for n in range(replica_count // 8 // STAGES * STAGES)
         ]
         body = {
             "model": f"model-{model}",
@@ -128,35 +130,39 @@
     """Return one row of the placement table: the time of one look, in milliseconds."""
     model = MODEL
     kinds = [FAST if n % 4 == 0 else MIDDLE for n in range(count)]
-    empty = [EnginePlacement(f"e{n:03d}", kind, None) for n, kind in enumerate(kinds)]
-    first_us = time_us(lambda: plan_layers(empty, model), 1)
-    plan = plan_layers(empty, model)
-    whole = [replace(e, held_layers=plan.get(e.server_id), busy=True) for e in empty]
+    empty_engines = [
+        EnginePlacement(f"e{n:03d}", kind, None) for n, kind in enumerate(kinds)
+    ]
+    first_plan_us = time_us(lambda: plan_layers(empty_engines, model), 1)
+    plan = plan_layers(empty_engines, model)
+    complete = [
+        replace(e, held_layers=plan.get(e.server_id), busy=True) for e in empty_engines
+    ]
     without_first = [
-        e for e in whole if e.held_layers is None or e.held_layers.first > 0
+        e for e in complete if e.held_layers is None or e.held_layers.first > 0
     ]
     return [
         count,
-        first_us / 1000,
+        first_plan_us / 1000,
         time_us(lambda: plan_layers(without_first, model, 20.0), 3) / 1000,
-        time_us(lambda: plan_layers(whole, model, 20.0), 3) / 1000,
+        time_us(lambda: plan_layers(complete, model, 20.0), 3) / 1000,
     ]
 
 
 def configuration_row(workspaces: int) -> list[object]:
     """Return one row of the configuration table."""
     tracemalloc.start()
-    configuration, _ = folded(workspaces, 600)
-    held_bytes, _ = tracemalloc.get_traced_memory()
+    configuration, _ = fold_configuration(workspaces, 600)
+    allocated_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    configuration, seconds = folded(workspaces, 600)
+    configuration, seconds = fold_configuration(workspaces, 600)
     records = workspaces + 8
     encode_us = time_us(configuration.encoded_state, 20)
     return [
         workspaces,
         records,
         seconds / records * 1e6,
-        held_bytes / 1024,
+        allocated_bytes / 1024,
         len(configuration.encoded_state()) / 1024,
         encode_us / 1000,
     ]
@@ -168,11 +174,11 @@
     for number in range(flows * 4):
         queue.push(f"w{number % flows}", 1.0, 0, 100.0, number)
 
-    def turn() -> None:
+    def pop_and_push() -> None:
         item = queue.pop() or 0
         queue.push(f"w{item % flows}", 1.0, 0, 100.0, item)
 
-    return time_us(turn, 2000)
+    return time_us(pop_and_push, 2000)
 
 
 def main() -> None:
@@ -180,17 +186,20 @@
     print_table(
         "planning one chain",
         ["runners", "us"],
-        [[runners, plan_cost_us(runners)] for runners in RUNNERS],
+        [
+            [replica_count, plan_cost_us(replica_count)]
+            for replica_count in REPLICA_COUNTS
+        ],
     )
     print_table(
         "placing layers in one failure domain, ms a look",
         ["engines", "first plan", "repair", "whole"],
-        [placement_row(engines) for engines in ENGINES],
+        [placement_row(engines) for engines in ENGINE_COUNTS],
     )
     print_table(
         "configuration of 8 pipelines over 600 runners",
         ["workspaces", "records", "fold us", "held KiB", "state KiB", "encode ms"],
-        [configuration_row(workspaces) for workspaces in WORKSPACES],
+        [configuration_row(workspaces) for workspaces in WORKSPACE_COUNTS],
     )
     print_table(
         "fair queue, one push and one pop",
--- a/benchmarks/fleet_load.py
+++ b/benchmarks/fleet_load.py
@@ -36,16 +36,16 @@
     (380, 10, 600, 14, 610),
 )
 _STAGES = 8
-_NETWORK_BYTES = 28
+_HEADER_BYTES = 28
 
 
 @dataclass
-class Channel:
+class InMemoryChannel:
     """A channel between entries in one process."""
 
     name: str
     codec: PeerMessageCodec
-    fleet: dict[str, Channel]
+    fleet: dict[str, InMemoryChannel]
     names_by_domain: dict[str, list[str]]
     exchange: Any = None
     sent_bytes: int = 0
@@ -69,12 +69,12 @@
         datagram = self.codec.encode(envelope)
         self.largest_bytes = max(self.largest_bytes, len(datagram))
         for name in names:
-            self.sent_bytes += len(datagram) + _NETWORK_BYTES
+            self.sent_bytes += len(datagram) + _HEADER_BYTES
             asyncio.get_running_loop().call_soon(self.fleet[name].receive, datagram)
 
     def receive(self, datagram: bytes) -> None:
         """Take a datagram."""
-        self.received_bytes += len(datagram) + _NETWORK_BYTES
+        self.received_bytes += len(datagram) + _HEADER_BYTES
         envelope = self.codec.decode(datagram, clock.unix_time_s())
         self.exchange.message_received(envelope.message)
 
@@ -105,12 +105,12 @@
     for n in range(entries):
         members.setdefault(f"domain-{n % domains}", []).append(f"front-hall-{n}")
     codec = PeerMessageCodec(b"k" * 32)
-    fleet: dict[str, Channel] = {}
+    fleet: dict[str, InMemoryChannel] = {}
     routers = []
     for domain, names in members.items():
         for name in names:
             router = _router(domain, entries, engines, rng)
-            channel = Channel(name, codec, fleet, members)
+            channel = InMemoryChannel(name, codec, fleet, members)
             channel.exchange = LoadExchange(name, router, channel)  # type: ignore[arg-type]
             fleet[name] = channel
             routers.append(router)
@@ -128,21 +128,21 @@
     ]
     await asyncio.sleep(seconds / 2)
     before = [(c.sent_bytes, c.received_bytes) for c in fleet.values()]
-    began_s, busy_s = time.monotonic(), time.process_time()
+    started_s, cpu_s = time.monotonic(), time.process_time()
     await asyncio.sleep(seconds)
-    took_s = time.monotonic() - began_s
-    busy_s = time.process_time() - busy_s
+    elapsed_s = time.monotonic() - started_s
+    cpu_s = time.process_time() - cpu_s
     for task in tasks:
         task.cancel()
     rates = [
-        (c.sent_bytes - sent + c.received_bytes - received) / took_s
+        (c.sent_bytes - sent + c.received_bytes - received) / elapsed_s
         for c, (sent, received) in zip(fleet.values(), before, strict=True)
     ]
     now_s = asyncio.get_running_loop().time()
     return {
         "bytes_per_s": sum(rates) / len(rates),
         "most_bytes_per_s": max(rates),
-        "core_share": busy_s / took_s / entries,
+        "core_share": cpu_s / elapsed_s / entries,
         "interval_s": routers[0].metrics.gauges["load.interval_s"],
         "known_share": min(r.fleet_load.known_entries(now_s) for r in routers)
         / entries,
--- a/benchmarks/isolation.py
+++ b/benchmarks/isolation.py
@@ -35,34 +35,34 @@
 ]
 WORKSPACES = {"quiet": {}, "flood": {}, **{f"load-{n}": {} for n in range(10)}}
 QUIET_REQUESTS = 60
-QUIET_EVERY_S = 0.15
-LOADS = (0.8, 1.0, 1.5, 2.0)
-LOAD_SECONDS = 8.0
+QUIET_INTERVAL_S = 0.15
+LOAD_MULTIPLES = (0.8, 1.0, 1.5, 2.0)
+LOAD_DURATION_S = 8.0
 DEADLINE_S = 2.0
 
 
 @dataclass
-class Load:
+class LoadResult:
     """Requests sent at a rate, and what came of them."""
 
-    answers: list[StreamTimes]
+    responses: list[StreamTimes]
 
     def goodput(self, seconds: float) -> float:
         """Tokens a second of whole answers within their deadline."""
-        good = [
+        in_time = [
             t
-            for t in self.answers
+            for t in self.responses
             if t.outcome == "answered" and t.total_s <= DEADLINE_S
         ]
-        return sum(t.tokens for t in good) / seconds
+        return sum(t.tokens for t in in_time) / seconds
 
 
-async def quiet(http: AsyncHTTPClient, url: str) -> list[StreamTimes]:
+async def run_quiet_workspace(http: AsyncHTTPClient, url: str) -> list[StreamTimes]:
     """Send the quiet workspace's requests one after the other."""
     times = []
     for number in range(QUIET_REQUESTS):
         times.append(await stream(http, url, prompt(number), TOKENS, "quiet"))
-        await asyncio.sleep(QUIET_EVERY_S)
+        await asyncio.sleep(QUIET_INTERVAL_S)
     return times
 
 
@@ -70,27 +70,27 @@
     """Keep many requests of the flooding workspace waiting."""
     sent = 0
 
-    async def one() -> None:
+    async def send_repeatedly() -> None:
         nonlocal sent
         while not stop.is_set():
             sent += 1
             await stream(http, url, prompt(sent), TOKENS, "flood")
 
-    await asyncio.gather(*(one() for _ in range(CAPACITY * 5)))
+    await asyncio.gather(*(send_repeatedly() for _ in range(CAPACITY * 5)))
     return sent
 
 
 async def measure_quiet(url: str) -> list[list[object]]:
     """Return the quiet workspace's rows, alone and beside the flood."""
-    alone = await quiet(new_client(), url)
+    alone = await run_quiet_workspace(new_client(), url)
     stop = asyncio.Event()
     flooding = asyncio.create_task(flood(new_client(), url, stop))
     await asyncio.sleep(1.0)
-    beside = await quiet(new_client(), url)
+    during_flood = await run_quiet_workspace(new_client(), url)
     stop.set()
     await flooding
     rows = []
-    for name, times in (("alone", alone), ("beside a flood", beside)):
+    for name, times in (("alone", alone), ("beside a flood", during_flood)):
         firsts = [t.first_token_s for t in times if t.outcome == "answered"]
         totals = [t.total_s for t in times if t.outcome == "answered"]
         rows.append(
@@ -106,14 +106,14 @@
     return [*rows, ["ratio", "", *ratio]]
 
 
-async def offer(url: str, rate: float) -> Load:
+async def offer_load(url: str, rate: float) -> LoadResult:
     """Send requests of ten workspaces at ``rate`` a second."""
     http = new_client(4096)
     rng = random.Random(1)
     tasks = []
     started_s = time.perf_counter()
     number = 0
-    while time.perf_counter() - started_s < LOAD_SECONDS:
+    while time.perf_counter() - started_s < LOAD_DURATION_S:
         number += 1
         headers = {"Railfold_Deadline_Ms": str(int(DEADLINE_S * 1000))}
         workspace = f"load-{number % 10}"
@@ -123,26 +123,26 @@
             )
         )
         await asyncio.sleep(rng.expovariate(rate))
-    return Load(list(await asyncio.gather(*tasks)))
+    return LoadResult(list(await asyncio.gather(*tasks)))
 
 
-async def full_rate(url: str) -> float:
+async def measure_closed_loop_rate(url: str) -> float:
     """Return the requests a second that a closed loop at capacity gets."""
     http = new_client()
-    stop_s = time.perf_counter() + LOAD_SECONDS
-    done = 0
+    stop_s = time.perf_counter() + LOAD_DURATION_S
+    completed = 0
 
-    async def one(first: int) -> None:
-        nonlocal done
+    async def send_repeatedly(first: int) -> None:
+        nonlocal completed
         number = first
         while time.perf_counter() < stop_s:
             number += CAPACITY
             workspace = f"load-{first % 10}"
-            answer = await stream(http, url, prompt(number), TOKENS, workspace)
-            done += answer.outcome == "answered"
+            response_times = await stream(http, url, prompt(number), TOKENS, workspace)
+            completed += response_times.outcome == "answered"
 
-    await asyncio.gather(*(one(n) for n in range(CAPACITY)))
-    return done / LOAD_SECONDS
+    await asyncio.gather(*(send_repeatedly(n) for n in range(CAPACITY)))
+    return completed / LOAD_DURATION_S
 
 
 async def main() -> None:
@@ -154,15 +154,17 @@
             ["", "answered", "first p50 ms", "first p95 ms", "total p95 ms"],
             await measure_quiet(url),
         )
-        rate = await full_rate(url)
-        full = rate * TOKENS
+        rate = await measure_closed_loop_rate(url)
+        full_goodput = rate * TOKENS
         rows = []
-        for multiple in LOADS:
-            load = await offer(url, rate * multiple)
-            outcomes = [t.outcome for t in load.answers]
-            goodput = load.goodput(LOAD_SECONDS)
-            refusals = [t.total_s for t in load.answers if t.outcome == "not_run"]
-            firsts = [t.first_token_s for t in load.answers if t.outcome == "answered"]
+        for multiple in LOAD_MULTIPLES:
+            load = await offer_load(url, rate * multiple)
+            outcomes = [t.outcome for t in load.responses]
+            goodput = load.goodput(LOAD_DURATION_S)
+            refusals = [t.total_s for t in load.responses if t.outcome == "not_run"]
+            firsts = [
+                t.first_token_s for t in load.responses if t.outcome == "answered"
+            ]
             rows.append(
                 [
                     multiple,
@@ -173,7 +175,7 @@
                     - outcomes.count("answered")
                     - outcomes.count("not_run"),
                     goodput,
-                    goodput / full,
+                    goodput / full_goodput,
                     percentile(firsts, 0.95) * 1000,
                     median(refusals) * 1000,
                 ]
--- a/benchmarks/lib.py
+++ b/benchmarks/lib.py
@@ -51,7 +51,7 @@
     resident_mib: float
 
 
-def usage(cluster: Cluster, name: str) -> Usage:
+def read_usage(cluster: Cluster, name: str) -> Usage:
     """Return a process's usage."""
     process = psutil.Process(cluster.processes[name].popen.pid)
     times = process.cpu_times()
@@ -82,12 +82,12 @@
     times = StreamTimes()
     started_s = time.perf_counter()
     last_s = started_s
-    rest = b""
+    pending = b""
 
-    def take(chunk: bytes) -> None:
-        nonlocal last_s, rest
-        rest += chunk
-        *events, rest = rest.split(b"\n\n")
+    def handle_chunk(chunk: bytes) -> None:
+        nonlocal last_s, pending
+        pending += chunk
+        *events, pending = pending.split(b"\n\n")
         for event in events:
             now_s = time.perf_counter()
             name, _, data = event.partition(b"\ndata: ")
@@ -109,7 +109,7 @@
         method="POST",
         headers=caller_headers(workspace, **headers),
         body=json.dumps({"prompt": prompt, "max_tokens": max_tokens, "stream": True}),
-        streaming_callback=take,
+        streaming_callback=handle_chunk,
         request_timeout=300.0,
         raise_error=False,
     )
@@ -118,10 +118,10 @@
     return times
 
 
-def new_client(most: int = 512) -> AsyncHTTPClient:
+def new_client(max_clients: int = 512) -> AsyncHTTPClient:
     """Return a client for load."""
     AsyncHTTPClient.configure("tornado.curl_httpclient.CurlAsyncHTTPClient")
-    return AsyncHTTPClient(force_instance=True, max_clients=most)
+    return AsyncHTTPClient(force_instance=True, max_clients=max_clients)
 
 
 def median(values: Sequence[float]) -> float:
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -32,10 +32,10 @@
 
 SEQUENCES = (1, 8, 64)
 STATE_BYTES = 64
-SERIAL = 1000
-PIPELINED = 5000
-WINDOW = 64
-LENGTH = struct.Struct(">I")
+ROUND_TRIPS = 1000
+PIPELINED_FRAMES = 5000
+MAX_FRAMES_IN_FLIGHT = 64
+LENGTH_PREFIX = struct.Struct(">I")
 
 
 @dataclass(frozen=True)
@@ -93,10 +93,12 @@
             stream.set_nodelay(True)
             try:
                 while True:
-                    (size,) = LENGTH.unpack(await stream.read_bytes(LENGTH.size))
+                    (size,) = LENGTH_PREFIX.unpack(
+                        await stream.read_bytes(LENGTH_PREFIX.size)
+                    )
                     data = await stream.read_bytes(size)
-                    answer = encode_frame(decode_frame(data))
-                    stream.write(LENGTH.pack(len(answer)) + answer)
+                    response = encode_frame(decode_frame(data))
+                    stream.write(LENGTH_PREFIX.pack(len(response)) + response)
             except StreamClosedError:
                 return
 
@@ -113,10 +115,10 @@
     stream.set_nodelay(True)
 
     async def send(data: bytes) -> None:
-        stream.write(LENGTH.pack(len(data)) + data)
+        stream.write(LENGTH_PREFIX.pack(len(data)) + data)
 
     async def receive() -> bytes:
-        (size,) = LENGTH.unpack(await stream.read_bytes(LENGTH.size))
+        (size,) = LENGTH_PREFIX.unpack(await stream.read_bytes(LENGTH_PREFIX.size))
         return await stream.read_bytes(size)
 
     return Channel(send, receive)
@@ -129,49 +131,49 @@
 
 async def measure(channel: Channel, sequences: int) -> tuple[float, float, float]:
     """Return round trip us, frames/s and processor us a frame of this end."""
-    one = frame(sequences)
+    sample_frame = frame(sequences)
 
     async def exchange() -> None:
-        await channel.send(encode_frame(one))
+        await channel.send(encode_frame(sample_frame))
         decode_frame(await channel.receive())
 
     for _ in range(100):
         await exchange()
     started_s = time.perf_counter()
-    for _ in range(SERIAL):
+    for _ in range(ROUND_TRIPS):
         await exchange()
-    round_trip_s = (time.perf_counter() - started_s) / SERIAL
-    room = asyncio.Semaphore(WINDOW)
+    round_trip_s = (time.perf_counter() - started_s) / ROUND_TRIPS
+    window = asyncio.Semaphore(MAX_FRAMES_IN_FLIGHT)
 
     async def send_all() -> None:
-        for _ in range(PIPELINED):
-            await room.acquire()
-            await channel.send(encode_frame(one))
+        for _ in range(PIPELINED_FRAMES):
+            await window.acquire()
+            await channel.send(encode_frame(sample_frame))
 
     async def receive_all() -> None:
-        for _ in range(PIPELINED):
+        for _ in range(PIPELINED_FRAMES):
             decode_frame(await channel.receive())
-            room.release()
+            window.release()
 
     started_s, cpu_s = time.perf_counter(), time.process_time()
     await asyncio.gather(send_all(), receive_all())
     wall_s = time.perf_counter() - started_s
-    cpu_us = (time.process_time() - cpu_s) / PIPELINED * 1e6
-    return round_trip_s * 1e6, PIPELINED / wall_s, cpu_us
+    cpu_us = (time.process_time() - cpu_s) / PIPELINED_FRAMES * 1e6
+    return round_trip_s * 1e6, PIPELINED_FRAMES / wall_s, cpu_us
 
 
 async def main() -> None:
     """Measure and print."""
     rows = []
     context = multiprocessing.get_context("spawn")
-    opened = {"tornado": tornado_channel, "grpcio": grpc_channel}
+    connectors = {"tornado": tornado_channel, "grpcio": grpc_channel}
     for sequences in SEQUENCES:
-        for kind, connect in opened.items():
+        for kind, connect in connectors.items():
             port = context.Queue()
             server = context.Process(target=serve, args=(kind, port), daemon=True)
             server.start()
-            number = await asyncio.to_thread(port.get)
-            channel = await connect(number)
+            port_number = await asyncio.to_thread(port.get)
+            channel = await connect(port_number)
             figures = await measure(channel, sequences)
             size = len(encode_frame(frame(sequences)))
             rows.append([kind, sequences, size, *figures, threading.active_count()])
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -50,18 +50,18 @@
     ]
 
 
-def busy(cluster: Cluster) -> list[str]:
+def busy_hosts(cluster: Cluster) -> list[str]:
     """Return hosts with sequences, in layer order."""
     agents = cluster.status()["agents"]
     return sorted(agent["host"] for agent in agents if agent["load"] > 0)
 
 
-def kill_one(cluster: Cluster, names: list[str]) -> None:
+def kill_middle_agent(cluster: Cluster, names: list[str]) -> None:
     """Kill the agent of the middle stage."""
-    cluster.processes[f"agent-{middle(names)}"].kill()
+    cluster.processes[f"agent-{middle_host(names)}"].kill()
 
 
-def kill_two(cluster: Cluster, names: list[str]) -> None:
+def kill_outer_agents(cluster: Cluster, names: list[str]) -> None:
     """Kill the agents of the first and last stage together."""
     for name in (names[0], names[-1]):
         cluster.processes[f"agent-{name}"].kill()
@@ -76,45 +76,45 @@
             cluster.processes[f"engine-{host.host}"].kill()
 
 
-def kill_one_without_log(cluster: Cluster, names: list[str]) -> None:
+def kill_middle_agent_without_log(cluster: Cluster, names: list[str]) -> None:
     """Kill the agent of the middle stage while the platform is out."""
     cluster.fault("out")
-    kill_one(cluster, names)
+    kill_middle_agent(cluster, names)
 
 
 def freeze_agent(cluster: Cluster, names: list[str]) -> None:
     """Freeze the agent of the middle stage."""
-    cluster.processes[f"agent-{middle(names)}"].freeze()
+    cluster.processes[f"agent-{middle_host(names)}"].freeze()
 
 
 def freeze_engine(cluster: Cluster, names: list[str]) -> None:
     """Freeze the engine of the middle stage."""
-    post(f"{cluster.engine_url(middle(names))}/control/freeze", {})
+    post(f"{cluster.engine_url(middle_host(names))}/control/freeze", {})
 
 
-def middle(names: list[str]) -> str:
+def middle_host(names: list[str]) -> str:
     """Return the busy host that holds the middle layers."""
     return next(name for name in names if name.startswith("meter-1"))
 
 
 FAULTS: dict[str, Fault] = {
-    "agent killed": kill_one,
-    "two agents killed": kill_two,
+    "agent killed": kill_middle_agent,
+    "two agents killed": kill_outer_agents,
     "failure domain killed": kill_domain,
-    "agent killed, log out": kill_one_without_log,
+    "agent killed, log out": kill_middle_agent_without_log,
     "agent frozen": freeze_agent,
     "engine frozen": freeze_engine,
 }
 
 
 @dataclass(frozen=True)
-class Case:
+class FaultResult:
     """What one fault did to the streams.
 
     :param stalls_s: for each stream that was hit, its wait for the next token.
     """
 
-    whole: int
+    answered_count: int
     token_s: float
     stalls_s: list[float]
 
@@ -123,7 +123,7 @@
         stall_s = median(self.stalls_s)
         return [
             name,
-            f"{self.whole}/{STREAMS}",
+            f"{self.answered_count}/{STREAMS}",
             len(self.stalls_s),
             self.token_s * 1000,
             stall_s * 1000,
@@ -132,7 +132,7 @@
         ]
 
 
-async def play(fault: Fault) -> Case:
+async def run_with_fault(fault: Fault) -> FaultResult:
     """Run streams, apply the fault, and wait for the answers."""
     with Cluster(hosts()) as cluster:
         http = new_client()
@@ -142,15 +142,15 @@
             for n in range(STREAMS)
         ]
         await asyncio.sleep(FAULT_AFTER_S)
-        names = await asyncio.to_thread(busy, cluster)
+        names = await asyncio.to_thread(busy_hosts, cluster)
         await asyncio.to_thread(fault, cluster, names)
         answers = await asyncio.gather(*tasks)
     token_s = median([median(t.gaps_s) for t in answers])
     stalls_s = [max(t.gaps_s) for t in answers if t.attempts > 1]
-    return Case(sum(t.outcome == "answered" for t in answers), token_s, stalls_s)
+    return FaultResult(sum(t.outcome == "answered" for t in answers), token_s, stalls_s)
 
 
-async def begin_again() -> Case:
+async def run_with_caller_retry() -> FaultResult:
     """Kill an agent, without recovery: the callers send the request again.
 
     The wait ends when the second answer passes the first one's length.
@@ -171,18 +171,18 @@
 
         tasks = [asyncio.create_task(with_caller_retry(n)) for n in range(STREAMS)]
         await asyncio.sleep(FAULT_AFTER_S)
-        names = await asyncio.to_thread(busy, cluster)
-        await asyncio.to_thread(kill_one, cluster, names)
+        names = await asyncio.to_thread(busy_hosts, cluster)
+        await asyncio.to_thread(kill_middle_agent, cluster, names)
         results = await asyncio.gather(*tasks)
     token_s = median([median(times.gaps_s) for times, _ in results])
     stalls_s = [stall_s for _, stall_s in results if stall_s]
-    return Case(len(results), token_s, stalls_s)
+    return FaultResult(len(results), token_s, stalls_s)
 
 
 async def main() -> None:
     """Measure and print."""
-    rows = [(await play(fault)).row(name) for name, fault in FAULTS.items()]
-    rows.append((await begin_again()).row("agent killed, begun again"))
+    rows = [(await run_with_fault(fault)).row(name) for name, fault in FAULTS.items()]
+    rows.append((await run_with_caller_retry()).row("agent killed, begun again"))
     print_table(
         f"{STREAMS} streams over 3 stages of {FIXED_MS} ms; stalls in token times",
         [
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -20,9 +20,9 @@
     percentile,
     print_table,
     prompt,
+    read_usage,
     run,
     stream,
-    usage,
 )
 from standins.cluster import Cluster, EngineHost
 
@@ -46,18 +46,18 @@
 
 
 @dataclass(frozen=True)
-class Measured:
+class Measurement:
     """One run's figures."""
 
     tokens: int
     wall_s: float
     times: list[StreamTimes]
-    used: dict[str, Usage]
+    after: dict[str, Usage]
     before: dict[str, Usage]
 
     def cpu_s(self, name: str) -> float:
         """Processor time that a process took."""
-        return self.used[name].cpu_s - self.before[name].cpu_s
+        return self.after[name].cpu_s - self.before[name].cpu_s
 
 
 def bound_tokens_per_s(streams: int) -> float:
@@ -70,27 +70,29 @@
     return best
 
 
-async def measure(cluster: Cluster, streams: int, tokens: int) -> Measured:
+async def measure(cluster: Cluster, streams: int, tokens: int) -> Measurement:
     """Run ``streams`` answers at a time until each has come twice."""
     http = new_client()
     names = ["entry-0", *(f"agent-{host.host}" for host in HOSTS)]
     await stream(http, cluster.callers_url(), "warm", 4)
-    before = {name: usage(cluster, name) for name in names}
+    before = {name: read_usage(cluster, name) for name in names}
     started_s = time.perf_counter()
     url = cluster.callers_url()
     times = await asyncio.gather(
         *(stream(http, url, prompt(number), tokens) for number in range(streams))
     )
     wall_s = time.perf_counter() - started_s
-    used = {name: usage(cluster, name) for name in names}
+    after = {name: read_usage(cluster, name) for name in names}
     assert all(t.outcome == "answered" for t in times)
-    return Measured(sum(t.tokens for t in times), wall_s, times, used, before)
+    return Measurement(sum(t.tokens for t in times), wall_s, times, after, before)
 
 
 async def main() -> None:
     """Measure and print."""
     with Cluster(HOSTS) as cluster:
-        idle = {n: usage(cluster, n).resident_mib for n in ("entry-0", "agent-meter-1")}
+        idle_mib = {
+            n: read_usage(cluster, n).resident_mib for n in ("entry-0", "agent-meter-1")
+        }
         results = {n: await measure(cluster, n, TOKENS) for n in CONCURRENCY}
         short = await measure(cluster, 64, 1)
         rows = []
@@ -128,7 +130,7 @@
         )
         last = results[CONCURRENCY[-1]]
         rows = []
-        for name in last.used:
+        for name in last.after:
             per_token_us = last.cpu_s(name) / last.tokens * 1e6
             per_request_us = short.cpu_s(name) / len(short.times) * 1e6
             rows.append(
@@ -137,8 +139,8 @@
                     per_token_us,
                     per_request_us,
                     last.cpu_s(name) / last.wall_s * 100,
-                    idle.get(name, float("nan")),
-                    last.used[name].resident_mib,
+                    idle_mib.get(name, float("nan")),
+                    last.after[name].resident_mib,
                 ]
             )
         print_table(
--- a/benchmarks/without.py
+++ b/benchmarks/without.py
@@ -19,7 +19,7 @@
 from benchmarks.lib import print_table
 
 PROJECT = Path(__file__).parent.parent
-COPIED = ("src", "tests", "standins", "soak", "benchmarks", "pyproject.toml")
+COPIED_PATHS = ("src", "tests", "standins", "soak", "benchmarks", "pyproject.toml")
 
 
 @dataclass(frozen=True)
@@ -33,17 +33,17 @@
     test: str
 
 
-def mechanisms() -> list[Mechanism]:
+def load_mechanisms() -> list[Mechanism]:
     """Return all rows."""
     data = tomllib.loads((PROJECT / "tests" / "mechanisms.toml").read_text())
     return [Mechanism(**row) for row in data["mechanism"]]
 
 
-def verdict(mechanism: Mechanism) -> str:
+def run_test_without(mechanism: Mechanism) -> str:
     """Return what the test says without the mechanism."""
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder)
-        for name in COPIED:
+        for name in COPIED_PATHS:
             source = PROJECT / name
             if source.is_dir():
                 ignored = shutil.ignore_patterns("__pycache__")
@@ -56,7 +56,7 @@
             return "not applied"
         target.write_text(text.replace(mechanism.old, mechanism.new))
         environment = {**os.environ, "PYTHONPATH": f"{copy / 'src'}:{copy}"}
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "pytest", "-n", "0", "-x", mechanism.test],
             cwd=copy,
             env=environment,
@@ -64,16 +64,16 @@
             check=False,
             timeout=300,
         )
-    return {0: "PASSES", 1: "fails"}.get(done.returncode, f"exit {done.returncode}")
+    return {0: "PASSES", 1: "fails"}.get(result.returncode, f"exit {result.returncode}")
 
 
 def main() -> int:
     """Run all rows, or those whose names contain the argument."""
-    wanted = sys.argv[1] if len(sys.argv) > 1 else ""
+    name_filter = sys.argv[1] if len(sys.argv) > 1 else ""
     rows = [
-        [m.name, m.test.rpartition("::")[2], verdict(m)]
-        for m in mechanisms()
-        if wanted in m.name
+        [m.name, m.test.rpartition("::")[2], run_test_without(m)]
+        for m in load_mechanisms()
+        if name_filter in m.name
     ]
     print_table("tests without their mechanism", ["without", "test", "it"], rows)
     return int(any(row[2] != "fails" for row in rows))
