--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,5 +1,5 @@
-"""Measurements, one command each: ``python -m benchmarks.<name>``.
+"""Benchmarks, each run by ``python -m benchmarks.<name>``.
 
-Nothing here asserts a timing. Ratios are taken within one run, since the
-machine's speed varies from run to run.
+Benchmarks don't assert timings. Ratios are computed within one run, because the
+machine's speed varies between runs.
 """
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,9 +1,9 @@
-"""Cost of control against the size of the group, and time until in force.
+"""Cost of control traffic by group size, and time until changes are in force.
 
-Idle deployments of growing size, real processes: what entries and agents spend
-on control in processor time, bytes and memory. Then configuration changes with
-the log healthy, slow, and out right after acceptance: how long until each
-process has them in force.
+First measures the processor time, bytes and memory that entries and agents of idle
+deployments use, with real processes and increasing sizes. Then publishes configuration
+changes while the log is healthy, slow, or unavailable right after it accepted them, and
+measures how long each process takes to apply them.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def hosts(count: int) -> list[EngineHost]:
-    """Return hosts that each hold the whole model."""
+    """Return hosts that each hold all layers of the model."""
     return [
         EngineHost(f"host-{n}", 0, LAYER_COUNT - 1, status_interval_s=1.0)
         for n in range(count)
@@ -44,7 +44,7 @@
 
 
 def deployment(count: int) -> Cluster:
-    """Return a deployment with the default intervals, not the tests' short ones."""
+    """Return a deployment with the default intervals, not the short ones of tests."""
     overrides = {"platform": {"hosts_interval_s": 2.0}}
     return Cluster(
         hosts(count),
@@ -55,18 +55,18 @@
 
 
 def link_bytes(cluster: Cluster) -> int:
-    """Return the bytes on the first entry's links, both ways."""
+    """Return the bytes sent and received on the first entry's links."""
     status = cluster.status(0)
     return int(status["link_bytes_sent"] + status["link_bytes_received"])
 
 
 def cpu_percent(before: Usage, after: Usage) -> float:
-    """Return the processor time between, in percent of a core."""
+    """Return the processor time between two samples, in percent of a core."""
     return (after.cpu_s - before.cpu_s) / MEASURED_WINDOW_S * 100
 
 
 def idle_row(cluster: Cluster, count: int) -> list[object]:
-    """Measure an idle deployment."""
+    """Measure an idle deployment; return its table row."""
     time.sleep(SETTLE_TIME_S)
     names = ["entry-0", *(f"agent-host-{n}" for n in range(count))]
     before = {name: read_usage(cluster, name) for name in names}
@@ -89,7 +89,7 @@
 async def times_until_in_force(
     cluster: Cluster, version: int, started_s: float
 ) -> list[float]:
-    """Return the time until ``version`` was in force, for each process."""
+    """Return the seconds until each process has ``version`` in force."""
     http = new_client()
     urls = [cluster.entry_url(i) for i in range(cluster.entries)]
     urls += [cluster.agent_url(h.host) for h in cluster.engines]
@@ -103,20 +103,23 @@
 async def time_until_in_force(
     http: AsyncHTTPClient, url: str, version: int, started_s: float
 ) -> float:
-    """Return the time until one process has ``version``."""
+    """Return the seconds until one process has ``version`` in force.
+
+    :raises TimeoutError: it takes longer than ``TIMEOUT_S``.
+    """
     while True:
         status = await fetch(http, url, "/v1/status")
         if status["configuration_version"] >= version:
             return time.perf_counter() - started_s
         if time.perf_counter() - started_s > TIMEOUT_S:
-            raise TimeoutError(f"{url} doesn't come to version {version}")
+            raise TimeoutError(f"{url} doesn't reach version {version}")
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
 async def change_row(
     cluster: Cluster, mode: str, versions: dict[str, int]
 ) -> list[object]:
-    """Publish changes in one state of the log."""
+    """Publish changes in one mode of the log; return the table row."""
     seconds: list[float] = []
     for number in range(CHANGE_COUNT):
         if mode == "slow":
@@ -129,8 +132,8 @@
         started_s = time.perf_counter()
         version = versions[SERVICE] = offset + 1
         if mode == "out":
-            # One entry has read the change; the other wakes in the outage and
-            # can only learn of it from agents.
+            # The first entry has read the change. The second one resumes during the
+            # outage and can receive it only from agents.
             await time_until_in_force(
                 new_client(), cluster.entry_url(0), version, started_s
             )
@@ -149,14 +152,14 @@
 
 
 async def measure_changes(cluster: Cluster) -> list[list[object]]:
-    """Return the rows of all states of the log."""
+    """Return the table rows for all modes of the log."""
     versions: dict[str, int] = {}
     modes = ("healthy", "slow", "out")
     return [await change_row(cluster, mode, versions) for mode in modes]
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run the measurements and print the tables."""
     rows = []
     for count in AGENT_COUNTS:
         with deployment(count) as cluster:
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,8 +1,8 @@
-"""Cost of the decisions against the size to design for.
+"""Cost of decisions by deployment size, up to the target size.
 
-Planning a chain against the number of runners; placing layers against the number of
-engines in a failure domain; folding and encoding a configuration against the number of
-workspaces; policies; fair queueing.
+Measures planning a chain by number of replicas, placing layers by number of engines
+in a failure domain, folding and encoding a configuration by number of workspaces,
+evaluating a policy, and fair queueing.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 def time_us(action: Callable[[], object], count: int) -> float:
-    """Return the mean time of ``action`` in microseconds."""
+    """Return the mean time of ``count`` calls of ``action`` in microseconds."""
     started_s = time.perf_counter()
     for _ in range(count):
         action()
@@ -48,7 +48,7 @@
 
 
 def replicas(replica_count: int, rng: random.Random) -> list[Replica]:
-    """Return runners spread over stages, domains and regions."""
+    """Return replicas that are spread over stages, failure domains and regions."""
     return [
         Replica(
             Stage(
@@ -68,7 +68,7 @@
 
 
 def plan_cost_us(replica_count: int) -> float:
-    """Return the time to plan one chain."""
+    """Return the mean time to plan one chain, in microseconds."""
     rng = random.Random(1)
     candidates = replicas(replica_count, rng)
 
@@ -89,7 +89,7 @@
 def fold_configuration(
     workspaces: int, replica_count: int
 ) -> tuple[Configuration, float]:
-    """Return a configuration and the seconds it took to fold it."""
+    """Return a configuration and the seconds that folding its records took."""
     configuration = Configuration()
     offset = 0
     started_s = time.perf_counter()
@@ -127,7 +127,7 @@
 
 
 def placement_row(count: int) -> list[object]:
-    """Return one row of the placement table: the time of one look, in milliseconds."""
+    """Return a placement table row: milliseconds for each kind of planning call."""
     model = MODEL
     kinds = [FAST if n % 4 == 0 else MIDDLE for n in range(count)]
     empty_engines = [
@@ -150,7 +150,7 @@
 
 
 def configuration_row(workspaces: int) -> list[object]:
-    """Return one row of the configuration table."""
+    """Return a row of the configuration table."""
     tracemalloc.start()
     configuration, _ = fold_configuration(workspaces, 600)
     allocated_bytes, _ = tracemalloc.get_traced_memory()
@@ -169,7 +169,7 @@
 
 
 def queue_cost_us(flows: int) -> float:
-    """Return the time to push and pop one request with ``flows`` waiting."""
+    """Return the microseconds to pop and push a request while ``flows`` wait."""
     queue: FairQueue[int] = FairQueue(1000, 100_000)
     for number in range(flows * 4):
         queue.push(f"w{number % flows}", 1.0, 0, 100.0, number)
@@ -182,7 +182,7 @@
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run the measurements and print the tables."""
     print_table(
         "planning one chain",
         ["runners", "us"],
--- a/benchmarks/fleet_load.py
+++ b/benchmarks/fleet_load.py
@@ -1,7 +1,7 @@
-"""What the exchange of load costs an entry: bytes and processor time a second.
+"""Cost of the load exchange per entry: bytes and processor time per second.
 
-Runs the exchange of many entries in one process, over a channel that encodes, counts
-and delivers datagrams in memory.
+Runs the load exchange of many entries in one process. A channel encodes and counts the
+datagrams and delivers them in memory.
 
     .venv/bin/python -m benchmarks.fleet_load [seconds]
 """
@@ -27,7 +27,8 @@
 )
 from railfold._internal.observability.metrics import Metrics
 
-# Entries, failure domains, engines, requests in flight at an entry, workspaces.
+# Numbers of entries, failure domains, engines, requests in flight per entry, and
+# workspaces.
 _SIZES = (
     (4, 2, 12, 20, 8),
     (11, 3, 52, 30, 24),
@@ -36,12 +37,13 @@
     (380, 10, 600, 14, 610),
 )
 _STAGES = 8
+# IP and UDP headers of a datagram.
 _HEADER_BYTES = 28
 
 
 @dataclass
 class InMemoryChannel:
-    """A channel between entries in one process."""
+    """An in-memory channel of one entry to the other entries in the process."""
 
     name: str
     codec: PeerMessageCodec
@@ -55,15 +57,15 @@
 
     @property
     def peers(self) -> tuple[str, ...]:
-        """All entries' names."""
+        """Names of all entries."""
         return tuple(self.fleet)
 
     def send_to(self, name: str, message: PeerMessage) -> None:
-        """Send to one entry."""
+        """Send a message to one entry."""
         self.send_to_each((name,), message)
 
     def send_to_each(self, names: Any, message: PeerMessage) -> None:
-        """Send to some entries."""
+        """Send a message to several entries as one encoded datagram each."""
         sent_ms = int(clock.unix_time_s() * 1000)
         envelope = Envelope(self.name, self.rng.randbytes(8), sent_ms, message, True)
         datagram = self.codec.encode(envelope)
@@ -73,7 +75,7 @@
             asyncio.get_running_loop().call_soon(self.fleet[name].receive, datagram)
 
     def receive(self, datagram: bytes) -> None:
-        """Take a datagram."""
+        """Decode a datagram and pass it to the exchange."""
         self.received_bytes += len(datagram) + _HEADER_BYTES
         envelope = self.codec.decode(datagram, clock.unix_time_s())
         self.exchange.message_received(envelope.message)
@@ -96,7 +98,11 @@
 async def measure(
     size: tuple[int, int, int, int, int], seconds: float
 ) -> dict[str, float]:
-    """Run a fleet for some seconds; return what it cost."""
+    """Run a fleet for 1.5 times ``seconds`` and measure the last ``seconds``.
+
+    Returns the bytes per second of an entry, the processor share, and the state of
+    the exchange.
+    """
     entries, domains, engine_count, in_flight, workspaces = size
     rng = random.Random(1)
     servers = [f"i-{rng.randbytes(4).hex()}@{n}" for n in range(engine_count)]
@@ -151,7 +157,7 @@
 
 
 def main() -> None:
-    """Print one line a size."""
+    """Print one line per fleet size."""
     seconds = float(sys.argv[1]) if len(sys.argv) > 1 else 20.0
     for size in _SIZES:
         cost = asyncio.run(measure(size, seconds))
--- a/benchmarks/isolation.py
+++ b/benchmarks/isolation.py
@@ -1,7 +1,8 @@
-"""A quiet workspace beside a flooding one, and load beyond capacity.
+"""Isolation of workspaces, and goodput under overload.
 
-First a quiet workspace's latencies alone and beside a flood; then goodput at
-several multiples of capacity, as a ratio to the goodput at full load.
+Measures the latencies of a quiet workspace alone and while another one floods the
+entry. Then measures goodput at several multiples of capacity, as a ratio to the goodput
+at full load.
 """
 
 from __future__ import annotations
@@ -43,12 +44,12 @@
 
 @dataclass
 class LoadResult:
-    """Requests sent at a rate, and what came of them."""
+    """The responses to requests that were sent at a fixed rate."""
 
     responses: list[StreamTimes]
 
     def goodput(self, seconds: float) -> float:
-        """Tokens a second of whole answers within their deadline."""
+        """Return the tokens per second of complete responses within the deadline."""
         in_time = [
             t
             for t in self.responses
@@ -58,7 +59,7 @@
 
 
 async def run_quiet_workspace(http: AsyncHTTPClient, url: str) -> list[StreamTimes]:
-    """Send the quiet workspace's requests one after the other."""
+    """Send the quiet workspace's requests in sequence and return their times."""
     times = []
     for number in range(QUIET_REQUESTS):
         times.append(await stream(http, url, prompt(number), TOKENS, "quiet"))
@@ -67,7 +68,10 @@
 
 
 async def flood(http: AsyncHTTPClient, url: str, stop: asyncio.Event) -> int:
-    """Keep many requests of the flooding workspace waiting."""
+    """Keep many requests of the flooding workspace queued until ``stop`` is set.
+
+    Returns the number of requests sent.
+    """
     sent = 0
 
     async def send_repeatedly() -> None:
@@ -81,7 +85,7 @@
 
 
 async def measure_quiet(url: str) -> list[list[object]]:
-    """Return the quiet workspace's rows, alone and beside the flood."""
+    """Return the quiet workspace's rows: alone, during the flood, and their ratio."""
     alone = await run_quiet_workspace(new_client(), url)
     stop = asyncio.Event()
     flooding = asyncio.create_task(flood(new_client(), url, stop))
@@ -107,7 +111,7 @@
 
 
 async def offer_load(url: str, rate: float) -> LoadResult:
-    """Send requests of ten workspaces at ``rate`` a second."""
+    """Send ``rate`` requests per second, spread over ten workspaces."""
     http = new_client(4096)
     rng = random.Random(1)
     tasks = []
@@ -127,7 +131,7 @@
 
 
 async def measure_closed_loop_rate(url: str) -> float:
-    """Return the requests a second that a closed loop at capacity gets."""
+    """Return the requests per second that a closed loop at capacity completes."""
     http = new_client()
     stop_s = time.perf_counter() + LOAD_DURATION_S
     completed = 0
@@ -146,7 +150,7 @@
 
 
 async def main() -> None:
-    """Measure and print."""
+    """Run the measurements and print the tables."""
     with Cluster(HOSTS, workspaces=WORKSPACES) as cluster:
         url = cluster.callers_url()
         print_table(
--- a/benchmarks/lib.py
+++ b/benchmarks/lib.py
@@ -1,4 +1,4 @@
-"""What several benchmarks share: tables, process figures and load."""
+"""Functions that benchmarks share: tables, process usage and load generation."""
 
 from __future__ import annotations
 
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True)
 class Usage:
-    """A process's processor time and memory at one moment."""
+    """The processor time and resident memory of a process at one moment."""
 
     cpu_s: float
     resident_mib: float
 
 
 def read_usage(cluster: Cluster, name: str) -> Usage:
-    """Return a process's usage."""
+    """Return the current usage of a process of the cluster."""
     process = psutil.Process(cluster.processes[name].popen.pid)
     times = process.cpu_times()
     return Usage(times.user + times.system, process.memory_info().rss / MEBIBYTE)
@@ -60,7 +60,10 @@
 
 @dataclass
 class StreamTimes:
-    """When one streamed answer's pieces came, in seconds from its start."""
+    """Timing of one streamed response, in seconds from the start of the request.
+
+    ``gaps_s`` holds the time between successive tokens.
+    """
 
     first_token_s: float = 0.0
     gaps_s: list[float] = field(default_factory=list)
@@ -78,7 +81,7 @@
     workspace: str = "quality",
     **headers: str,
 ) -> StreamTimes:
-    """Stream one answer and time its pieces."""
+    """Send one streaming request; return the timing of its response."""
     times = StreamTimes()
     started_s = time.perf_counter()
     last_s = started_s
@@ -119,13 +122,13 @@
 
 
 def new_client(max_clients: int = 512) -> AsyncHTTPClient:
-    """Return a client for load."""
+    """Return an HTTP client with at most ``max_clients`` concurrent requests."""
     AsyncHTTPClient.configure("tornado.curl_httpclient.CurlAsyncHTTPClient")
     return AsyncHTTPClient(force_instance=True, max_clients=max_clients)
 
 
 def median(values: Sequence[float]) -> float:
-    """Return the median, or 0 of nothing."""
+    """Return the median, or 0 if there are no values."""
     return statistics.median(values) if values else 0.0
 
 
@@ -135,5 +138,5 @@
 
 
 def run(coroutine) -> object:
-    """Run a benchmark's coroutine."""
+    """Run a benchmark's coroutine and return its result."""
     return asyncio.run(coroutine)
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -1,8 +1,8 @@
-"""The choice of link: a grpcio stream against a tornado stream.
+"""Comparison of links between stages: a grpcio stream and a tornado stream.
 
-Two processes exchange frames as they travel between stages, with their real
-encoding. Gives the round trip, the frames a second with many on the way, and
-the threads each process runs.
+Two processes exchange frames like those between stages, in the real encoding. Measures
+the round trip time, the frames per second with many in flight, and the number of
+threads.
 """
 
 from __future__ import annotations
@@ -40,14 +40,14 @@
 
 @dataclass(frozen=True)
 class Channel:
-    """One end of a link under test."""
+    """One end of a measured link."""
 
     send: Callable[[bytes], Awaitable[None]]
     receive: Callable[[], Awaitable[bytes]]
 
 
 def frame(sequences: int) -> Frame:
-    """Return a frame of activations from the second stage of a chain."""
+    """Return a frame of activations that the second stage of a chain sends."""
     lineage = tuple(
         StageRun(f"meter-{i}", 1, 1, LayerRange(i * 4, i * 4 + 3)) for i in range(2)
     )
@@ -61,7 +61,7 @@
 
 
 async def grpc_echo(port: Any) -> None:
-    """Serve an echo over a grpcio stream."""
+    """Serve an echo over a grpcio stream; put its port number into ``port``."""
 
     async def echo(requests: Any, context: Any) -> Any:
         async for data in requests:
@@ -78,7 +78,7 @@
 
 
 async def grpc_channel(port: int) -> Channel:
-    """Open a grpcio stream."""
+    """Open a grpcio stream to a loopback port."""
     call = grpc.aio.insecure_channel(f"127.0.0.1:{port}").stream_stream(
         "/Link/Frames"
     )()
@@ -86,7 +86,7 @@
 
 
 async def tornado_echo(port: Any) -> None:
-    """Serve an echo over a tornado stream."""
+    """Serve an echo over a tornado stream; put its port number into ``port``."""
 
     class Echo(TCPServer):
         async def handle_stream(self, stream: Any, address: Any) -> None:
@@ -110,7 +110,7 @@
 
 
 async def tornado_channel(port: int) -> Channel:
-    """Open a tornado stream."""
+    """Open a tornado stream to a loopback port."""
     stream = await TCPClient().connect("127.0.0.1", port)
     stream.set_nodelay(True)
 
@@ -125,12 +125,15 @@
 
 
 def serve(kind: str, port: Any) -> None:
-    """Run an echo server; the child process's main function."""
+    """Run an echo server, as the main function of the child process."""
     asyncio.run(grpc_echo(port) if kind == "grpcio" else tornado_echo(port))
 
 
 async def measure(channel: Channel, sequences: int) -> tuple[float, float, float]:
-    """Return round trip us, frames/s and processor us a frame of this end."""
+    """Return the round trip in us, frames per second and processor us per frame.
+
+    The processor time is that of this end.
+    """
     sample_frame = frame(sequences)
 
     async def exchange() -> None:
@@ -163,7 +166,7 @@
 
 
 async def main() -> None:
-    """Measure and print."""
+    """Run the measurements and print the table."""
     rows = []
     context = multiprocessing.get_context("spawn")
     connectors = {"tornado": tornado_channel, "grpcio": grpc_channel}
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,10 +1,9 @@
-"""Time from a stage's death to the next token, as a ratio to the step time.
+"""Time from the failure of a stage to the next token, relative to the token time.
 
-Kills and freezes agents under streams that are under way, and takes the
-longest gap between tokens that each stream saw. The time of one token over the
-whole chain, measured before the fault, is the unit. Also compares the ways of
-going on: prefill from prompt plus emitted tokens (what railfold does) against
-beginning the whole answer again, which the callers do where recovery is off.
+Kills and suspends agents while streams run, and measures the longest gap between tokens
+of each stream. The unit is the median time of a token over the complete chain. Also
+compares two ways to recover: railfold's prefill from the prompt and the emitted tokens,
+and a retry of the complete request by the callers, with recovery turned off.
 """
 
 from __future__ import annotations
@@ -35,7 +34,7 @@
 
 
 def hosts() -> list[EngineHost]:
-    """Nine hosts: each third of the layers in each failure domain."""
+    """Return nine hosts: each third of the layers has one in every failure domain."""
     return [
         EngineHost(
             f"meter-{stage}{copy}",
@@ -51,7 +50,7 @@
 
 
 def busy_hosts(cluster: Cluster) -> list[str]:
-    """Return hosts with sequences, in layer order."""
+    """Return the hosts that run sequences, in layer order."""
     agents = cluster.status()["agents"]
     return sorted(agent["host"] for agent in agents if agent["load"] > 0)
 
@@ -62,13 +61,13 @@
 
 
 def kill_outer_agents(cluster: Cluster, names: list[str]) -> None:
-    """Kill the agents of the first and last stage together."""
+    """Kill the agents of the first and the last stage at the same time."""
     for name in (names[0], names[-1]):
         cluster.processes[f"agent-{name}"].kill()
 
 
 def kill_domain(cluster: Cluster, names: list[str]) -> None:
-    """Kill a whole failure domain, agents and engines."""
+    """Kill all agents and engines of one failure domain."""
     domain = next(h.failure_domain for h in cluster.engines if h.host == names[0])
     for host in cluster.engines:
         if host.failure_domain == domain:
@@ -77,18 +76,18 @@
 
 
 def kill_middle_agent_without_log(cluster: Cluster, names: list[str]) -> None:
-    """Kill the agent of the middle stage while the platform is out."""
+    """Kill the agent of the middle stage while the platform is unavailable."""
     cluster.fault("out")
     kill_middle_agent(cluster, names)
 
 
 def freeze_agent(cluster: Cluster, names: list[str]) -> None:
-    """Freeze the agent of the middle stage."""
+    """Suspend the agent of the middle stage."""
     cluster.processes[f"agent-{middle_host(names)}"].freeze()
 
 
 def freeze_engine(cluster: Cluster, names: list[str]) -> None:
-    """Freeze the engine of the middle stage."""
+    """Make the engine of the middle stage stop running steps."""
     post(f"{cluster.engine_url(middle_host(names))}/control/freeze", {})
 
 
@@ -109,9 +108,11 @@
 
 @dataclass(frozen=True)
 class FaultResult:
-    """What one fault did to the streams.
+    """The effect of one fault on the streams.
 
-    :param stalls_s: for each stream that was hit, its wait for the next token.
+    :param answered_count: number of streams that completed.
+    :param token_s: median time between tokens.
+    :param stalls_s: the longest wait for a token of each affected stream.
     """
 
     answered_count: int
@@ -119,7 +120,7 @@
     stalls_s: list[float]
 
     def row(self, name: str) -> list[object]:
-        """Return the table's row."""
+        """Return the table row."""
         stall_s = median(self.stalls_s)
         return [
             name,
@@ -133,7 +134,7 @@
 
 
 async def run_with_fault(fault: Fault) -> FaultResult:
-    """Run streams, apply the fault, and wait for the answers."""
+    """Run streams, apply the fault during them, and wait for the responses."""
     with Cluster(hosts()) as cluster:
         http = new_client()
         url = cluster.callers_url()
@@ -151,9 +152,9 @@
 
 
 async def run_with_caller_retry() -> FaultResult:
-    """Kill an agent, without recovery: the callers send the request again.
+    """Kill an agent with recovery turned off; callers retry the complete request.
 
-    The wait ends when the second answer passes the first one's length.
+    The stall ends when the second response has one token more than the first.
     """
     overrides = {"routing": {"max_attempts": 1}}
     with Cluster(hosts(), entry_overrides=overrides) as cluster:
@@ -180,7 +181,7 @@
 
 
 async def main() -> None:
-    """Measure and print."""
+    """Run the measurements and print the table."""
     rows = [(await run_with_fault(fault)).row(name) for name, fault in FAULTS.items()]
     rows.append((await run_with_caller_retry()).row("agent killed, begun again"))
     print_table(
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,9 +1,9 @@
-"""Tokens a second through real processes, as a ratio to the engines' bound.
+"""Tokens per second through real processes, relative to the bound of the engines.
 
-The bound is what the engines alone could do: with ``k`` cohorts in flight over
+The bound is the throughput of the engines alone: with ``k`` cohorts in flight over
 ``S`` stages, one round takes ``max(S, k)`` step times of ``fixed + per_sequence
-* n / k``; the bound is the best over ``k``. Also gives what the router adds to
-each token and to the first one, and processor time and memory as slopes.
+* n / k``; the bound is the maximum over ``k``. Also measures the latency that the
+router adds to each token and to the first one, and processor time and memory.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Measurement:
-    """One run's figures."""
+    """The results of one run, with usage by process name."""
 
     tokens: int
     wall_s: float
@@ -56,12 +56,12 @@
     before: dict[str, Usage]
 
     def cpu_s(self, name: str) -> float:
-        """Processor time that a process took."""
+        """Return the processor seconds that a process used during the run."""
         return self.after[name].cpu_s - self.before[name].cpu_s
 
 
 def bound_tokens_per_s(streams: int) -> float:
-    """Return the most tokens a second that the engines can give."""
+    """Return the maximum tokens per second that the engines can generate."""
     best = 0.0
     for cohorts in range(1, streams + 1):
         step_ms = FIXED_MS + PER_SEQUENCE_MS * streams / cohorts
@@ -71,7 +71,7 @@
 
 
 async def measure(cluster: Cluster, streams: int, tokens: int) -> Measurement:
-    """Run ``streams`` answers at a time until each has come twice."""
+    """Run ``streams`` concurrent requests of ``tokens`` tokens and measure them."""
     http = new_client()
     names = ["entry-0", *(f"agent-{host.host}" for host in HOSTS)]
     await stream(http, cluster.callers_url(), "warm", 4)
@@ -88,7 +88,7 @@
 
 
 async def main() -> None:
-    """Measure and print."""
+    """Run the measurements and print the tables."""
     with Cluster(HOSTS) as cluster:
         idle_mib = {
             n: read_usage(cluster, n).resident_mib for n in ("entry-0", "agent-meter-1")
--- a/benchmarks/without.py
+++ b/benchmarks/without.py
@@ -1,8 +1,8 @@
-"""Which tests fail when a mechanism is taken out.
+"""Checks that tests fail when the mechanism that they cover is removed.
 
-For each row of ``tests/mechanisms.toml`` the tree is copied, the mechanism's
-line is replaced, and the named test is run on the copy. The test must fail
-there: this shows that the test sees the failure that the mechanism prevents.
+For each row of ``tests/mechanisms.toml``, copies the tree, replaces the mechanism's
+line, and runs the named test on the copy. The test must fail there, which shows that it
+detects the failure that the mechanism prevents.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True)
 class Mechanism:
-    """A mechanism, how to take it out, and the test that must see it."""
+    """A mechanism, the replacement that removes it, and the test that must fail."""
 
     name: str
     file: str
@@ -34,13 +34,17 @@
 
 
 def load_mechanisms() -> list[Mechanism]:
-    """Return all rows."""
+    """Return all mechanisms of ``tests/mechanisms.toml``."""
     data = tomllib.loads((PROJECT / "tests" / "mechanisms.toml").read_text())
     return [Mechanism(**row) for row in data["mechanism"]]
 
 
 def run_test_without(mechanism: Mechanism) -> str:
-    """Return what the test says without the mechanism."""
+    """Run the test without the mechanism and return its result.
+
+    ``fails`` is the expected result; ``not applied`` means that the line wasn't found
+    exactly once.
+    """
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder)
         for name in COPIED_PATHS:
@@ -68,7 +72,10 @@
 
 
 def main() -> int:
-    """Run all rows, or those whose names contain the argument."""
+    """Run all rows, or those whose names contain the argument.
+
+    Returns 1 if a test didn't fail, else 0.
+    """
     name_filter = sys.argv[1] if len(sys.argv) > 1 else ""
     rows = [
         [m.name, m.test.rpartition("::")[2], run_test_without(m)]
