--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -145,10 +145,12 @@
         await asyncio.sleep(FAULT_AFTER_S)
         names = await asyncio.to_thread(busy_hosts, cluster)
         await asyncio.to_thread(fault, cluster, names)
-        answers = await asyncio.gather(*tasks)
-    token_s = median([median(t.gaps_s) for t in answers])
-    stalls_s = [max(t.gaps_s) for t in answers if t.attempts > 1]
-    return FaultResult(sum(t.outcome == "answered" for t in answers), token_s, stalls_s)
+        responses = await asyncio.gather(*tasks)
+    token_s = median([median(t.gaps_s) for t in responses])
+    stalls_s = [max(t.gaps_s) for t in responses if t.attempts > 1]
+    return FaultResult(
+        sum(t.outcome == "answered" for t in responses), token_s, stalls_s
+    )
 
 
 async def run_with_caller_retry() -> FaultResult:
--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -77,7 +77,7 @@
         crashes = [code for code in exit_codes if code not in EXPECTED_EXIT_CODES]
         if crashes:
             observations.record_violation(
-                "FAULT", f"entries ended by themselves: {crashes}"
+                "FAULT", f"entries exited unexpectedly: {crashes}"
             )
     finally:
         await deployment.stop()
--- a/soak/clients.py
+++ b/soak/clients.py
@@ -303,7 +303,7 @@
         if max_count > allowed_requests(float(limit.text)):
             server_id = limit.server.server_id
             observations.record_violation(
-                LIMIT, f"{server_id} takes {limit.text} a second: {max_count}"
+                LIMIT, f"{server_id} accepts {limit.text} a second but got {max_count}"
             )
 
 
@@ -361,10 +361,10 @@
 
     Requests of one path count as the same request: they share caller and body.
     """
-    for path, ended_at_s in deployment.poison_crashes_s.items():
-        if len(ended_at_s) < 3:
+    for path, crashed_at_s in deployment.poison_crashes_s.items():
+        if len(crashed_at_s) < 3:
             continue
-        since_s = sorted(ended_at_s)[2]
+        since_s = sorted(crashed_at_s)[2]
         if (
             not deployment.faults_active_since(since_s - _FAULT_AFTEREFFECT_S)
             <= CONNECTIVITY_PRESERVING_FAULTS
@@ -406,13 +406,13 @@
         for end_s in retried_at_s:
             retries = _count_in_window(retried_at_s, end_s)
             # The budget is based on the busiest of this window and the ones before it.
-            asked = max(
+            request_count = max(
                 _count_in_window(sent_s, end_s - earlier * BUDGET_WINDOW_S)
                 for earlier in (0.0, 0.5, 1.0)
             )
-            if retries > BUDGET_RATIO * asked + BUDGET_SLACK:
+            if retries > BUDGET_RATIO * request_count + BUDGET_SLACK:
                 observations.record_violation(
-                    BUDGET, f"{service}: {retries} retries, {asked} requests"
+                    BUDGET, f"{service}: {retries} retries, {request_count} requests"
                 )
                 break
 
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -296,8 +296,8 @@
         {"born": "yesterday"},
         {"models": "inspect"},
     ]
-    whole = json.dumps({**entry, **rng.choice(odd)}).encode()
-    return rng.choice([whole, whole, whole[:40], b"\xff\xfe", b"[]"])
+    record = json.dumps({**entry, **rng.choice(odd)}).encode()
+    return rng.choice([record, record, record[:40], b"\xff\xfe", b"[]"])
 
 
 async def server_leaves(deployment: Deployment, rng: random.Random) -> None:
--- a/standins/chaining_engine.py
+++ b/standins/chaining_engine.py
@@ -299,12 +299,12 @@
         self.engine.cancelled.append(self.request.headers["Railfold-Attempt-Id"])
 
     async def get(self) -> None:
-        await self._answer()
+        await self._respond()
 
     async def post(self) -> None:
-        await self._answer()
+        await self._respond()
 
-    async def _answer(self) -> None:
+    async def _respond(self) -> None:
         engine, headers = self.engine, self.request.headers
         request_id = headers["Railfold-Attempt-Id"]
         engine.received_headers.append(dict(headers.get_all()))
@@ -445,8 +445,8 @@
             raise ChainError(f"layers run out of order: {chain}")
         position = end
         engine = fleet.get(address)
-        held = engine.layers if engine else None
-        if held is None or first < held[0] or end > held[1]:
+        loaded = engine.layers if engine else None
+        if loaded is None or first < loaded[0] or end > loaded[1]:
             return address
     if position != LAYERS:
         raise ChainError(f"layers are missing: {chain}")
--- a/standins/platform.py
+++ b/standins/platform.py
@@ -92,7 +92,7 @@
         self.request.connection.detach().close()
         self._finished = True
 
-    def answer(self, value: Any) -> None:
+    def respond_json(self, value: Any) -> None:
         """Respond with JSON."""
         self.set_header("Content-Type", "application/json")
         self.finish(msgspec.json.encode(value))
@@ -127,7 +127,7 @@
                 self.send_error(503)
                 return
         start = max(0, offset - stream.first_offset)
-        self.answer(
+        self.respond_json(
             {
                 "records": stream.records[start : start + limit],
                 "first_offset": stream.first_offset,
@@ -146,7 +146,7 @@
         if self.platform.mode == "lose_answer":
             self.break_connection()
             return
-        self.answer({"offsets": offsets})
+        self.respond_json({"offsets": offsets})
 
 
 class HostsHandler(_Handler):
@@ -155,7 +155,7 @@
     def get(self) -> None:
         """Return the hosts."""
         self.platform.hosts_reads += 1
-        self.answer({"hosts": self.platform.hosts})
+        self.respond_json({"hosts": self.platform.hosts})
 
 
 class ControlHandler(RequestHandler):
