--- a/src/railfold/__init__.py
+++ b/src/railfold/__init__.py
@@ -134,7 +134,7 @@
 
 # Modules under ``railfold._internal`` and what they export. They are imported
 # when a name is first used: a daemon that starts pays only for what it runs.
-_MODULES = {
+_NAMES_BY_MODULE = {
     "core": (
         "Answered",
         "AttemptId",
@@ -215,12 +215,14 @@
     ),
 }
 
-_MODULE_OF = {name: module for module, names in _MODULES.items() for name in names}
+_MODULE_BY_NAME = {
+    name: module for module, names in _NAMES_BY_MODULE.items() for name in names
+}
 
 
 def __getattr__(name: str) -> Any:
     """Import an exported name on its first use."""
-    module = _MODULE_OF.get(name)
+    module = _MODULE_BY_NAME.get(name)
     if module is None:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     return getattr(importlib.import_module(f"railfold._internal.{module}"), name)
--- a/src/railfold/_internal/agent/backend.py
+++ b/src/railfold/_internal/agent/backend.py
@@ -30,7 +30,7 @@
 class Backend(Protocol):
     """One backend server, as the agent's links drive it."""
 
-    def frame(self, link: Link, frame: Frame) -> None:
+    def frame_received(self, link: Link, frame: Frame) -> None:
         """Take a frame from an entry or another agent."""
 
     def owner_lost(self, owner: str) -> None:
--- a/src/railfold/_internal/agent/engine_backend.py
+++ b/src/railfold/_internal/agent/engine_backend.py
@@ -94,11 +94,11 @@
         self._status_interval_s = status_interval_s
         self._owner_link = owner_link
         self._on_change = on_change
-        self._ready: deque[StartRun] = deque()
-        self._closing: list[str] = []
-        self._wake = asyncio.Event()
-        self._times = StepTimes()
-        self._changing = False
+        self._ready_runs: deque[StartRun] = deque()
+        self._sequences_to_close: list[str] = []
+        self._work_arrived = asyncio.Event()
+        self._step_times = StepTimes()
+        self._reload_pending = False
         self.status: EngineStatus | None = None
         table.available = False
 
@@ -114,13 +114,13 @@
             available=self._table.available and not self.stalled(),
             running=len(self._table),
             capacity=self._capacity,
-            step_ms=self._times.mean_s * 1000.0,
+            step_ms=self._step_times.mean_s * 1000.0,
             loaded=loaded,
         )
 
     def stalled(self) -> bool:
         """Return whether the running step is stalled."""
-        return self._times.stalled(asyncio.get_running_loop().time())
+        return self._step_times.stalled(asyncio.get_running_loop().time())
 
     def owned_by(self, owner: str) -> int:
         """Return how many sequences are an entry's."""
@@ -132,7 +132,7 @@
 
     # Events from links.
 
-    def frame(self, link: Link, frame: Frame) -> None:
+    def frame_received(self, link: Link, frame: Frame) -> None:
         """Take a frame from an entry or another agent."""
         for message in frame.messages:
             match message:
@@ -181,8 +181,8 @@
     def _perform(self, action: SequenceAction, reply_to: Link | None) -> None:
         match action:
             case StartRun():
-                self._ready.append(action)
-                self._wake.set()
+                self._ready_runs.append(action)
+                self._work_arrived.set()
             case ForwardOutput():
                 self._forward(action)
             case RefuseOpen(attempt_id=attempt_id, owner=owner, reason=reason):
@@ -198,8 +198,8 @@
                 )
                 self._send_to_owner(owner, failed)
             case CloseEngineSequence(attempt_id=attempt_id):
-                self._closing.append(str(attempt_id))
-                self._wake.set()
+                self._sequences_to_close.append(str(attempt_id))
+                self._work_arrived.set()
             case ConfirmTombstone(attempt_id=attempt_id, started=started):
                 if reply_to is not None:
                     reply = TombstoneReply(
@@ -214,7 +214,7 @@
         attempt_id, output = action.attempt_id, action.output
         match output.data:
             case Token() as token:
-                self._emit(attempt_id, view, token, action)
+                self._send_token(attempt_id, view, token, action)
             case HiddenState(data=data):
                 message = Activation(
                     attempt_id.request_id,
@@ -225,7 +225,7 @@
                 )
                 self._peers.send(view.chain.stages[view.index + 1], message)
 
-    def _emit(
+    def _send_token(
         self,
         attempt_id: AttemptId,
         view: SequenceView,
@@ -242,18 +242,22 @@
         self._send_to_owner(view.owner, emitted)
         if token.final or token.step + 1 >= view.max_tokens:
             return
-        first = view.chain.stages[0]
+        first_stage = view.chain.stages[0]
         next_step = token.step + 1
         if len(view.chain.stages) > 1:
             feedback = Feedback(
                 attempt_id.request_id, attempt_id.attempt, next_step, token.token_id
             )
-            self._peers.send(first, feedback)
+            self._peers.send(first_stage, feedback)
             return
         step_input = StepInput(DecodeInput(token.token_id))
         self._apply(
             FrameReceived(
-                attempt_id, next_step, first.host, first.incarnation, step_input
+                attempt_id,
+                next_step,
+                first_stage.host,
+                first_stage.incarnation,
+                step_input,
             )
         )
 
@@ -268,38 +272,38 @@
         """Child: give ready sequences to the engine, one step at a time."""
         ready.set()
         while True:
-            await self._wake.wait()
-            self._wake.clear()
-            while self._ready:
+            await self._work_arrived.wait()
+            self._work_arrived.clear()
+            while self._ready_runs:
                 await self._step()
-                await self._free_closed()
-            await self._free_closed()
+                await self._close_ended_sequences()
+            await self._close_ended_sequences()
 
     async def _step(self) -> None:
-        ready = [run.attempt_id for run in self._ready]
+        ready = [run.attempt_id for run in self._ready_runs]
         count = self._batcher.take(ready, len(self._table), self._table.longest_chain())
-        runs = [self._ready.popleft() for _ in range(count)]
+        runs = [self._ready_runs.popleft() for _ in range(count)]
         items = [_step_item(run) for run in runs]
         loop = asyncio.get_running_loop()
-        self._times.started(loop.time())
+        self._step_times.started(loop.time())
         try:
             results = await self._engine.step(items)
         except EngineError as error:
             # The step may have run, so that these sequences can't go on here.
             self._metrics.count("engine.step_failures")
             results = [StepFailure(error.code)] * len(items)
-        self._times.ended(loop.time())
+        self._step_times.ended(loop.time())
         self._metrics.count("engine.steps")
         self._metrics.count("engine.step_sequences", len(items))
         for run, result in zip(runs, results, strict=True):
             self._apply(_run_event(run, result))
 
-    async def _free_closed(self) -> None:
-        if not self._closing:
+    async def _close_ended_sequences(self) -> None:
+        if not self._sequences_to_close:
             return
-        closing, self._closing = self._closing, []
+        sequence_ids, self._sequences_to_close = self._sequences_to_close, []
         try:
-            await self._engine.close(closing)
+            await self._engine.close(sequence_ids)
         except EngineError:
             self._metrics.count("engine.close_failures")
 
@@ -313,20 +317,20 @@
             self._apply(Tick())
             await asyncio.sleep(self._status_interval_s)
 
-    def set_changing(self, changing: bool) -> None:
+    def set_reload_pending(self, reload_pending: bool) -> None:
         """Refuse new sequences while the engine is about to load other layers."""
-        if changing == self._changing:
+        if reload_pending == self._reload_pending:
             return
-        self._changing = changing
+        self._reload_pending = reload_pending
         self._set_available()
         self._on_change()
 
     def _set_available(self) -> None:
-        self._table.available = self.status is not None and not self._changing
+        self._table.available = self.status is not None and not self._reload_pending
 
     async def read_status(self) -> None:
         """Read back what the engine has loaded."""
-        before = self.status
+        previous_status = self.status
         try:
             self.status = await self._engine.status()
         except EngineError as error:
@@ -334,23 +338,35 @@
                 logging.warning("engine unavailable: %s", error)
             self.status = None
         self._set_available()
-        if before is not None and _engine_changed(before, self.status):
-            self._fail_all("engine_state_lost")
-        if before != self.status:
+        if previous_status is not None and _engine_changed(
+            previous_status, self.status
+        ):
+            self._fail_open_attempts("engine_state_lost")
+        if previous_status != self.status:
             logging.info("engine status: %s", self.status)
             self._on_change()
 
-    def _fail_all(self, reason: str) -> None:
-        self._ready.clear()
+    def _fail_open_attempts(self, reason: str) -> None:
+        self._ready_runs.clear()
         for attempt_id in self._table.open_attempts():
             self._apply(RunFailed(attempt_id, 0, reason))
 
 
-def _engine_changed(before: EngineStatus, after: EngineStatus | None) -> bool:
-    if after is None or before.engine_id != after.engine_id:
+def _engine_changed(
+    previous_status: EngineStatus, current_status: EngineStatus | None
+) -> bool:
+    if current_status is None or previous_status.engine_id != current_status.engine_id:
         return True
-    loaded_before = (before.model, before.version, before.layers)
-    return loaded_before != (after.model, after.version, after.layers)
+    previously_loaded = (
+        previous_status.model,
+        previous_status.version,
+        previous_status.layers,
+    )
+    return previously_loaded != (
+        current_status.model,
+        current_status.version,
+        current_status.layers,
+    )
 
 
 def _activation_event(link: Link, message: Activation) -> FrameReceived:
--- a/src/railfold/_internal/agent/links.py
+++ b/src/railfold/_internal/agent/links.py
@@ -22,7 +22,7 @@
 
 __all__ = ["AgentLinks"]
 
-_TICK_S = 0.25
+_CHECK_INTERVAL_S = 0.25
 _DEFAULT_INTERVAL_S = 1.0
 
 
@@ -44,7 +44,7 @@
         self._backend: Backend | None = None
         self.draining = False
 
-    def attach(self, backend: Backend) -> None:
+    def set_backend(self, backend: Backend) -> None:
         """Set the backend; it and the links need each other."""
         self._backend = backend
 
@@ -59,10 +59,12 @@
         """Names of the linked entries."""
         return [entry.link.peer.name for entry in self._entries.values()]
 
-    def heard_s(self) -> float:
+    def last_contact_s(self) -> float:
         """Return when an entry was heard last, on the loop's clock."""
-        heard = (entry.link.last_heard_s for entry in self._entries.values())
-        return max(heard, default=-math.inf)
+        received_times_s = (
+            entry.link.last_received_s for entry in self._entries.values()
+        )
+        return max(received_times_s, default=-math.inf)
 
     def entry_link(self, owner: str) -> Link | None:
         """Return the link to an entry by its owner name."""
@@ -75,7 +77,7 @@
             return
         logging.info("entry %s linked", link.peer.name)
         self._entries[owner_name(link)] = _EntryLink(link)
-        self.announce()
+        self.send_heartbeats_now()
 
     def link_down(self, link: Link) -> None:
         """A link ended."""
@@ -97,7 +99,7 @@
                     self._probe(link, message)
                 case _:
                     pass
-        self.backend.frame(link, frame)
+        self.backend.frame_received(link, frame)
 
     def _probe(self, link: Link, probe: Probe) -> None:
         entry = self._entries.get(owner_name(link))
@@ -106,7 +108,7 @@
             entry.lease_s = probe.lease_s
         link.send(ProbeReply(probe.nonce, self.backend.stalled()))
 
-    def announce(self) -> None:
+    def send_heartbeats_now(self) -> None:
         """Send a heartbeat to every entry at once: something has changed."""
         for entry in self._entries.values():
             entry.next_heartbeat_s = 0.0
@@ -118,15 +120,15 @@
             return
         self.draining = True
         self.backend.set_draining()
-        self.announce()
+        self.send_heartbeats_now()
 
     async def run(self, ready: asyncio.Event) -> None:
         """Child: send heartbeats and watch the entries' leases."""
         ready.set()
         while True:
-            await asyncio.sleep(_TICK_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
             self._send_heartbeats()
-            self._drop_lapsed()
+            self._close_expired_links()
 
     def _send_heartbeats(self) -> None:
         now_s = asyncio.get_running_loop().time()
@@ -156,9 +158,9 @@
             return "draining"
         return "serving" if report.available else "unavailable"
 
-    def _drop_lapsed(self) -> None:
+    def _close_expired_links(self) -> None:
         for entry in list(self._entries.values()):
-            silent_s = entry.link.unheard_looks() * _TICK_S
+            silent_s = entry.link.check_silence() * _CHECK_INTERVAL_S
             if entry.lease_s and silent_s > entry.lease_s:
                 self._metrics.count("entries.lease_lapsed")
                 logging.warning(
--- a/src/railfold/_internal/agent/orders.py
+++ b/src/railfold/_internal/agent/orders.py
@@ -23,12 +23,12 @@
 from railfold._internal.errors import EngineError
 from railfold._internal.observability.metrics import Metrics
 
-__all__ = ["OrderKeeper"]
+__all__ = ["OrderSender"]
 
-_TICK_S = 0.1
+_CHECK_INTERVAL_S = 0.1
 
 
-class OrderKeeper:
+class OrderSender:
     """Gives orders to one engine, one at a time.
 
     :param heard_s: returns when an entry was heard last, on the loop's clock.
@@ -41,7 +41,7 @@
         backend: EngineBackend,
         replica: ConfigurationReplica,
         reconciler: Reconciler,
-        heard_s: Callable[[], float],
+        last_contact_s: Callable[[], float],
         metrics: Metrics,
     ) -> None:
         self._host = host
@@ -49,21 +49,23 @@
         self._backend = backend
         self._replica = replica
         self._reconciler = reconciler
-        self._heard_s = heard_s
+        self._last_contact_s = last_contact_s
         self._metrics = metrics
-        self._wanted: tuple[LoadOrder, int] | None = None
-        self._wanted_version = 0
+        self._desired: tuple[LoadOrder, int] | None = None
+        self._desired_at_version = 0
 
     async def run(self, ready: asyncio.Event) -> None:
         """Reconcile until cancelled."""
         ready.set()
         while True:
-            await asyncio.sleep(_TICK_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
             decision = self._decide()
-            waiting = isinstance(decision, GiveOrder | WaitForSequences | WaitForSlot)
-            self._backend.set_changing(waiting)
+            reload_pending = isinstance(
+                decision, GiveOrder | WaitForSequences | WaitForSlot
+            )
+            self._backend.set_reload_pending(reload_pending)
             if isinstance(decision, GiveOrder):
-                await self._give(decision.order)
+                await self._send_order(decision.order)
 
     def _decide(self) -> OrderDecision:
         status = self._backend.status
@@ -73,22 +75,22 @@
         if status.layers is not None:
             loaded = (status.model, status.version, status.layers)
         return self._reconciler.decide(
-            self._wanted_now(),
+            self._desired_order(),
             loaded=loaded,
             engine_fencing_token=status.fencing,
             open_sequences=self._backend.report().running,
-            last_contact_s=self._heard_s(),
+            last_contact_s=self._last_contact_s(),
             now_s=asyncio.get_running_loop().time(),
         )
 
-    def _wanted_now(self) -> tuple[LoadOrder, int] | None:
+    def _desired_order(self) -> tuple[LoadOrder, int] | None:
         # Working it out goes through all hosts, so only when it may differ.
-        if self._replica.version != self._wanted_version:
-            self._wanted = configured_load(self._replica.configuration, self._host)
-            self._wanted_version = self._replica.version
-        return self._wanted
+        if self._replica.version != self._desired_at_version:
+            self._desired = configured_load(self._replica.configuration, self._host)
+            self._desired_at_version = self._replica.version
+        return self._desired
 
-    async def _give(self, order: LoadOrder) -> None:
+    async def _send_order(self, order: LoadOrder) -> None:
         # Nothing is awaited between the look at the lease and the order.
         self._reconciler.record_order(asyncio.get_running_loop().time())
         self._metrics.count("orders.given")
--- a/src/railfold/_internal/agent/peers.py
+++ b/src/railfold/_internal/agent/peers.py
@@ -14,14 +14,14 @@
 
 __all__ = ["PeerLinks"]
 
-_MAX_WAITING_MESSAGES = 4096
+_MAX_QUEUED_MESSAGES = 4096
 
 
 @dataclass(slots=True)
 class _Peer:
     stage: Stage
     link: Link | None = None
-    waiting: list[LinkMessage] = field(default_factory=list)
+    queued_messages: list[LinkMessage] = field(default_factory=list)
     task: asyncio.Task[None] | None = None
 
 
@@ -35,12 +35,12 @@
     def __init__(
         self,
         hello: Hello,
-        version: Callable[[], int],
+        configuration_version: Callable[[], int],
         limits: LinkLimits,
         on_lost: Callable[[str], None],
     ) -> None:
         self._hello = hello
-        self._version = version
+        self._configuration_version = configuration_version
         self._limits = limits
         self._on_lost = on_lost
         self._peers: dict[tuple[str, int], _Peer] = {}
@@ -54,8 +54,8 @@
             peer.task = asyncio.create_task(self._run(key, peer))
         if peer.link is not None:
             peer.link.send(message)
-        elif len(peer.waiting) < _MAX_WAITING_MESSAGES:
-            peer.waiting.append(message)
+        elif len(peer.queued_messages) < _MAX_QUEUED_MESSAGES:
+            peer.queued_messages.append(message)
 
     async def close(self) -> None:
         """Close all links."""
@@ -69,7 +69,7 @@
             link = await dial(
                 parse_address(peer.stage.address),
                 self._hello,
-                self._version,
+                self._configuration_version,
                 self._limits,
             )
             if link.peer.incarnation == peer.stage.incarnation:
@@ -84,13 +84,13 @@
 
     async def _serve(self, link: Link, peer: _Peer) -> None:
         peer.link = link
-        for message in peer.waiting:
+        for message in peer.queued_messages:
             link.send(message)
-        peer.waiting.clear()
-        await serve_link(link, _SendOnly())
+        peer.queued_messages.clear()
+        await serve_link(link, _SendOnlyHandler())
 
 
-class _SendOnly:
+class _SendOnlyHandler:
     """Handler of links on which the peer has nothing to say."""
 
     def link_up(self, link: Link) -> None:
--- a/src/railfold/_internal/agent/process.py
+++ b/src/railfold/_internal/agent/process.py
@@ -11,7 +11,7 @@
 from railfold._internal.agent.backend import Backend
 from railfold._internal.agent.engine_backend import EngineBackend
 from railfold._internal.agent.links import AgentLinks
-from railfold._internal.agent.orders import OrderKeeper
+from railfold._internal.agent.orders import OrderSender
 from railfold._internal.agent.peers import PeerLinks
 from railfold._internal.agent.service_backend import ServiceBackend
 from railfold._internal.configuration.replica import ConfigurationReplica
@@ -57,7 +57,7 @@
         self._incarnation = time.time_ns()
         self._http = new_http_client()
         self._single_use_http = new_single_use_client()
-        self._replica = ConfigurationReplica(self.metrics, on_change=_nothing)
+        self._replica = ConfigurationReplica(self.metrics, on_change=_do_nothing)
         self._links = AgentLinks(self._replica, self.metrics)
         self._limits = LinkLimits(**settings.links.model_dump())
         self._hello = Hello(
@@ -71,7 +71,7 @@
         self._backend_children: list[ChildSpec] = []
         self._peers: PeerLinks | None = None
         self._backend = self._make_backend()
-        self._links.attach(self._backend)
+        self._links.set_backend(self._backend)
 
     def _make_backend(self) -> Backend:
         match self._settings.backend:
@@ -85,7 +85,7 @@
         table = SequenceTable(self._settings.host, self._incarnation, limits)
         peers = PeerLinks(
             self._hello,
-            self._version,
+            self._configuration_version,
             self._limits,
             on_lost=lambda host: backend.peer_lost(host),
         )
@@ -102,15 +102,15 @@
             max_batch=settings.max_batch,
             status_interval_s=settings.status_interval_s,
             owner_link=self._links.entry_link,
-            on_change=self._links.announce,
+            on_change=self._links.send_heartbeats_now,
         )
-        orders = OrderKeeper(
+        orders = OrderSender(
             self._settings.host,
             engine,
             backend,
             self._replica,
             Reconciler(OrderLimits(**settings.orders.model_dump())),
-            self._links.heard_s,
+            self._links.last_contact_s,
             self.metrics,
         )
         self._backend_children = [
@@ -129,7 +129,7 @@
             self.metrics,
             capacity=settings.max_calls,
             status_interval_s=settings.status_interval_s,
-            on_change=self._links.announce,
+            on_change=self._links.send_heartbeats_now,
         )
         self._backend_children = [ChildSpec("service-status", backend.run_status)]
         return backend
@@ -177,7 +177,7 @@
             "counters": dict(self.metrics.counters),
         }
 
-    def _version(self) -> int:
+    def _configuration_version(self) -> int:
         return self._replica.version
 
     def _missing(self) -> list[str]:
@@ -196,12 +196,14 @@
                 ("/v1/status", JsonHandler, {"source": self.status}),
                 ("/v1/drain", DrainHandler, {"drain": self._links.set_draining}),
             ],
-            log_function=_nothing,
+            log_function=_do_nothing,
         )
         return HttpServerChild(application, self._settings.listen.operators)
 
     async def _run_link_server(self, ready: asyncio.Event) -> None:
-        server = LinkServer(self._hello, self._version, self._limits, self._links)
+        server = LinkServer(
+            self._hello, self._configuration_version, self._limits, self._links
+        )
         address = self._settings.listen.links
         server.listen(address.port, address.ip)
         ready.set()
@@ -220,5 +222,5 @@
     await run_process(agent.tree(), agent.drain)
 
 
-def _nothing(*_: object) -> None:
+def _do_nothing(*_: object) -> None:
     """Do nothing."""
--- a/src/railfold/_internal/agent/service_backend.py
+++ b/src/railfold/_internal/agent/service_backend.py
@@ -47,7 +47,7 @@
         self._register = CallRegister()
         self._healthy = False
         self._call_times = StepTimes()
-        self._running_of: Counter[str] = Counter()
+        self._running_by_owner: Counter[str] = Counter()
         self._tasks: set[asyncio.Task[None]] = set()
 
     def report(self) -> BackendReport:
@@ -70,22 +70,22 @@
 
     def owned_by(self, owner: str) -> int:
         """Return how many of the running calls are an entry's."""
-        return self._running_of[owner]
+        return self._running_by_owner[owner]
 
     def owner_lost(self, owner: str) -> None:
         """Nothing to do: a call that was passed on can't be taken back."""
 
-    def frame(self, link: Link, frame: Frame) -> None:
+    def frame_received(self, link: Link, frame: Frame) -> None:
         """Take a frame from an entry."""
         for message in frame.messages:
             match message:
                 case CallService():
-                    self._take(link, message)
+                    self._accept_call(link, message)
                 case _:
                     pass
 
-    def _take(self, link: Link, call: CallService) -> None:
-        reason = self._refusal(call)
+    def _accept_call(self, link: Link, call: CallService) -> None:
+        reason = self._refusal_reason(call)
         if reason:
             self._metrics.count(f"calls.refused.{reason}")
             link.send(CallRefused(call.request_id, False, reason))
@@ -95,12 +95,12 @@
             self._metrics.count("calls.duplicates")
             return
         self._register.running += 1
-        self._running_of[owner_name(link)] += 1
+        self._running_by_owner[owner_name(link)] += 1
         task = asyncio.create_task(self._call(link, call))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _refusal(self, call: CallService) -> str:
+    def _refusal_reason(self, call: CallService) -> str:
         if call.service != self._name:
             return "wrong_service"
         if self._register.draining:
@@ -132,7 +132,7 @@
             reply = CallRefused(call.request_id, False, error.why)
         finally:
             self._register.running -= 1
-            self._running_of[owner_name(link)] -= 1
+            self._running_by_owner[owner_name(link)] -= 1
         self._metrics.count("calls.passed_on")
         self._call_times.record(loop.time() - started_s)
         link.send(reply)
@@ -141,9 +141,9 @@
         """Child: ask the service for its health, at intervals."""
         ready.set()
         while True:
-            before = self._healthy
+            was_healthy = self._healthy
             self._healthy = await self._service.healthy()
-            if before != self._healthy:
+            if was_healthy != self._healthy:
                 logging.info("service %s healthy: %s", self._name, self._healthy)
                 self._on_change()
             await asyncio.sleep(self._status_interval_s)
--- a/src/railfold/_internal/clock.py
+++ b/src/railfold/_internal/clock.py
@@ -27,7 +27,7 @@
 
 # A shorter gap between the two clocks is the time between reading one and the other: up
 # to a scheduler's turn on a busy host. A shorter suspension ages nothing that matters.
-_LEAST_SUSPENSION_S = 0.2
+_MIN_SUSPENSION_S = 0.2
 
 
 def now_s() -> float:
@@ -40,30 +40,33 @@
     return time.time()
 
 
-def _steady_s() -> float:
+def _monotonic_s() -> float:
     return time.clock_gettime(time.CLOCK_MONOTONIC)
 
 
-class _WatchfulSelector(selectors.DefaultSelector):
+class _SuspensionDetectingSelector(selectors.DefaultSelector):
     """Tells of a suspension before anything else that has come meanwhile."""
 
     def __init__(self) -> None:
         super().__init__()
         self.on_resumed: Callable[[float], None] | None = None
-        self._suspended_s = now_s() - _steady_s()
+        self._total_suspended_s = now_s() - _monotonic_s()
 
     def select(self, timeout: float | None = None) -> Any:
-        found = super().select(timeout)
-        suspended_s = now_s() - _steady_s()
-        since_s, self._suspended_s = suspended_s - self._suspended_s, suspended_s
-        if since_s > _LEAST_SUSPENSION_S and self.on_resumed is not None:
-            self._tell(self.on_resumed, since_s)
-        return found
-
-    def _tell(self, on_resumed: Callable[[float], None], since_s: float) -> None:
+        ready_keys = super().select(timeout)
+        total_suspended_s = now_s() - _monotonic_s()
+        suspension_s, self._total_suspended_s = (
+            total_suspended_s - self._total_suspended_s,
+            total_suspended_s,
+        )
+        if suspension_s > _MIN_SUSPENSION_S and self.on_resumed is not None:
+            self._notify(self.on_resumed, suspension_s)
+        return ready_keys
+
+    def _notify(self, on_resumed: Callable[[float], None], suspension_s: float) -> None:
         """Call back; an error here would end the loop."""
         try:
-            on_resumed(since_s)
+            on_resumed(suspension_s)
         except Exception:
             logging.exception("the look after a suspension failed")
 
@@ -72,8 +75,8 @@
     """An event loop whose time goes on while the host is suspended."""
 
     def __init__(self) -> None:
-        self._watchful = _WatchfulSelector()
-        super().__init__(self._watchful)
+        self._detecting_selector = _SuspensionDetectingSelector()
+        super().__init__(self._detecting_selector)
 
     def time(self) -> float:
         """Return the time by which timers and ages are reckoned."""
@@ -85,7 +88,7 @@
         Before any timer and any socket that became ready: what lapsed meanwhile can be
         given up before something acts by it.
         """
-        self._watchful.on_resumed = callback
+        self._detecting_selector.on_resumed = callback
 
 
 def new_event_loop() -> EventLoop:
--- a/src/railfold/_internal/commands/held.py
+++ b/src/railfold/_internal/commands/held.py
@@ -9,7 +9,7 @@
 
 from railfold._internal import clock
 from railfold._internal.cli.options import as_json, print_json, run
-from railfold._internal.errors import PeerMessageError, RequestNotHeldError
+from railfold._internal.errors import PeerMessageError, RequestNotQuarantinedError
 from railfold._internal.forwarding.store.shared_records import (
     KEY_NAME,
     HoldRecord,
@@ -86,10 +86,10 @@
 async def _lift(platform: UsersPlatform, content: str) -> None:
     """Take a content's record away; entries read that at once.
 
-    :raises RequestNotHeldError: there is none.
+    :raises RequestNotQuarantinedError: there is none.
     """
     if content not in {item.content for item in await _read(platform)}:
-        raise RequestNotHeldError(
+        raise RequestNotQuarantinedError(
             f"content {content} isn't held back", hint="see 'railfold held'"
         )
     await platform.new_log().put(platform.quarantine_stream, content, b"")
--- a/src/railfold/_internal/engines/http_engine.py
+++ b/src/railfold/_internal/engines/http_engine.py
@@ -32,7 +32,7 @@
 _LOAD_TIMEOUT_S = 600.0
 
 
-class _Item(msgspec.Struct, omit_defaults=True):
+class _WireItem(msgspec.Struct, omit_defaults=True):
     sequence: str
     step: int
     begins: bool = False
@@ -42,7 +42,7 @@
     activation: bytes | None = None
 
 
-class _Result(msgspec.Struct):
+class _WireResult(msgspec.Struct):
     activation: bytes | None = None
     token_id: int | None = None
     text: str = ""
@@ -50,7 +50,7 @@
     error: str = ""
 
 
-class _Status(msgspec.Struct):
+class _WireStatus(msgspec.Struct):
     engine_id: str
     model: str = ""
     version: str = ""
@@ -61,7 +61,7 @@
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_RESULTS = msgspec.msgpack.Decoder(list[_Result])
+_RESULT_DECODER = msgspec.msgpack.Decoder(list[_WireResult])
 
 
 @dataclass(frozen=True, slots=True)
@@ -74,7 +74,7 @@
 
     url: str
     http: AsyncHTTPClient
-    step_http: AsyncHTTPClient
+    single_use_http: AsyncHTTPClient
     step_timeout_s: float
 
     async def status(self) -> EngineStatus:
@@ -88,7 +88,7 @@
                 connect_timeout=CONNECT_TIMEOUT_S,
                 request_timeout=_STATUS_TIMEOUT_S,
             )
-            status = msgspec.json.decode(response.body, type=_Status)
+            status = msgspec.json.decode(response.body, type=_WireStatus)
         except (HTTPError, OSError, msgspec.DecodeError) as error:
             raise EngineUnavailableError(
                 "the engine doesn't give its status", why=str(error)
@@ -118,7 +118,7 @@
             "fencing": order.fencing_token,
         }
         try:
-            await self.step_http.fetch(
+            await self.single_use_http.fetch(
                 f"{self.url}/v1/load",
                 method="POST",
                 body=msgspec.json.encode(body),
@@ -136,9 +136,9 @@
 
         :raises EngineUnavailableError: no answer; the step may have run.
         """
-        body = _ENCODER.encode([_wire_item(item) for item in items])
+        body = _ENCODER.encode([_to_wire(item) for item in items])
         try:
-            response = await self.step_http.fetch(
+            response = await self.single_use_http.fetch(
                 f"{self.url}/v1/step",
                 method="POST",
                 body=body,
@@ -146,7 +146,7 @@
                 connect_timeout=CONNECT_TIMEOUT_S,
                 request_timeout=self.step_timeout_s,
             )
-            results = _RESULTS.decode(response.body)
+            results = _RESULT_DECODER.decode(response.body)
         except (HTTPError, OSError, msgspec.DecodeError) as error:
             raise EngineUnavailableError(
                 "the engine didn't answer a step", why=str(error)
@@ -156,7 +156,7 @@
                 "the engine answered another number of sequences than it was given"
             )
         pairs = zip(items, results, strict=True)
-        return [_result(item, result) for item, result in pairs]
+        return [_from_wire(item, result) for item, result in pairs]
 
     async def close(self, sequences: Sequence[str]) -> None:
         """Free sequences' KV caches.
@@ -178,19 +178,19 @@
             ) from error
 
 
-def _wire_item(item: StepItem) -> _Item:
-    wire = _Item(item.sequence, item.step, item.begins)
+def _to_wire(item: StepItem) -> _WireItem:
+    wire_item = _WireItem(item.sequence, item.step, item.begins)
     match item.payload:
         case PrefillInput(prompt=prompt, emitted=emitted):
-            wire.prompt, wire.emitted = prompt, emitted
+            wire_item.prompt, wire_item.emitted = prompt, emitted
         case DecodeInput(token_id=token_id):
-            wire.token_id = token_id
+            wire_item.token_id = token_id
         case ActivationInput(data=data):
-            wire.activation = data
-    return wire
+            wire_item.activation = data
+    return wire_item
 
 
-def _result(item: StepItem, result: _Result) -> StepResult:
+def _from_wire(item: StepItem, result: _WireResult) -> StepResult:
     if result.error:
         return StepFailure(result.error)
     if result.activation is not None:
--- a/src/railfold/_internal/engines/http_service.py
+++ b/src/railfold/_internal/engines/http_service.py
@@ -37,7 +37,7 @@
     url: str
     health_path: str
     http: AsyncHTTPClient
-    call_http: AsyncHTTPClient
+    single_use_http: AsyncHTTPClient
 
     async def healthy(self) -> bool:
         """Return whether the service says it is healthy."""
@@ -70,7 +70,7 @@
             headers["Content-Type"] = content_type
         has_body = method in ("POST", "PUT", "PATCH")
         try:
-            response = await self.call_http.fetch(
+            response = await self.single_use_http.fetch(
                 f"{self.url}/{path}",
                 method=method,
                 headers=headers,
@@ -81,13 +81,13 @@
                 raise_error=False,
             )
         except (HTTPClientError, OSError, ValueError) as error:
-            raise _no_answer(error) from error
+            raise _call_error(error) from error
         return ServiceAnswer(
             response.code, response.headers.get("Content-Type", ""), response.body
         )
 
 
-def _no_answer(error: Exception) -> EngineError:
+def _call_error(error: Exception) -> EngineError:
     if was_never_connected(error):
         return EngineError("the service can't be reached", why=str(error))
     return EngineUnavailableError("the service didn't answer", why=str(error))
--- a/src/railfold/_internal/entry/agents.py
+++ b/src/railfold/_internal/entry/agents.py
@@ -122,7 +122,9 @@
 
     def peer_versions(self) -> dict[str, int]:
         """Return each linked agent's configuration version."""
-        return {host: link.peer_version for host, link in self._links.items()}
+        return {
+            host: link.peer_configuration_version for host, link in self._links.items()
+        }
 
     def broadcast(self, message: LinkMessage) -> None:
         """Send to every linked agent."""
@@ -289,7 +291,7 @@
         if links:
             witness = max(
                 links,
-                key=lambda x: (x.peer.failure_domain not in domains, x.last_heard_s),
+                key=lambda x: (x.peer.failure_domain not in domains, x.last_received_s),
             )
             self._spawn(self._ask(witness))
 
@@ -327,7 +329,7 @@
                 await asyncio.sleep(interval_s)
                 for host, link in list(self._links.items()):
                     link.send(self._probe_message(0))
-                    if link.unheard_looks() >= _LEASE_INTERVALS:
+                    if link.check_silence() >= _LEASE_INTERVALS:
                         logging.warning("agent %s fell silent", host)
                         link.close()
         finally:
--- a/src/railfold/_internal/errors.py
+++ b/src/railfold/_internal/errors.py
@@ -27,7 +27,7 @@
     "LinkProtocolError",
     "ListenError",
     "LogUnavailableError",
-    "MemoryShortError",
+    "MemoryQuotaExceededError",
     "NoCapacityError",
     "NotReadyError",
     "OverloadedError",
@@ -40,8 +40,8 @@
     "RecordsExpiredError",
     "RepeatedCrashesError",
     "RequestError",
-    "RequestNotHeldError",
     "RequestNotLoggedError",
+    "RequestNotQuarantinedError",
     "RequestTimeoutError",
     "RoomShortError",
     "ServerNotEligibleError",
@@ -240,7 +240,7 @@
     code = "configuration_stale"
 
 
-class RequestNotHeldError(RailfoldError):
+class RequestNotQuarantinedError(RailfoldError):
     """No request of a content is held back."""
 
     code = "request_not_held"
@@ -332,7 +332,7 @@
     code = "server_not_eligible"
 
 
-class MemoryShortError(RequestError):
+class MemoryQuotaExceededError(RequestError):
     """The entry holds as much for the request's workspace as it may."""
 
     code = "memory_short"
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -21,7 +21,7 @@
 from railfold._internal.decisions.routing_table import RoutingTable, require_table
 from railfold._internal.errors import (
     LogUnavailableError,
-    MemoryShortError,
+    MemoryQuotaExceededError,
     RequestError,
 )
 from railfold._internal.forwarding.adapter import PlatformAdapter
@@ -469,7 +469,7 @@
     def refuse_early(self, exchange: ClientExchange) -> None:
         """Answer a request whose body there is no memory for."""
         held_mb = self._held.total_bytes / 1e6
-        error = MemoryShortError(
+        error = MemoryQuotaExceededError(
             "there is no memory for the request's body",
             why=f"{held_mb:.1f} MB are held for clients",
             hint="come back after Retry-After",
--- a/src/railfold/_internal/links/connection.py
+++ b/src/railfold/_internal/links/connection.py
@@ -31,7 +31,7 @@
 
 LinkMessage = Message | Activation | Feedback | EmittedToken
 
-_LENGTH = struct.Struct(">I")
+_LENGTH_PREFIX = struct.Struct(">I")
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,23 +66,23 @@
         self,
         stream: IOStream,
         hello: Hello,
-        version: Callable[[], int],
+        configuration_version: Callable[[], int],
         limits: LinkLimits,
     ) -> None:
         self._stream = stream
         self._hello = hello
-        self._version = version
+        self._configuration_version = configuration_version
         self._limits = limits
         self._messages: list[Message] = []
         self._activations: list[Activation] = []
         self._feedback: list[Feedback] = []
         self._tokens: list[EmittedToken] = []
-        self._flush_due = False
+        self._flush_scheduled = False
         self.peer = LinkPeer("", "", 0, "", "")
-        self.peer_version = 0
-        self.last_heard_s = 0.0
-        self._looked_at_s = 0.0
-        self._unheard_looks = 0
+        self.peer_configuration_version = 0
+        self.last_received_s = 0.0
+        self._last_received_at_check_s = 0.0
+        self._silent_checks = 0
         self.bytes_sent = 0
         self.bytes_received = 0
 
@@ -139,17 +139,17 @@
                 self._feedback.append(message)
             case _:
                 self._messages.append(message)
-        if not self._flush_due:
-            self._flush_due = True
+        if not self._flush_scheduled:
+            self._flush_scheduled = True
             asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
         """Write all queued messages as one frame."""
-        if not self._flush_due:
+        if not self._flush_scheduled:
             return
-        self._flush_due = False
+        self._flush_scheduled = False
         frame = Frame(
-            self._version(),
+            self._configuration_version(),
             self._messages,
             self._activations,
             self._feedback,
@@ -159,14 +159,14 @@
         self._messages, self._activations = [], []
         self._feedback, self._tokens = [], []
         try:
-            self._stream.write(_LENGTH.pack(len(data)) + data)
+            self._stream.write(_LENGTH_PREFIX.pack(len(data)) + data)
         except StreamClosedError:
             return
         except StreamBufferFullError:
             # A peer that doesn't read is as good as gone.
             self.close()
             return
-        self.bytes_sent += _LENGTH.size + len(data)
+        self.bytes_sent += _LENGTH_PREFIX.size + len(data)
 
     async def receive(self) -> Frame:
         """Return the peer's next frame.
@@ -185,32 +185,34 @@
             raise
 
     async def _read_frame(self) -> Frame:
-        header = await self._stream.read_bytes(_LENGTH.size)
-        (length,) = _LENGTH.unpack(header)
+        header = await self._stream.read_bytes(_LENGTH_PREFIX.size)
+        (length,) = _LENGTH_PREFIX.unpack(header)
         if length > self._limits.max_frame_bytes:
             raise LinkProtocolError(
                 f"a peer announced a frame of {length} bytes",
                 why=f"the limit is {self._limits.max_frame_bytes}",
             )
         frame = decode_frame(await self._stream.read_bytes(length))
-        self.peer_version = max(self.peer_version, frame.configuration_version)
-        self.last_heard_s = asyncio.get_running_loop().time()
-        self.bytes_received += _LENGTH.size + length
+        self.peer_configuration_version = max(
+            self.peer_configuration_version, frame.configuration_version
+        )
+        self.last_received_s = asyncio.get_running_loop().time()
+        self.bytes_received += _LENGTH_PREFIX.size + length
         return frame
 
-    def unheard_looks(self) -> int:
+    def check_silence(self) -> int:
         """Look whether the peer was heard; return how many looks in a row found no.
 
         For the one child that watches this link, at its intervals. Looks are
         counted and not time, since the first look after a hold-up of the loop may
         come before the sockets are read: it counts as one, however long it lasted.
         """
-        if self.last_heard_s > self._looked_at_s:
-            self._looked_at_s = self.last_heard_s
-            self._unheard_looks = 0
+        if self.last_received_s > self._last_received_at_check_s:
+            self._last_received_at_check_s = self.last_received_s
+            self._silent_checks = 0
         else:
-            self._unheard_looks += 1
-        return self._unheard_looks
+            self._silent_checks += 1
+        return self._silent_checks
 
     def close(self) -> None:
         """Close the link; safe to call again."""
--- a/src/railfold/_internal/links/endpoint.py
+++ b/src/railfold/_internal/links/endpoint.py
@@ -54,20 +54,20 @@
     def __init__(
         self,
         hello: Hello,
-        version: Callable[[], int],
+        configuration_version: Callable[[], int],
         limits: LinkLimits,
         handler: LinkHandler,
     ) -> None:
         super().__init__(max_buffer_size=limits.max_queued_bytes)
         self._hello = hello
-        self._version = version
+        self._configuration_version = configuration_version
         self._limits = limits
         self._handler = handler
         self._links: set[Link] = set()
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
         """Handshake and read one accepted stream."""
-        link = Link(stream, self._hello, self._version, self._limits)
+        link = Link(stream, self._hello, self._configuration_version, self._limits)
         try:
             await link.handshake()
         except (LinkClosedError, LinkProtocolError) as error:
@@ -91,7 +91,7 @@
 async def dial(
     address: Address,
     hello: Hello,
-    version: Callable[[], int],
+    configuration_version: Callable[[], int],
     limits: LinkLimits,
 ) -> Link:
     """Return a handshaken link to ``address``.
@@ -110,7 +110,7 @@
         raise LinkClosedError(
             f"can't connect to {address}", why=str(error) or type(error).__name__
         ) from error
-    link = Link(stream, hello, version, limits)
+    link = Link(stream, hello, configuration_version, limits)
     await link.handshake()
     return link
 
@@ -122,14 +122,14 @@
         self,
         address: Address,
         hello: Hello,
-        version: Callable[[], int],
+        configuration_version: Callable[[], int],
         limits: LinkLimits,
         handler: LinkHandler,
         delay_s: Callable[[int], float],
     ) -> None:
         self.address = address
         self._hello = hello
-        self._version = version
+        self._configuration_version = configuration_version
         self._limits = limits
         self._handler = handler
         self._delay_s = delay_s
@@ -151,7 +151,7 @@
         while True:
             try:
                 link = await dial(
-                    self.address, self._hello, self._version, self._limits
+                    self.address, self._hello, self._configuration_version, self._limits
                 )
             except (LinkClosedError, LinkProtocolError):
                 failures += 1
--- a/src/railfold/_internal/waiting.py
+++ b/src/railfold/_internal/waiting.py
@@ -18,11 +18,11 @@
 
 # A hold-up costs a wait one part of its time at most, and a hold-up is noticed if
 # it is longer than a part: 50 ms of the 0.2 s of a probe.
-_PARTS = 4
+_INTERVALS = 4
 
 # Parts that were held up are waited for anew this often in all, so that a process
 # that is always late gives a silent peer up too.
-_MOST_REPEATED_PARTS = 4
+_MAX_REPEATED_INTERVALS = 4
 
 
 async def answer_within(answer: Awaitable[_T], timeout_s: float) -> _T:
@@ -33,7 +33,7 @@
     reads its sockets before the answer is given up. An answer that is there when
     the time is over counts.
 
-    ``tests/unit/test_held_up_loop.py`` measures it: with a plain time-out of
+    ``tests/unit/test_blocked_event_loop.py`` measures it: with a plain time-out of
     0.2 s an answer that takes 20 ms is lost in a hold-up of 0.3 s if the question
     hadn't left before; with this function it is taken.
 
@@ -54,15 +54,15 @@
 
 async def _done_within(future: asyncio.Future[_T], timeout_s: float) -> bool:
     loop = asyncio.get_running_loop()
-    part_s = max(0.0, timeout_s) / _PARTS
-    counted = 0
-    for _ in range(_PARTS + _MOST_REPEATED_PARTS):
-        began_s = loop.time()
-        await asyncio.wait({future}, timeout=part_s)
+    interval_s = max(0.0, timeout_s) / _INTERVALS
+    counted_intervals = 0
+    for _ in range(_INTERVALS + _MAX_REPEATED_INTERVALS):
+        interval_start_s = loop.time()
+        await asyncio.wait({future}, timeout=interval_s)
         if future.done():
             return True
-        if loop.time() - began_s <= 2.0 * part_s:
-            counted += 1
-        if counted == _PARTS:
+        if loop.time() - interval_start_s <= 2.0 * interval_s:
+            counted_intervals += 1
+        if counted_intervals == _INTERVALS:
             break
     return False
--- a/tests/functional/test_engine_orders.py
+++ b/tests/functional/test_engine_orders.py
@@ -17,13 +17,13 @@
 
 
 @pytest.fixture
-def pair() -> Iterator[Cluster]:
+def two_engines() -> Iterator[Cluster]:
     """Two hosts with the whole model; one engine ignores fencing numbers."""
     with Cluster(HOSTS) as cluster:
         yield cluster
 
 
-def engine(cluster: Cluster, host: EngineHost) -> dict[str, object]:
+def engine_status(cluster: Cluster, host: EngineHost) -> dict[str, object]:
     status: dict[str, object] = get(f"{cluster.engine_url(host.host)}/v1/status")
     return status
 
@@ -43,15 +43,15 @@
     assert railfold("publish", *arguments).exit_code == 0
 
 
-def wait_version(cluster: Cluster, version: str) -> None:
+def wait_for_version(cluster: Cluster, version: str) -> None:
     cluster.wait_until(
-        lambda: all(engine(cluster, h)["version"] == version for h in HOSTS),
+        lambda: all(engine_status(cluster, h)["version"] == version for h in HOSTS),
         f"version {version} at all engines",
     )
     cluster.wait_until(lambda: cluster.serving() == 2, "two agents serving")
 
 
-def old_order(cluster: Cluster, host: EngineHost) -> None:
+def send_stale_order(cluster: Cluster, host: EngineHost) -> None:
     """Give the order that a woken old agent would give."""
     order = {
         "model": PIPELINE,
@@ -63,50 +63,50 @@
     post(f"{cluster.engine_url(host.host)}/v1/load", order)
 
 
-def test_new_version_is_loaded_and_served_without_cutting_an_answer(
-    pair: Cluster,
+def test_new_version_loads_without_interrupting_an_answer(
+    two_engines: Cluster,
 ) -> None:
-    caller = StreamCaller(pair.callers_url(), "unit 1", 1000)
+    caller = StreamCaller(two_engines.callers_url(), "unit 1", 1000)
     caller.wait_tokens(3)
-    publish_version(pair, "2")
+    publish_version(two_engines, "2")
     assert not caller.outcome, "the answer ended before the change"
     caller.assert_whole()
     assert caller.outcome["attempts"] == 1
-    wait_version(pair, "2")
-    assert [engine(pair, host)["loads"] for host in HOSTS] == [1, 1]
-    assert generate(pair.callers_url(), "unit 2", 4).outcome == "answered"
+    wait_for_version(two_engines, "2")
+    assert [engine_status(two_engines, host)["loads"] for host in HOSTS] == [1, 1]
+    assert generate(two_engines.callers_url(), "unit 2", 4).outcome == "answered"
 
 
-def test_old_order_is_refused_or_put_right(pair: Cluster) -> None:
-    publish_version(pair, "2")
-    wait_version(pair, "2")
-    checking, ignoring = HOSTS
+def test_stale_order_is_refused_or_corrected(two_engines: Cluster) -> None:
+    publish_version(two_engines, "2")
+    wait_for_version(two_engines, "2")
+    checking_host, ignoring_host = HOSTS
     with pytest.raises(OSError, match="409"):
-        old_order(pair, checking)
-    old_order(pair, ignoring)
+        send_stale_order(two_engines, checking_host)
+    send_stale_order(two_engines, ignoring_host)
     # The engine that ignores numbers went back; its agent reads that back.
-    wait_version(pair, "2")
-    assert engine(pair, checking)["loads"] == 1
-    assert engine(pair, ignoring)["loads"] == 3
+    wait_for_version(two_engines, "2")
+    assert engine_status(two_engines, checking_host)["loads"] == 1
+    assert engine_status(two_engines, ignoring_host)["loads"] == 3
 
 
-def test_agent_that_no_entry_speaks_to_gives_no_order(pair: Cluster) -> None:
-    pair.processes["entry-0"].kill()
-    pair.wait_until(
-        lambda: not get(f"{pair.agent_url(HOSTS[1].host)}/v1/status")["entries"],
+def test_agent_without_contact_to_an_entry_sends_no_order(two_engines: Cluster) -> None:
+    two_engines.processes["entry-0"].kill()
+    two_engines.wait_until(
+        lambda: not get(f"{two_engines.agent_url(HOSTS[1].host)}/v1/status")["entries"],
         "the entry gone",
     )
     post(
-        f"{pair.engine_url(HOSTS[1].host)}/v1/load",
+        f"{two_engines.engine_url(HOSTS[1].host)}/v1/load",
         {"version": "9", "fencing": 0},
     )
-    pair.wait_until(
+    two_engines.wait_until(
         lambda: (
             f"{PIPELINE}@9:0-11"
-            in get(f"{pair.agent_url(HOSTS[1].host)}/v1/status")["loaded"]
+            in get(f"{two_engines.agent_url(HOSTS[1].host)}/v1/status")["loaded"]
         ),
         "the read back",
     )
-    assert engine(pair, HOSTS[1])["loads"] == 1
-    pair.start_entry(0)
-    wait_version(pair, "1")
+    assert engine_status(two_engines, HOSTS[1])["loads"] == 1
+    two_engines.start_entry(0)
+    wait_for_version(two_engines, "1")
--- a/tests/functional/test_recovery.py
+++ b/tests/functional/test_recovery.py
@@ -20,56 +20,58 @@
     return caller
 
 
-def test_answer_goes_on_after_its_agent_is_killed(spare_cluster: Cluster) -> None:
+def test_answer_continues_after_its_agent_is_killed(spare_cluster: Cluster) -> None:
     caller = start_stream(spare_cluster)
-    middle = serving_hosts(spare_cluster)[1]
-    spare_cluster.processes[f"agent-{middle}"].kill()
+    middle_host = serving_hosts(spare_cluster)[1]
+    spare_cluster.processes[f"agent-{middle_host}"].kill()
     caller.assert_whole()
     assert caller.outcome["attempts"] == 2
 
 
-def test_answer_goes_on_after_its_engine_is_killed(spare_cluster: Cluster) -> None:
+def test_answer_continues_after_its_engine_is_killed(spare_cluster: Cluster) -> None:
     caller = start_stream(spare_cluster)
-    last = serving_hosts(spare_cluster)[2]
-    spare_cluster.processes[f"engine-{last}"].kill()
+    last_host = serving_hosts(spare_cluster)[2]
+    spare_cluster.processes[f"engine-{last_host}"].kill()
     caller.assert_whole()
 
 
-def test_answer_goes_on_after_its_agent_freezes(spare_cluster: Cluster) -> None:
+def test_answer_continues_after_its_agent_freezes(spare_cluster: Cluster) -> None:
     caller = start_stream(spare_cluster)
-    first = serving_hosts(spare_cluster)[0]
-    spare_cluster.processes[f"agent-{first}"].freeze()
+    first_host = serving_hosts(spare_cluster)[0]
+    spare_cluster.processes[f"agent-{first_host}"].freeze()
     caller.assert_whole()
 
 
-def test_answer_goes_on_after_its_engine_freezes(spare_cluster: Cluster) -> None:
+def test_answer_continues_after_its_engine_freezes(spare_cluster: Cluster) -> None:
     caller = start_stream(spare_cluster)
-    middle = serving_hosts(spare_cluster)[1]
-    post(f"{spare_cluster.engine_url(middle)}/control/freeze", {})
+    middle_host = serving_hosts(spare_cluster)[1]
+    post(f"{spare_cluster.engine_url(middle_host)}/control/freeze", {})
     caller.assert_whole()
 
 
-def test_answer_goes_on_after_its_engine_lost_its_caches(
+def test_answer_continues_after_its_engine_loses_its_caches(
     spare_cluster: Cluster,
 ) -> None:
     caller = start_stream(spare_cluster)
-    middle = serving_hosts(spare_cluster)[1]
-    post(f"{spare_cluster.engine_url(middle)}/control/restart", {})
+    middle_host = serving_hosts(spare_cluster)[1]
+    post(f"{spare_cluster.engine_url(middle_host)}/control/restart", {})
     caller.assert_whole()
 
 
-def test_answer_goes_on_after_an_engine_lost_an_answer(
+def test_answer_continues_after_an_answer_of_an_engine_is_lost(
     spare_cluster: Cluster,
 ) -> None:
     # The fixture checks that the engine wasn't given the step again.
     caller = start_stream(spare_cluster)
-    middle = serving_hosts(spare_cluster)[1]
-    post(f"{spare_cluster.engine_url(middle)}/control/drop", {})
+    middle_host = serving_hosts(spare_cluster)[1]
+    post(f"{spare_cluster.engine_url(middle_host)}/control/drop", {})
     caller.assert_whole()
     assert caller.outcome["attempts"] == 2
 
 
-def test_answer_goes_on_after_two_stages_die_together(spare_cluster: Cluster) -> None:
+def test_answer_continues_after_two_agents_are_killed_together(
+    spare_cluster: Cluster,
+) -> None:
     caller = start_stream(spare_cluster)
     hosts = serving_hosts(spare_cluster)
     for host in (hosts[0], hosts[2]):
@@ -77,7 +79,9 @@
     caller.assert_whole()
 
 
-def test_answers_go_on_after_a_failure_domain_dies(spare_cluster: Cluster) -> None:
+def test_answers_continue_after_a_failure_domain_is_lost(
+    spare_cluster: Cluster,
+) -> None:
     callers = [start_stream(spare_cluster, f"unit {i}") for i in range(6)]
     for host in spare_cluster.engines:
         if host.failure_domain == "hall-a":
@@ -87,27 +91,27 @@
         caller.assert_whole()
 
 
-def test_answer_goes_on_while_the_log_is_out(spare_cluster: Cluster) -> None:
+def test_answer_continues_while_the_log_is_unavailable(spare_cluster: Cluster) -> None:
     spare_cluster.fault("out")
     caller = start_stream(spare_cluster)
-    middle = serving_hosts(spare_cluster)[1]
-    spare_cluster.processes[f"agent-{middle}"].kill()
+    middle_host = serving_hosts(spare_cluster)[1]
+    spare_cluster.processes[f"agent-{middle_host}"].kill()
     caller.assert_whole()
 
 
-def test_woken_agent_takes_up_new_work_only(spare_cluster: Cluster) -> None:
+def test_resumed_agent_serves_new_requests(spare_cluster: Cluster) -> None:
     caller = start_stream(spare_cluster)
-    middle = serving_hosts(spare_cluster)[1]
-    agent = spare_cluster.processes[f"agent-{middle}"]
+    middle_host = serving_hosts(spare_cluster)[1]
+    agent = spare_cluster.processes[f"agent-{middle_host}"]
     agent.freeze()
     caller.assert_whole()
     agent.thaw()
     spare_cluster.wait_until(lambda: spare_cluster.serving() == 6, "six agents")
-    again = start_stream(spare_cluster, "unit 8")
-    again.assert_whole()
+    second_caller = start_stream(spare_cluster, "unit 8")
+    second_caller.assert_whole()
 
 
-def test_no_spare_stage_gives_a_failure_at_once(cluster: Cluster) -> None:
+def test_request_without_a_spare_stage_fails_at_once(cluster: Cluster) -> None:
     caller = StreamCaller(cluster.callers_url(), "unit 9", 5000)
     caller.wait_tokens(3)
     cluster.processes["agent-meter-b1"].kill()
--- a/tests/unit/test_held_up_loop.py
+++ b/tests/unit/test_blocked_event_loop.py
@@ -36,9 +36,9 @@
 pytestmark = pytest.mark.asyncio
 
 LIMITS = LinkLimits()
-LATE_S = 0.3
+BLOCKED_S = 0.3
 INTERVAL_S = 0.05  # Four of them are the silence that ends a link: less than LATE_S.
-AGENT_TICK_S = 0.25  # Between an agent's looks at its links.
+AGENT_CHECK_INTERVAL_S = 0.25  # Between an agent's looks at its links.
 PROBE_TIMEOUT_S = 0.2  # As by default in the settings of an entry.
 STAGE = Stage("a1", "127.0.0.1:1", 7, LayerRange(0, 11))
 
@@ -50,7 +50,7 @@
         self.hello = Hello(1, "agent", host, STAGE.incarnation, failure_domain, "west")
         self.probed = threading.Event()
         self.frozen = False
-        self.answer_after_s = 0.02
+        self.answer_delay_s = 0.02
 
     def link_up(self, link: Link) -> None:
         link.send(Heartbeat("serving", 0, 0, 8, 10.0, [], [], 1))
@@ -64,7 +64,7 @@
                 self.probed.set()
                 answer = ProbeReply(message.nonce, False)
                 asyncio.get_running_loop().call_later(
-                    self.answer_after_s, self._send, link, answer
+                    self.answer_delay_s, self._send, link, answer
                 )
 
     def _send(self, link: Link, answer: ProbeReply) -> None:
@@ -72,7 +72,7 @@
             link.send(answer)
 
 
-class Agents:
+class AgentThread:
     """Agents in different failure domains, on a loop and thread of their own."""
 
     def __init__(self, hosts: dict[str, str]) -> None:
@@ -124,24 +124,24 @@
     def stalled(self) -> bool:
         return False
 
-    def frame(self, link: Link, frame: Frame) -> None:
+    def frame_received(self, link: Link, frame: Frame) -> None:
         pass
 
 
-class Request:
+class RecordingRequest:
     """A request in flight, which remembers the hosts it was told are lost."""
 
     def __init__(self) -> None:
-        self.lost: set[str] = set()
+        self.lost_hosts: set[str] = set()
 
     def message(self, host: str, message: object) -> None:
         pass
 
     def hosts_lost(self, hosts: frozenset[str]) -> None:
-        self.lost |= hosts
+        self.lost_hosts |= hosts
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Give the loop turns until a condition holds."""
     async with asyncio.timeout(5.0):
         while not condition():  # noqa: ASYNC110 - conditions of many kinds.
@@ -149,9 +149,9 @@
 
 
 @pytest.fixture
-def running() -> Iterator[Agents]:
+def agent_thread() -> Iterator[AgentThread]:
     """Two well agents."""
-    agents = Agents({"a1": "hall-a", "b1": "depot-b"})
+    agents = AgentThread({"a1": "hall-a", "b1": "depot-b"})
     yield agents
     agents.stop()
 
@@ -162,9 +162,9 @@
 
 
 @pytest.fixture
-async def pool(running: Agents, metrics: Metrics) -> AsyncIterator[AgentPool]:
+async def pool(agent_thread: AgentThread, metrics: Metrics) -> AsyncIterator[AgentPool]:
     """The links of an entry that routes to both agents."""
-    linked = AgentPool(
+    agent_pool = AgentPool(
         Hello(1, "entry", "e1", 1, "hall-a", "west"),
         ConfigurationReplica(metrics, lambda: None),
         LIMITS,
@@ -173,20 +173,20 @@
         metrics,
         lambda: None,
     )
-    linked.hosts_listed(running.listed)
-    await until(lambda: sum(member.routable for member in linked.view) == 2)
-    yield linked
-    await linked._close()
+    agent_pool.hosts_listed(agent_thread.listed)
+    await wait_until(lambda: sum(member.routable for member in agent_pool.view) == 2)
+    yield agent_pool
+    await agent_pool._close()
 
 
 @pytest.fixture
-def request_in_flight(pool: AgentPool) -> Request:
-    request = Request()
+def request_in_flight(pool: AgentPool) -> RecordingRequest:
+    request = RecordingRequest()
     pool.register("r1", request)
     return request
 
 
-def standing(pool: AgentPool, host: str) -> str:
+def state_of(pool: AgentPool, host: str) -> str:
     member = pool.view.get(host)
     return "not linked" if member is None else member.displayed_state
 
@@ -196,16 +196,19 @@
 # streams look silent; it queues probes; it is held up once more for 0.3 s before they
 # leave. Cause: a probe's 0.2 s begin when it is queued and run on while the entry
 # neither sends nor reads. Evidence: the agent gets the probe after it was given up.
-async def test_hold_up_before_a_probe_leaves_is_not_silence(
-    running: Agents, pool: AgentPool, metrics: Metrics, request_in_flight: Request
+async def test_blocked_loop_before_a_probe_is_sent_loses_no_agent(
+    agent_thread: AgentThread,
+    pool: AgentPool,
+    metrics: Metrics,
+    request_in_flight: RecordingRequest,
 ) -> None:
-    probing = asyncio.create_task(pool.probe((STAGE,)))
-    await until(lambda: metrics.counters["probes"])
-    assert not running.agents["a1"].probed.is_set()
-    time.sleep(LATE_S)  # noqa: ASYNC251 - it is to hold the loop up.
-    await probing
-    assert standing(pool, "a1") == "serving"
-    assert request_in_flight.lost == set()
+    probe_task = asyncio.create_task(pool.probe((STAGE,)))
+    await wait_until(lambda: metrics.counters["probes"])
+    assert not agent_thread.agents["a1"].probed.is_set()
+    time.sleep(BLOCKED_S)  # noqa: ASYNC251 - it is to hold the loop up.
+    await probe_task
+    assert state_of(pool, "a1") == "serving"
+    assert request_in_flight.lost_hosts == set()
 
 
 # The same for users while an entry's own link was full, for instance with a large
@@ -213,106 +216,106 @@
 # are late; the entry probes; the answers of all agents wait behind what fills the
 # link. Cause: an agent is given up after 0.2 s whether or not any other agent could
 # make itself heard. Evidence: all answers arrive together, 0.1 s after the verdict.
-async def test_own_full_link_is_not_silence_of_agents(
-    running: Agents, pool: AgentPool, request_in_flight: Request
+async def test_late_answers_of_all_agents_lose_no_agent(
+    agent_thread: AgentThread, pool: AgentPool, request_in_flight: RecordingRequest
 ) -> None:
-    for agent in running.agents.values():
-        agent.answer_after_s = LATE_S
+    for agent in agent_thread.agents.values():
+        agent.answer_delay_s = BLOCKED_S
     await pool.probe((STAGE,))
-    assert standing(pool, "a1") == "serving"
-    assert request_in_flight.lost == set()
+    assert state_of(pool, "a1") == "serving"
+    assert request_in_flight.lost_hosts == set()
 
 
-async def test_answer_that_came_during_a_hold_up_counts(
-    running: Agents, pool: AgentPool, request_in_flight: Request
+async def test_answer_that_arrives_while_the_loop_is_blocked_counts(
+    agent_thread: AgentThread, pool: AgentPool, request_in_flight: RecordingRequest
 ) -> None:
-    probing = asyncio.create_task(pool.probe((STAGE,)))
-    await until(running.agents["a1"].probed.is_set)
-    time.sleep(LATE_S)  # noqa: ASYNC251 - it is to hold the loop up.
-    await probing
-    assert standing(pool, "a1") == "serving"
-    assert request_in_flight.lost == set()
+    probe_task = asyncio.create_task(pool.probe((STAGE,)))
+    await wait_until(agent_thread.agents["a1"].probed.is_set)
+    time.sleep(BLOCKED_S)  # noqa: ASYNC251 - it is to hold the loop up.
+    await probe_task
+    assert state_of(pool, "a1") == "serving"
+    assert request_in_flight.lost_hosts == set()
 
 
-async def test_frozen_agent_is_given_up_while_another_answers(
-    running: Agents, pool: AgentPool, request_in_flight: Request
+async def test_frozen_agent_is_suspected_while_another_answers(
+    agent_thread: AgentThread, pool: AgentPool, request_in_flight: RecordingRequest
 ) -> None:
-    running.agents["a1"].frozen = True
+    agent_thread.agents["a1"].frozen = True
     await pool.probe((STAGE,))
-    assert standing(pool, "a1") == "suspect"
-    assert request_in_flight.lost == {"a1"}
-    assert standing(pool, "b1") == "serving"
+    assert state_of(pool, "a1") == "suspect"
+    assert request_in_flight.lost_hosts == {"a1"}
+    assert state_of(pool, "b1") == "serving"
 
 
-async def test_agents_that_all_stay_silent_are_given_up(
-    running: Agents, pool: AgentPool, request_in_flight: Request
+async def test_agents_that_all_stay_silent_are_suspected(
+    agent_thread: AgentThread, pool: AgentPool, request_in_flight: RecordingRequest
 ) -> None:
-    for agent in running.agents.values():
+    for agent in agent_thread.agents.values():
         agent.frozen = True
     await pool.probe((STAGE,))
-    assert standing(pool, "a1") == "suspect"
-    assert request_in_flight.lost == {"a1"}
+    assert state_of(pool, "a1") == "suspect"
+    assert request_in_flight.lost_hosts == {"a1"}
 
 
-async def hold_up_after(sleep_s: float) -> None:
+async def block_loop_after(sleep_s: float) -> None:
     """Hold the loop up when a timer set now has ended, before its task wakes."""
     await asyncio.sleep(sleep_s)
-    time.sleep(LATE_S)  # noqa: ASYNC251 - it is to hold the loop up.
+    time.sleep(BLOCKED_S)  # noqa: ASYNC251 - it is to hold the loop up.
 
 
-async def test_hold_up_beside_an_entrys_look_at_its_links_closes_none(
-    pool: AgentPool, request_in_flight: Request
+async def test_blocked_loop_at_an_entrys_link_check_closes_no_link(
+    pool: AgentPool, request_in_flight: RecordingRequest
 ) -> None:
-    held_up = asyncio.create_task(hold_up_after(INTERVAL_S))
-    watching = asyncio.create_task(pool.run(asyncio.Event()))
-    await held_up
+    blocking = asyncio.create_task(block_loop_after(INTERVAL_S))
+    check_task = asyncio.create_task(pool.run(asyncio.Event()))
+    await blocking
     await asyncio.sleep(INTERVAL_S)
-    assert request_in_flight.lost == set()
-    watching.cancel()
+    assert request_in_flight.lost_hosts == set()
+    check_task.cancel()
 
 
-async def test_hold_up_beside_an_agents_look_at_its_links_closes_none(
-    running: Agents,
+async def test_blocked_loop_at_an_agents_link_check_closes_no_link(
+    agent_thread: AgentThread,
 ) -> None:
     links = AgentLinks(ConfigurationReplica(Metrics(), lambda: None), Metrics())
-    links.attach(IdleBackend())  # type: ignore[arg-type]
+    links.set_backend(IdleBackend())  # type: ignore[arg-type]
     hello = Hello(1, "entry", "e1", 1, "hall-a", "west")
-    link = await dial(parse_address(running.listed[0].address), hello, int, LIMITS)
+    link = await dial(parse_address(agent_thread.listed[0].address), hello, int, LIMITS)
     link.peer = LinkPeer("entry", "e2", 1, "hall-a", "west")
     links.link_up(link)
     links.frame_received(link, Frame(0, [Probe(1, INTERVAL_S, lease_s=0.4)]))
-    held_up = asyncio.create_task(hold_up_after(AGENT_TICK_S))
-    watching = asyncio.create_task(links.run(asyncio.Event()))
-    await held_up
+    blocking = asyncio.create_task(block_loop_after(AGENT_CHECK_INTERVAL_S))
+    check_task = asyncio.create_task(links.run(asyncio.Event()))
+    await blocking
     await asyncio.sleep(0)
     await asyncio.sleep(0)
     assert not link.closed
-    watching.cancel()
+    check_task.cancel()
     link.close()
 
 
-async def test_hold_up_while_dialling_is_not_taken_for_nobody_there(
-    running: Agents,
+async def test_blocked_loop_while_dialling_does_not_fail_the_dial(
+    agent_thread: AgentThread,
 ) -> None:
     hello = Hello(1, "entry", "e1", 1, "hall-a", "west")
     limits = LinkLimits(handshake_timeout_s=0.2)
-    address = parse_address(running.listed[0].address)
-    for turns in range(1, 6):
-        dialling = asyncio.create_task(dial(address, hello, int, limits))
-        for _ in range(turns):
+    address = parse_address(agent_thread.listed[0].address)
+    for loop_passes in range(1, 6):
+        dial_task = asyncio.create_task(dial(address, hello, int, limits))
+        for _ in range(loop_passes):
             await asyncio.sleep(0)
-        time.sleep(LATE_S)  # noqa: ASYNC251 - it is to hold the loop up.
-        link = await dialling
+        time.sleep(BLOCKED_S)  # noqa: ASYNC251 - it is to hold the loop up.
+        link = await dial_task
         assert link.peer.name == "a1"
         link.close()
 
 
-async def test_hold_up_at_the_end_of_a_wait_leaves_time_to_read() -> None:
+async def test_blocked_loop_at_the_end_of_a_wait_leaves_time_to_read() -> None:
     arrived = asyncio.Event()
 
-    async def hold_up() -> None:
+    async def block_loop() -> None:
         await asyncio.sleep(0.17)
-        time.sleep(LATE_S)  # noqa: ASYNC251 - it is to hold the loop up.
+        time.sleep(BLOCKED_S)  # noqa: ASYNC251 - it is to hold the loop up.
         arrived.set()
 
     async def answer() -> str:
@@ -321,20 +324,20 @@
             await asyncio.sleep(0)
         return "answer"
 
-    held_up = asyncio.create_task(hold_up())
+    blocking = asyncio.create_task(block_loop())
     assert await answer_within(answer(), 0.2) == "answer"
-    assert held_up.done()
+    assert blocking.done()
 
 
-async def test_a_loop_that_is_always_late_gives_up_too() -> None:
-    async def be_late() -> None:
+async def test_wait_on_a_permanently_slow_loop_times_out() -> None:
+    async def block_repeatedly() -> None:
         while True:
             time.sleep(0.03)  # noqa: ASYNC251 - it is to hold the loop up.
             await asyncio.sleep(0)
 
-    late = asyncio.create_task(be_late())
-    nothing = asyncio.get_running_loop().create_future()
+    blocker = asyncio.create_task(block_repeatedly())
+    never_done = asyncio.get_running_loop().create_future()
     with pytest.raises(TimeoutError):
-        await answer_within(nothing, 0.04)
-    assert nothing.cancelled()
-    late.cancel()
+        await answer_within(never_done, 0.04)
+    assert never_done.cancelled()
+    blocker.cancel()
--- a/tests/unit/test_links.py
+++ b/tests/unit/test_links.py
@@ -28,17 +28,17 @@
 LIMITS = LinkLimits(max_frame_bytes=1000, handshake_timeout_s=0.5)
 
 
-class Recorder:
+class RecordingHandler:
     """Records what links do."""
 
     def __init__(self) -> None:
         self.frames: list[Frame] = []
-        self.ups: list[str] = []
-        self.downs = 0
+        self.opened_peers: list[str] = []
+        self.closed_count = 0
         self.changed = asyncio.Event()
 
     def link_up(self, link: Link) -> None:
-        self.ups.append(link.peer.name)
+        self.opened_peers.append(link.peer.name)
         self.changed.set()
 
     def frame_received(self, link: Link, frame: Frame) -> None:
@@ -46,7 +46,7 @@
         self.changed.set()
 
     def link_down(self, link: Link) -> None:
-        self.downs += 1
+        self.closed_count += 1
         self.changed.set()
 
     async def wait(self, condition) -> None:  # type: ignore[no-untyped-def]
@@ -59,15 +59,15 @@
     """A link server on a free port."""
 
     def __init__(self) -> None:
-        self.recorder = Recorder()
-        server = LinkServer(HELLO, lambda: 3, LIMITS, self.recorder)
+        self.handler = RecordingHandler()
+        server = LinkServer(HELLO, lambda: 3, LIMITS, self.handler)
         listener = socket.create_server(("127.0.0.1", 0))
         listener.setblocking(False)
         server.add_socket(listener)
         self.server = server
         self.address = Address("127.0.0.1", listener.getsockname()[1])
 
-    async def raw(self) -> IOStream:
+    async def connect_raw(self) -> IOStream:
         stream = IOStream(socket.socket())
         await stream.connect((self.address.ip, self.address.port))
         return stream
@@ -76,30 +76,30 @@
 @pytest.fixture
 async def server() -> AsyncIterator[Server]:
     """A running link server."""
-    running = Server()
-    yield running
-    running.server.stop()
+    link_server = Server()
+    yield link_server
+    link_server.server.stop()
 
 
-async def dialled(server: Server) -> Link:
+async def dial_server(server: Server) -> Link:
     return await dial(server.address, HELLO, lambda: 5, LIMITS)
 
 
-async def test_handshake_tells_who_is_there(server: Server) -> None:
-    link = await dialled(server)
+async def test_handshake_identifies_the_peer(server: Server) -> None:
+    link = await dial_server(server)
     assert (link.peer.name, link.peer.incarnation) == ("a1", 7)
-    assert link.peer_version == 3
+    assert link.peer_configuration_version == 3
     link.close()
-    await server.recorder.wait(lambda: server.recorder.downs == 1)
+    await server.handler.wait(lambda: server.handler.closed_count == 1)
 
 
-async def test_messages_of_one_pass_leave_in_one_frame(server: Server) -> None:
-    link = await dialled(server)
+async def test_messages_of_one_loop_pass_share_one_frame(server: Server) -> None:
+    link = await dial_server(server)
     for step in range(50):
         link.send(Feedback("r1", 1, step, 9))
     link.send(ConfigurationRequest(0))
-    await server.recorder.wait(lambda: server.recorder.frames)
-    [frame] = server.recorder.frames
+    await server.handler.wait(lambda: server.handler.frames)
+    [frame] = server.handler.frames
     assert [f.step for f in frame.feedback] == list(range(50))
     assert frame.messages == [ConfigurationRequest(0)]
     assert frame.configuration_version == 5
@@ -115,34 +115,38 @@
         struct.pack(">I", 2) + b"\x92\x01",
     ],
 )
-async def test_stranger_is_refused(server: Server, data: bytes) -> None:
-    stream = await server.raw()
+async def test_connection_with_an_invalid_first_frame_is_closed(
+    server: Server, data: bytes
+) -> None:
+    stream = await server.connect_raw()
     await stream.write(data)
     await asyncio.wait_for(stream.read_until_close(), 5.0)
-    assert server.recorder.ups == []
+    assert server.handler.opened_peers == []
 
 
-async def test_silent_peer_is_not_waited_for(server: Server) -> None:
-    stream = await server.raw()
+async def test_connection_without_a_hello_is_closed(server: Server) -> None:
+    stream = await server.connect_raw()
     await asyncio.wait_for(stream.read_until_close(), 5.0)
-    assert server.recorder.ups == []
+    assert server.handler.opened_peers == []
 
 
-async def test_nobody_there() -> None:
+async def test_dialling_a_closed_port_raises() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
         port = listener.getsockname()[1]
     with pytest.raises(LinkClosedError):
         await dial(Address("127.0.0.1", port), HELLO, lambda: 0, LIMITS)
 
 
-async def test_bad_frame_after_the_handshake_ends_the_link(server: Server) -> None:
-    link = await dialled(server)
+async def test_invalid_frame_after_the_handshake_closes_the_link(
+    server: Server,
+) -> None:
+    link = await dial_server(server)
     await link._stream.write(struct.pack(">I", 3) + b"abc")
-    await server.recorder.wait(lambda: server.recorder.downs == 1)
+    await server.handler.wait(lambda: server.handler.closed_count == 1)
     with pytest.raises(LinkClosedError):
         await link.receive()
 
 
-async def test_undecodable_frame_has_a_type() -> None:
+async def test_undecodable_frame_raises_a_protocol_error() -> None:
     with pytest.raises(LinkProtocolError):
         decode_frame(b"\x91\xa1x")
