--- a/src/railfold/__init__.py
+++ b/src/railfold/__init__.py
@@ -1,7 +1,7 @@
 """railfold routes model pipelines over mixed accelerators.
 
-The names exported here are the coordination parts that others may embed: state
-machines and functions without I/O or clock. All else is private.
+The public names are state machines and functions for coordination, without I/O or a
+clock of their own, which other programs may embed. Everything else is private.
 """
 
 from __future__ import annotations
@@ -132,8 +132,9 @@
     "plan_chain",
 ]
 
-# Modules under ``railfold._internal`` and what they export. They are imported
-# when a name is first used: a daemon that starts pays only for what it runs.
+# Modules under ``railfold._internal`` and the public names that they define. A module
+# is imported when one of its names is first used, so that a process starts without the
+# import time of modules that it doesn't use.
 _NAMES_BY_MODULE = {
     "core": (
         "Answered",
@@ -221,7 +222,10 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import an exported name on its first use."""
+    """Return a public name and import its module on first use.
+
+    :raises AttributeError: the package has no such public name.
+    """
     module = _MODULE_BY_NAME.get(name)
     if module is None:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
--- a/src/railfold/__main__.py
+++ b/src/railfold/__main__.py
@@ -1,4 +1,4 @@
-"""Run the program with ``python -m railfold``."""
+"""Entry point of ``python -m railfold``."""
 
 from railfold._internal.cli.main import main
 
--- a/src/railfold/_internal/__init__.py
+++ b/src/railfold/_internal/__init__.py
@@ -1,1 +1,1 @@
-"""Private parts of railfold; import the public names from ``railfold``."""
+"""Private modules of railfold; import public names from ``railfold`` instead."""
--- a/src/railfold/_internal/agent/__init__.py
+++ b/src/railfold/_internal/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The agent: guards one backend server and runs its part of each chain."""
+"""The agent: the process beside one backend server that runs its stages of chains."""
--- a/src/railfold/_internal/agent/backend.py
+++ b/src/railfold/_internal/agent/backend.py
@@ -1,4 +1,7 @@
-"""What an agent does with its backend server, engine or plain service."""
+"""Interface between an agent's links and its backend server.
+
+A backend server is a model engine or a plain service.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +17,13 @@
 
 @dataclass(frozen=True, slots=True)
 class BackendReport:
-    """What the agent tells entries of its backend server.
+    """State of a backend server, which the agent reports to entries.
 
-    :param running: sequences or calls it has now.
+    :param running: number of open sequences or running calls.
+    :param capacity: the most sequences or calls at a time.
+    :param step_ms: recent mean duration of an engine step or a call.
+    :param loaded: model layers that an engine has loaded.
+    :param services: names of the plain services that it provides.
     """
 
     available: bool
@@ -28,22 +35,22 @@
 
 
 class Backend(Protocol):
-    """One backend server, as the agent's links drive it."""
+    """One backend server, as the agent's links use it."""
 
     def frame_received(self, link: Link, frame: Frame) -> None:
-        """Take a frame from an entry or another agent."""
+        """Process a frame from an entry or another agent."""
 
     def owner_lost(self, owner: str) -> None:
-        """An entry's link ended: cancel what it had here."""
+        """Cancel the work of an entry whose link is closed, as far as possible."""
 
     def owned_by(self, owner: str) -> int:
-        """Return how much of what runs here is an entry's."""
+        """Return how many of the open sequences or running calls an entry owns."""
 
     def set_draining(self) -> None:
-        """Refuse new work from now on; finish what is here."""
+        """Refuse new work from now on, and finish the work in flight."""
 
     def report(self) -> BackendReport:
-        """Return what to tell entries."""
+        """Return the state to report to entries."""
 
     def stalled(self) -> bool:
-        """Return whether the running step is stalled."""
+        """Return whether a step is running and takes far longer than recent ones."""
--- a/src/railfold/_internal/agent/engine_backend.py
+++ b/src/railfold/_internal/agent/engine_backend.py
@@ -1,4 +1,4 @@
-"""A model engine behind the agent: its sequences, steps and status."""
+"""Driver of a model engine: runs its steps, tracks its sequences, polls its status."""
 
 from __future__ import annotations
 
@@ -66,10 +66,11 @@
 
 
 class EngineBackend:
-    """Drives one engine through its :class:`SequenceTable`.
+    """Runs one engine as its :class:`SequenceTable` decides.
 
-    :param owner_link: returns the link to an entry by its owner name.
-    :param on_change: called when the report to entries has changed in kind.
+    :param owner_link: returns the link to the entry with this owner name, or None.
+    :param on_change: called when the engine's status or availability has changed,
+        so that entries need a new report at once.
     """
 
     def __init__(
@@ -102,10 +103,8 @@
         self.status: EngineStatus | None = None
         table.available = False
 
-    # Reports.
-
     def report(self) -> BackendReport:
-        """Return what to tell entries."""
+        """Return the state to report to entries."""
         loaded: tuple[Loaded, ...] = ()
         status = self.status
         if status is not None and status.layers is not None:
@@ -119,21 +118,19 @@
         )
 
     def stalled(self) -> bool:
-        """Return whether the running step is stalled."""
+        """Return whether a step is running and takes far longer than recent ones."""
         return self._step_times.stalled(asyncio.get_running_loop().time())
 
     def owned_by(self, owner: str) -> int:
-        """Return how many sequences are an entry's."""
+        """Return how many of the open sequences an entry owns."""
         return self._table.owned_by(owner)
 
     def set_draining(self) -> None:
-        """Refuse new sequences from now on; finish the open ones."""
+        """Refuse new sequences from now on, and finish the open ones."""
         self._table.draining = True
 
-    # Events from links.
-
     def frame_received(self, link: Link, frame: Frame) -> None:
-        """Take a frame from an entry or another agent."""
+        """Apply the messages of a frame to the sequence table."""
         for message in frame.messages:
             match message:
                 case OpenSequence():
@@ -149,11 +146,11 @@
             self._apply(_feedback_event(link, feedback))
 
     def owner_lost(self, owner: str) -> None:
-        """An entry's link ended: cancel its sequences."""
+        """Cancel the sequences of an entry whose link is closed."""
         self._apply(OwnerLost(owner))
 
     def peer_lost(self, host: str) -> None:
-        """Another stage's agent can't be reached."""
+        """Fail the sequences of another stage's host, whose agent can't be reached."""
         self._apply(PeerLost(host))
 
     def _open_event(self, link: Link, message: OpenSequence) -> OpenReceived:
@@ -171,8 +168,6 @@
             first_input,
         )
 
-    # Actions.
-
     def _apply(self, event: SequenceEvent, reply_to: Link | None = None) -> None:
         now_s = asyncio.get_running_loop().time()
         for action in self._table.apply(event, now_s):
@@ -266,10 +261,8 @@
         if link is not None:
             link.send(message)
 
-    # The engine's steps.
-
     async def run_steps(self, ready: asyncio.Event) -> None:
-        """Child: give ready sequences to the engine, one step at a time."""
+        """Run ready sequences on the engine, one step at a time, until cancelled."""
         ready.set()
         while True:
             await self._work_arrived.wait()
@@ -289,7 +282,8 @@
         try:
             results = await self._engine.step(items)
         except EngineError as error:
-            # The step may have run, so that these sequences can't go on here.
+            # The step may have run, so the state of the sequences' caches is unknown
+            # and they can't continue on this engine.
             self._metrics.count("engine.step_failures")
             results = [StepFailure(error.code)] * len(items)
         self._step_times.ended(loop.time())
@@ -307,10 +301,8 @@
         except EngineError:
             self._metrics.count("engine.close_failures")
 
-    # The engine's status.
-
     async def run_status(self, ready: asyncio.Event) -> None:
-        """Child: read back what the engine has loaded, at intervals."""
+        """Poll the engine's status at intervals until cancelled."""
         ready.set()
         while True:
             await self.read_status()
@@ -318,7 +310,10 @@
             await asyncio.sleep(self._status_interval_s)
 
     def set_reload_pending(self, reload_pending: bool) -> None:
-        """Refuse new sequences while the engine is about to load other layers."""
+        """Refuse new sequences while the engine is about to load other layers.
+
+        :param reload_pending: whether an order to load layers is due or waits.
+        """
         if reload_pending == self._reload_pending:
             return
         self._reload_pending = reload_pending
@@ -329,13 +324,13 @@
         self._table.available = self.status is not None and not self._reload_pending
 
     async def read_status(self) -> None:
-        """Read back what the engine has loaded."""
+        """Read the engine's status; fail all sequences if it lost their caches."""
         previous_status = self.status
         try:
             self.status = await self._engine.status()
         except EngineError as error:
             if self._table.available:
-                logging.warning("engine unavailable: %s", error)
+                logging.warning("engine is unavailable: %s", error)
             self.status = None
         self._set_available()
         if previous_status is not None and _engine_changed(
@@ -343,7 +338,7 @@
         ):
             self._fail_open_attempts("engine_state_lost")
         if previous_status != self.status:
-            logging.info("engine status: %s", self.status)
+            logging.info("engine status changed: %s", self.status)
             self._on_change()
 
     def _fail_open_attempts(self, reason: str) -> None:
--- a/src/railfold/_internal/agent/links.py
+++ b/src/railfold/_internal/agent/links.py
@@ -1,4 +1,4 @@
-"""The agent's links: entries and other agents come in, heartbeats go out."""
+"""The links that entries and other agents open to this agent, and its heartbeats."""
 
 from __future__ import annotations
 
@@ -35,7 +35,11 @@
 
 
 class AgentLinks:
-    """Handler of all links that reach this agent."""
+    """Handler of all links that peers open to this agent.
+
+    It sends heartbeats to the linked entries, answers their probes and closes the link
+    of an entry whose lease has expired.
+    """
 
     def __init__(self, replica: ConfigurationReplica, metrics: Metrics) -> None:
         self._replica = replica
@@ -45,53 +49,56 @@
         self.draining = False
 
     def set_backend(self, backend: Backend) -> None:
-        """Set the backend; it and the links need each other."""
+        """Set the backend, which can only be created after the links that it uses."""
         self._backend = backend
 
     @property
     def backend(self) -> Backend:
-        """The backend server's driver."""
+        """The driver of the backend server."""
         assert self._backend is not None
         return self._backend
 
     @property
     def entries(self) -> list[str]:
-        """Names of the linked entries."""
+        """The names of the linked entries."""
         return [entry.link.peer.name for entry in self._entries.values()]
 
     def last_contact_s(self) -> float:
-        """Return when an entry was heard last, on the loop's clock."""
+        """Return when a frame last arrived from a linked entry, in loop time.
+
+        Return minus infinity while no entry is linked.
+        """
         received_times_s = (
             entry.link.last_received_s for entry in self._entries.values()
         )
         return max(received_times_s, default=-math.inf)
 
     def entry_link(self, owner: str) -> Link | None:
-        """Return the link to an entry by its owner name."""
+        """Return the link to the entry with this owner name, or None."""
         entry = self._entries.get(owner)
         return entry.link if entry else None
 
     def link_up(self, link: Link) -> None:
-        """Take a new link."""
+        """Register the link if the peer is an entry, and send it a heartbeat."""
         if link.peer.role != "entry":
             return
-        logging.info("entry %s linked", link.peer.name)
+        logging.info("entry %s opened a link", link.peer.name)
         self._entries[owner_name(link)] = _EntryLink(link)
         self.send_heartbeats_now()
 
     def link_down(self, link: Link) -> None:
-        """A link ended."""
+        """Forget a closed link and cancel the work that its entry owns."""
         self._replica.link_down(link)
         owner = owner_name(link)
         entry = self._entries.get(owner)
         if entry is None or entry.link is not link:
             return
         del self._entries[owner]
-        logging.info("entry %s gone", link.peer.name)
+        logging.info("link to entry %s closed", link.peer.name)
         self.backend.owner_lost(owner)
 
     def frame_received(self, link: Link, frame: Frame) -> None:
-        """Take a frame."""
+        """Pass a frame to the configuration replica and the backend; answer probes."""
         self._replica.frame(link, frame)
         for message in frame.messages:
             match message:
@@ -109,13 +116,13 @@
         link.send(ProbeReply(probe.nonce, self.backend.stalled()))
 
     def send_heartbeats_now(self) -> None:
-        """Send a heartbeat to every entry at once: something has changed."""
+        """Send heartbeats to all linked entries now, because the report has changed."""
         for entry in self._entries.values():
             entry.next_heartbeat_s = 0.0
         self._send_heartbeats()
 
     def set_draining(self) -> None:
-        """Refuse new work from now on and tell the entries."""
+        """Refuse new work from now on, and report this to the entries."""
         if self.draining:
             return
         self.draining = True
@@ -123,7 +130,7 @@
         self.send_heartbeats_now()
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Child: send heartbeats and watch the entries' leases."""
+        """Send heartbeats and check the entries' leases until cancelled."""
         ready.set()
         while True:
             await asyncio.sleep(_CHECK_INTERVAL_S)
@@ -164,7 +171,7 @@
             if entry.lease_s and silent_s > entry.lease_s:
                 self._metrics.count("entries.lease_lapsed")
                 logging.warning(
-                    "entry %s silent for %.1f s: its lease has lapsed",
+                    "closing link to entry %s: silent for %.1f s, lease expired",
                     entry.link.peer.name,
                     silent_s,
                 )
--- a/src/railfold/_internal/agent/orders.py
+++ b/src/railfold/_internal/agent/orders.py
@@ -1,4 +1,4 @@
-"""Child that brings the engine to what the configuration wants of it."""
+"""Sends load orders until the engine has loaded the layers that are configured."""
 
 from __future__ import annotations
 
@@ -29,9 +29,10 @@
 
 
 class OrderSender:
-    """Gives orders to one engine, one at a time.
+    """Sends load orders to one engine, one at a time.
 
-    :param heard_s: returns when an entry was heard last, on the loop's clock.
+    :param last_contact_s: returns when a frame last arrived from an entry, in loop
+        time; the agent may send orders only for a limited time after it.
     """
 
     def __init__(
@@ -55,7 +56,7 @@
         self._desired_at_version = 0
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Reconcile until cancelled."""
+        """Compare desired and loaded layers and send orders, until cancelled."""
         ready.set()
         while True:
             await asyncio.sleep(_CHECK_INTERVAL_S)
@@ -70,7 +71,7 @@
     def _decide(self) -> OrderDecision:
         status = self._backend.status
         if status is None:
-            return DesiredStateReached()  # Nothing can be compared with.
+            return DesiredStateReached()  # No order while the status is unknown.
         loaded = None
         if status.layers is not None:
             loaded = (status.model, status.version, status.layers)
@@ -84,20 +85,21 @@
         )
 
     def _desired_order(self) -> tuple[LoadOrder, int] | None:
-        # Working it out goes through all hosts, so only when it may differ.
+        # The computation iterates over all hosts, so it runs once per version.
         if self._replica.version != self._desired_at_version:
             self._desired = configured_load(self._replica.configuration, self._host)
             self._desired_at_version = self._replica.version
         return self._desired
 
     async def _send_order(self, order: LoadOrder) -> None:
-        # Nothing is awaited between the look at the lease and the order.
+        # There is no await between the lease check and the order, because the lease
+        # could expire during it.
         self._reconciler.record_order(asyncio.get_running_loop().time())
         self._metrics.count("orders.given")
-        logging.info("order: load %s", order)
+        logging.info("ordering the engine to load %s", order)
         try:
             await self._engine.load(order)
         except EngineError as error:
             self._metrics.count("orders.failed")
-            logging.warning("order not carried out: %s", error)
+            logging.warning("the engine didn't execute the order: %s", error)
         await self._backend.read_status()
--- a/src/railfold/_internal/agent/peers.py
+++ b/src/railfold/_internal/agent/peers.py
@@ -1,4 +1,4 @@
-"""Links from this agent to the agents of other stages."""
+"""Links that this agent opens to the agents of other stages."""
 
 from __future__ import annotations
 
@@ -26,10 +26,10 @@
 
 
 class PeerLinks:
-    """Opens a link to a stage's agent when there is something to send.
+    """Opens a link to a stage's agent when the first message for it is sent.
 
-    :param on_lost: called with the host whose agent can't be reached, or isn't
-        the incarnation that the chain names.
+    :param on_lost: called with the name of a host when the link to its agent closes,
+        can't be opened, or reaches another incarnation than the chain names.
     """
 
     def __init__(
@@ -46,7 +46,10 @@
         self._peers: dict[tuple[str, int], _Peer] = {}
 
     def send(self, stage: Stage, message: LinkMessage) -> None:
-        """Send a message to a stage's agent, dialling it if need be."""
+        """Send a message to a stage's agent; open the link first if there is none.
+
+        Messages are queued until the link is open; those over the limit are dropped.
+        """
         key = (stage.address, stage.incarnation)
         peer = self._peers.get(key)
         if peer is None:
@@ -58,7 +61,7 @@
             peer.queued_messages.append(message)
 
     async def close(self) -> None:
-        """Close all links."""
+        """Close all links and wait until their tasks have ended."""
         tasks = [peer.task for peer in self._peers.values() if peer.task]
         for task in tasks:
             task.cancel()
@@ -91,13 +94,13 @@
 
 
 class _SendOnlyHandler:
-    """Handler of links on which the peer has nothing to say."""
+    """Handler of links that only send: frames from the peer are ignored."""
 
     def link_up(self, link: Link) -> None:
-        """Nothing to do: the sender keeps the link."""
+        """Do nothing: :class:`PeerLinks` already has the link."""
 
     def frame_received(self, link: Link, frame: Frame) -> None:
-        """Nothing to do."""
+        """Ignore the frame."""
 
     def link_down(self, link: Link) -> None:
-        """Nothing to do: the sender reports the loss."""
+        """Do nothing: :class:`PeerLinks` reports the lost host."""
--- a/src/railfold/_internal/agent/process.py
+++ b/src/railfold/_internal/agent/process.py
@@ -1,4 +1,4 @@
-"""The agent: the one process beside each backend server."""
+"""The agent process, one of which runs beside each backend server."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 
 
 class Agent:
-    """The parts of one agent, wired together."""
+    """The components of one agent and their connections."""
 
     def __init__(self, settings: AgentSettings) -> None:
         self._settings = settings
@@ -135,7 +135,7 @@
         return backend
 
     def tree(self) -> Supervisor:
-        """Return the agent's supervisor tree."""
+        """Return the supervisor of all the agent's tasks."""
         children = [
             ChildSpec("backend", Supervisor("backend", self._backend_children).run),
             ChildSpec("heartbeats", self._links.run),
@@ -149,7 +149,7 @@
         return Supervisor("agent", children)
 
     async def drain(self) -> None:
-        """Refuse new work and return once none is left, or in time."""
+        """Refuse new work; return when none is in flight or the drain times out."""
         self._links.set_draining()
         await wait_until_idle(
             lambda: self._backend.report().running > 0,
@@ -157,7 +157,7 @@
         )
 
     def status(self) -> dict[str, Any]:
-        """Return what ``railfold status`` shows."""
+        """Return the fields that ``railfold status`` shows for this agent."""
         report = self._backend.report()
         return {
             "role": "agent",
@@ -217,10 +217,10 @@
 
 
 async def run_agent(settings: AgentSettings) -> None:
-    """Run an agent until it is told to stop."""
+    """Run an agent until a signal stops it."""
     agent = Agent(settings)
     await run_process(agent.tree(), agent.drain)
 
 
 def _do_nothing(*_: object) -> None:
-    """Do nothing."""
+    """Ignore all arguments, for callbacks that aren't needed."""
--- a/src/railfold/_internal/agent/service_backend.py
+++ b/src/railfold/_internal/agent/service_backend.py
@@ -1,4 +1,4 @@
-"""A plain service behind the agent."""
+"""Driver of a plain service: passes calls on and polls its health."""
 
 from __future__ import annotations
 
@@ -26,7 +26,12 @@
 
 
 class ServiceBackend:
-    """Passes calls on to one plain service, each request id at most once."""
+    """Passes calls on to one plain service, each request id at most once.
+
+    :param name: name of the service; calls for another one are refused.
+    :param capacity: the most calls in flight.
+    :param on_change: called when the service becomes healthy or unhealthy.
+    """
 
     def __init__(
         self,
@@ -51,7 +56,7 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     def report(self) -> BackendReport:
-        """Return what to tell entries."""
+        """Return the state to report to entries."""
         return BackendReport(
             available=self._healthy,
             running=self._register.running,
@@ -61,22 +66,22 @@
         )
 
     def stalled(self) -> bool:
-        """Return False: calls have no common pace to compare with."""
+        """Return False: calls vary too much in duration to tell a stalled one."""
         return False
 
     def set_draining(self) -> None:
-        """Refuse new calls from now on; finish the running ones."""
+        """Refuse new calls from now on, and finish the running ones."""
         self._register.draining = True
 
     def owned_by(self, owner: str) -> int:
-        """Return how many of the running calls are an entry's."""
+        """Return how many of the running calls an entry owns."""
         return self._running_by_owner[owner]
 
     def owner_lost(self, owner: str) -> None:
-        """Nothing to do: a call that was passed on can't be taken back."""
+        """Do nothing: a call that was passed on can't be cancelled."""
 
     def frame_received(self, link: Link, frame: Frame) -> None:
-        """Take a frame from an entry."""
+        """Pass the calls of an entry's frame on to the service."""
         for message in frame.messages:
             match message:
                 case CallService():
@@ -91,7 +96,7 @@
             link.send(CallRefused(call.request_id, False, reason))
             return
         if not self._register.admit(call.request_id):
-            # The first copy of this message is answered, or will be.
+            # The first copy of this call has been answered or is still running.
             self._metrics.count("calls.duplicates")
             return
         self._register.running += 1
@@ -138,12 +143,14 @@
         link.send(reply)
 
     async def run_status(self, ready: asyncio.Event) -> None:
-        """Child: ask the service for its health, at intervals."""
+        """Check the service's health at intervals until cancelled."""
         ready.set()
         while True:
             was_healthy = self._healthy
             self._healthy = await self._service.healthy()
             if was_healthy != self._healthy:
-                logging.info("service %s healthy: %s", self._name, self._healthy)
+                logging.info(
+                    "health of service %s changed: %s", self._name, self._healthy
+                )
                 self._on_change()
             await asyncio.sleep(self._status_interval_s)
--- a/src/railfold/_internal/clock.py
+++ b/src/railfold/_internal/clock.py
@@ -1,14 +1,15 @@
-"""The clock that a process lives by, and the event loop that follows it.
-
-While a host is suspended its steady clock stands still and everybody else's time goes
-on. An age that is reckoned by the steady clock is then too small: a lease that lapsed
-is taken for valid, a connection that was closed for open. So all ages are reckoned by
-the time since the host was started, suspended time included; the event loop's ``time``
-is that clock. A jump of the time of day doesn't touch it.
-
-The loop still waits by the steady clock (the kernel's poll). Asleep with a timer due
-after the suspension, it would go on waiting for what was left of it. Any entry wakes
-several times a second for its upkeep; what was due meanwhile runs then.
+"""The clock of railfold processes, and an event loop that uses it.
+
+While a host is suspended, its monotonic clock stops, but time goes on for all other
+hosts. An age measured by the monotonic clock is then too small: an expired lease seems
+valid, and a connection that the peer has closed seems open. All ages are therefore
+measured by the boot-time clock, which includes suspended time and which a jump of the
+wall clock doesn't change. The event loop's ``time`` returns this clock.
+
+The loop still sleeps by the monotonic clock, because the kernel's poll does. If the
+host is suspended during a sleep, the loop sleeps for the rest of the timeout after it
+resumes, although timers may be overdue. Entries have periodic tasks that wake the loop
+several times a second, and overdue timers run then.
 """
 
 from __future__ import annotations
@@ -25,18 +26,19 @@
 
 T = TypeVar("T")
 
-# A shorter gap between the two clocks is the time between reading one and the other: up
-# to a scheduler's turn on a busy host. A shorter suspension ages nothing that matters.
+# A smaller difference between the two clocks can be the time between the two readings,
+# which is up to one scheduling delay on a busy host. A shorter suspension doesn't
+# change any age enough to matter.
 _MIN_SUSPENSION_S = 0.2
 
 
 def now_s() -> float:
-    """Return the time since the host was started, suspended time included."""
+    """Return the time since the host booted, including suspended time."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def unix_time_s() -> float:
-    """Return the time of day, which may jump; only to tell it to others."""
+    """Return the wall-clock time, which may jump; use it only to report a time."""
     return time.time()
 
 
@@ -45,7 +47,7 @@
 
 
 class _SuspensionDetectingSelector(selectors.DefaultSelector):
-    """Tells of a suspension before anything else that has come meanwhile."""
+    """Selector that reports a suspension before the loop handles any other event."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -64,39 +66,39 @@
         return ready_keys
 
     def _notify(self, on_resumed: Callable[[float], None], suspension_s: float) -> None:
-        """Call back; an error here would end the loop."""
+        """Call the callback and log its exceptions, which would end the event loop."""
         try:
             on_resumed(suspension_s)
         except Exception:
-            logging.exception("the look after a suspension failed")
+            logging.exception("the callback after a suspension failed")
 
 
 class EventLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time goes on while the host is suspended."""
+    """An event loop whose clock includes the time while the host is suspended."""
 
     def __init__(self) -> None:
         self._detecting_selector = _SuspensionDetectingSelector()
         super().__init__(self._detecting_selector)
 
     def time(self) -> float:
-        """Return the time by which timers and ages are reckoned."""
+        """Return the time for timers and ages, in seconds since the host booted."""
         return now_s()
 
     def call_when_resumed(self, callback: Callable[[float], None]) -> None:
-        """Call back after a suspension, with its length in seconds.
+        """Set a callback that runs after a suspension, with its duration in seconds.
 
-        Before any timer and any socket that became ready: what lapsed meanwhile can be
-        given up before something acts by it.
+        It runs before any timer and any socket that became ready, so that expired
+        leases and connections can be discarded before other code uses them.
         """
         self._detecting_selector.on_resumed = callback
 
 
 def new_event_loop() -> EventLoop:
-    """Return the event loop that every process of railfold runs on."""
+    """Return a new event loop of the kind that all railfold processes use."""
     return EventLoop()
 
 
 def run(main: Coroutine[Any, Any, T]) -> T:
-    """Run a program's coroutine to its end."""
+    """Run a program's main coroutine on a new event loop and return its result."""
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         return runner.run(main)
--- a/src/railfold/_internal/core/__init__.py
+++ b/src/railfold/_internal/core/__init__.py
@@ -1,4 +1,4 @@
-"""Values that every other part shares."""
+"""Value types that all other packages share."""
 
 from railfold._internal.core.addresses import Address, parse_address
 from railfold._internal.core.layers import (
--- a/src/railfold/_internal/core/addresses.py
+++ b/src/railfold/_internal/core/addresses.py
@@ -1,4 +1,4 @@
-"""Socket addresses as they stand in settings and host lists."""
+"""Socket addresses in settings and host lists."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """An IP number and a TCP port."""
+    """An IP address and a TCP port."""
 
     ip: str
     port: int
@@ -24,9 +24,11 @@
 
 
 def parse_address(text: str) -> Address:
-    """Return the address in ``text``, which reads ``ip:port``.
+    """Return the address that ``text`` gives in the form ``ip:port``.
 
-    :raises ValueError: the text isn't an IP number and a port.
+    An IPv6 address stands in square brackets.
+
+    :raises ValueError: the text isn't a valid IP address and port.
     """
     ip, separator, port_text = text.rpartition(":")
     if not separator or not port_text.isdigit():
--- a/src/railfold/_internal/core/layers.py
+++ b/src/railfold/_internal/core/layers.py
@@ -1,7 +1,7 @@
 """Layer ranges, the stages of a chain, and the lineage of a token.
 
-These values travel with every token. They are msgspec structs, which behave
-like frozen data classes, so that links carry them as they are.
+Links send these values with every token. They are therefore msgspec structs, which
+behave like frozen data classes and are encoded without a conversion.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class LayerRange(msgspec.Struct, frozen=True, array_like=True):
-    """A run of model layers, both ends included."""
+    """A contiguous range of model layers, from ``first`` to ``last`` inclusive."""
 
     first: int
     last: int
@@ -25,7 +25,7 @@
 
 
 class AttemptId(msgspec.Struct, frozen=True, array_like=True, cache_hash=True):
-    """One attempt of one request; attempts of a request count up from 1."""
+    """One attempt of one request; the attempts of a request are numbered from 1."""
 
     request_id: str
     attempt: int
@@ -35,7 +35,7 @@
 
 
 class Stage(msgspec.Struct, frozen=True, array_like=True):
-    """One backend server's part of a chain.
+    """One stage of a chain: a backend server and the layers that it runs.
 
     :param host: name of the backend server's host.
     :param address: ``ip:port`` of the agent beside it.
@@ -50,18 +50,18 @@
 
 
 class Chain(msgspec.Struct, frozen=True, array_like=True):
-    """Stages that together cover each layer of a model once, in order."""
+    """Stages that together run each layer of a model exactly once, in order."""
 
     stages: tuple[Stage, ...]
 
     @property
     def hosts(self) -> tuple[str, ...]:
-        """Names of the hosts, in order."""
+        """The names of the stages' hosts, in order."""
         return tuple(stage.host for stage in self.stages)
 
 
 class Loaded(msgspec.Struct, frozen=True, array_like=True):
-    """Layers of a model version, as read back from a backend server."""
+    """Layers of a model version that a backend server reports as loaded."""
 
     model: str
     version: str
@@ -72,7 +72,7 @@
 
 
 class StageRun(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of a token's lineage: which stage ran which layers."""
+    """One element of a token's lineage: the layers that one stage ran for it."""
 
     host: str
     incarnation: int
--- a/src/railfold/_internal/core/outcomes.py
+++ b/src/railfold/_internal/core/outcomes.py
@@ -1,7 +1,7 @@
 """The final outcomes of a request.
 
-A request ends with exactly one outcome. ``NotRun`` can't be built without a
-proof that no backend server ran any part of the request.
+A request ends with exactly one outcome. ``NotRun`` requires a proof that no backend
+server ran any part of the request, so that the caller can safely send it again.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 
 @dataclass(frozen=True, slots=True)
 class NeverSent:
-    """Proof: the entry sent nothing of the request to any agent."""
+    """Proof: the entry sent no part of the request to any agent."""
 
 
 @dataclass(frozen=True, slots=True)
 class RefusedBeforeStart:
-    """Proof: every agent that was sent the request refused it unstarted."""
+    """Proof: every agent that received the request refused it before it started."""
 
     hosts: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class TombstoneConfirmed:
-    """Proof: an agent confirmed the request hadn't started and never will."""
+    """Proof: an agent confirmed that the request hadn't started and never will."""
 
     host: str
 
@@ -48,12 +48,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The caller has its whole answer."""
+    """The caller received the complete answer."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request did not run, and will not."""
+    """The request didn't run and won't run."""
 
     proof: NotRunProof
     error: RailfoldError
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The request ran at least in part and gave no whole answer."""
+    """The request ran at least in part, without a complete answer."""
 
     error: RailfoldError
     retry_after_s: float | None = None
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """Whether the request ran, or ran to its end, can't be known."""
+    """Whether the request ran, or completed, can't be determined."""
 
     error: RailfoldError
     retry_after_s: float | None = None
@@ -80,7 +80,7 @@
 
 
 def outcome_name(outcome: Outcome) -> str:
-    """Return the outcome's name as it stands in answers and metrics."""
+    """Return the name of the outcome in answers and metrics."""
     match outcome:
         case Answered():
             return "answered"
--- a/src/railfold/_internal/core/requests.py
+++ b/src/railfold/_internal/core/requests.py
@@ -1,4 +1,4 @@
-"""Requests as the entry holds them after validation."""
+"""Validated requests, and the tokens that answer them."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 class Token(msgspec.Struct, frozen=True, array_like=True):
-    """One generated token; a struct, since links carry it as it is.
+    """One generated token; a msgspec struct, because links send it unconverted.
 
     :param step: position in the answer, from 0.
     :param text: the token's text.
-    :param token_id: the token's number in the model's vocabulary.
+    :param token_id: the token's index in the model's vocabulary.
     :param final: whether the model ended the answer with this token.
     """
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerateRequest:
-    """A request to a model pipeline; ``deadline_s`` is on the loop's clock."""
+    """A request to a model pipeline; ``deadline_s`` is in loop time."""
 
     request_id: str
     workspace: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceRequest:
-    """A call of a plain service; ``deadline_s`` is on the loop's clock."""
+    """A call of a plain service; ``deadline_s`` is in loop time."""
 
     request_id: str
     workspace: str
--- a/src/railfold/_internal/engines/__init__.py
+++ b/src/railfold/_internal/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters of what stands behind agents: model engines and plain services."""
+"""Clients of the backend servers: model engines and plain services."""
--- a/src/railfold/_internal/engines/http_engine.py
+++ b/src/railfold/_internal/engines/http_engine.py
@@ -1,6 +1,6 @@
-"""Adapter of engines that speak msgpack over HTTP.
+"""Client of model engines with an HTTP interface that carries msgpack and JSON.
 
-This is the one module that knows the engines' protocol.
+No other module depends on the engines' protocol.
 """
 
 from __future__ import annotations
@@ -66,10 +66,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpEngine:
-    """An engine at ``url``.
+    """Client of the engine at ``url``.
 
-    :param http: client for what may be repeated.
-    :param step_http: client for steps, which doesn't repeat them.
+    :param http: HTTP client for idempotent requests, which may send them twice.
+    :param single_use_http: HTTP client for steps and load orders, which sends each
+        request at most once.
     """
 
     url: str
@@ -78,9 +79,10 @@
     step_timeout_s: float
 
     async def status(self) -> EngineStatus:
-        """Return what the engine has loaded.
+        """Return the engine's status.
 
-        :raises EngineError: it doesn't answer.
+        :raises EngineUnavailableError: the engine doesn't answer or its answer is
+            invalid.
         """
         try:
             response = await self.http.fetch(
@@ -91,7 +93,7 @@
             status = msgspec.json.decode(response.body, type=_WireStatus)
         except (HTTPError, OSError, msgspec.DecodeError) as error:
             raise EngineUnavailableError(
-                "the engine doesn't give its status", why=str(error)
+                "the engine didn't return its status", why=str(error)
             ) from error
         layers = None
         if status.first_layer >= 0:
@@ -106,9 +108,9 @@
         )
 
     async def load(self, order: LoadOrder) -> None:
-        """Give an order to load layers; it replaces what is loaded.
+        """Order the engine to load layers, which replace those it has loaded.
 
-        :raises EngineError: the engine refused, or didn't answer.
+        :raises EngineError: the engine refused the order or didn't answer.
         """
         body = {
             "model": order.model,
@@ -128,13 +130,14 @@
             )
         except (HTTPError, OSError) as error:
             raise EngineError(
-                "the engine didn't carry out an order", why=str(error)
+                "the engine didn't execute an order to load layers", why=str(error)
             ) from error
 
     async def step(self, items: Sequence[StepItem]) -> list[StepResult]:
-        """Run one step for several sequences; results are in items' order.
+        """Run one step for several sequences; return the results in the same order.
 
-        :raises EngineUnavailableError: no answer; the step may have run.
+        :raises EngineUnavailableError: there was no valid answer; the step may have
+            run.
         """
         body = _ENCODER.encode([_to_wire(item) for item in items])
         try:
@@ -149,19 +152,19 @@
             results = _RESULT_DECODER.decode(response.body)
         except (HTTPError, OSError, msgspec.DecodeError) as error:
             raise EngineUnavailableError(
-                "the engine didn't answer a step", why=str(error)
+                "the engine didn't return the results of a step", why=str(error)
             ) from error
         if len(results) != len(items):
             raise EngineUnavailableError(
-                "the engine answered another number of sequences than it was given"
+                "the engine returned a wrong number of results for a step"
             )
         pairs = zip(items, results, strict=True)
         return [_from_wire(item, result) for item, result in pairs]
 
     async def close(self, sequences: Sequence[str]) -> None:
-        """Free sequences' KV caches.
+        """Make the engine free the KV caches of sequences.
 
-        :raises EngineError: the engine doesn't answer.
+        :raises EngineError: the engine refused or didn't answer.
         """
         try:
             await self.http.fetch(
@@ -174,7 +177,7 @@
             )
         except (HTTPError, OSError) as error:
             raise EngineError(
-                "the engine didn't free sequences", why=str(error)
+                "the engine didn't free the caches of sequences", why=str(error)
             ) from error
 
 
--- a/src/railfold/_internal/engines/http_service.py
+++ b/src/railfold/_internal/engines/http_service.py
@@ -1,4 +1,4 @@
-"""Adapter of plain services that speak HTTP."""
+"""Client of plain services with an HTTP interface."""
 
 from __future__ import annotations
 
@@ -19,7 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceAnswer:
-    """A plain service's answer to one call."""
+    """Answer of a plain service to one call.
+
+    :param status: the HTTP status code.
+    """
 
     status: int
     content_type: str
@@ -28,10 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpService:
-    """A plain service at ``url``.
+    """Client of the plain service at ``url``.
 
-    :param http: client for health checks.
-    :param call_http: client for calls, which doesn't repeat them.
+    :param health_path: path of the health check.
+    :param http: HTTP client for health checks.
+    :param single_use_http: HTTP client for calls, which sends each at most once.
     """
 
     url: str
@@ -40,7 +44,7 @@
     single_use_http: AsyncHTTPClient
 
     async def healthy(self) -> bool:
-        """Return whether the service says it is healthy."""
+        """Return whether the health check of the service succeeds."""
         try:
             await self.http.fetch(
                 f"{self.url}{self.health_path}",
@@ -60,10 +64,10 @@
         body: bytes,
         timeout_s: float,
     ) -> ServiceAnswer:
-        """Pass one call on; never repeats it.
+        """Send one call to the service and return its answer; never retry.
 
-        :raises EngineError: the service was never reached.
-        :raises EngineUnavailableError: no answer; the call may have run.
+        :raises EngineError: no connection to the service was made.
+        :raises EngineUnavailableError: there was no answer; the call may have run.
         """
         headers = {"Railfold-Request-Id": request_id}
         if content_type:
@@ -89,5 +93,5 @@
 
 def _call_error(error: Exception) -> EngineError:
     if was_never_connected(error):
-        return EngineError("the service can't be reached", why=str(error))
+        return EngineError("can't connect to the service", why=str(error))
     return EngineUnavailableError("the service didn't answer", why=str(error))
--- a/src/railfold/_internal/engines/interface.py
+++ b/src/railfold/_internal/engines/interface.py
@@ -1,4 +1,4 @@
-"""What the agent needs of a model engine, whatever its protocol."""
+"""Interface of model engines to the agent, independent of their protocol."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class PrefillInput:
-    """First step of an attempt at the first stage.
+    """Input of the first step of an attempt, at the first stage.
 
-    :param emitted: ids of tokens that earlier attempts gave to the caller.
+    :param emitted: ids of the tokens that earlier attempts sent to the caller.
     """
 
     prompt: str
@@ -36,14 +36,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DecodeInput:
-    """A later step at the first stage: the token generated before it."""
+    """Input of a later step at the first stage: the previously generated token."""
 
     token_id: int
 
 
 @dataclass(frozen=True, slots=True)
 class ActivationInput:
-    """A step at a later stage: the previous stage's output."""
+    """Input of a step at a later stage: the output of the previous stage."""
 
     data: bytes
 
@@ -53,10 +53,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StepItem:
-    """One sequence's part of an engine step.
+    """One sequence in an engine step.
 
-    :param begins: whether the engine is to begin a new cache. Without it, an
-        engine that holds no cache for the sequence must refuse.
+    :param sequence: id of the sequence.
+    :param begins: whether the engine creates a new KV cache for the sequence. If
+        false, an engine that has no cache for the sequence must refuse the item.
     """
 
     sequence: str
@@ -67,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HiddenState:
-    """Output of a stage that isn't the last."""
+    """Output of a stage other than the last."""
 
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class StepFailure:
-    """The engine refused one sequence's part of a step."""
+    """The engine refused or failed to run one sequence of a step."""
 
     reason: str
 
@@ -84,11 +85,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineStatus:
-    """What an engine says of itself.
+    """State that an engine reports.
 
-    :param engine_id: changes when the engine restarts and its caches are gone.
-    :param fencing: the highest fencing number that it has seen.
-    :param checks_fencing: whether it refuses an older one.
+    :param engine_id: changes when the engine restarts, which loses its KV caches.
+    :param layers: the loaded layers, or None if no model is loaded.
+    :param fencing: the highest fencing token that the engine has seen.
+    :param checks_fencing: whether the engine refuses orders with an older token.
     """
 
     engine_id: str
@@ -100,28 +102,29 @@
 
 
 class Engine(Protocol):
-    """A model engine that holds a range of layers."""
+    """A model engine that runs a range of layers of one model."""
 
     async def status(self) -> EngineStatus:
-        """Return what the engine has loaded.
+        """Return the engine's status.
 
-        :raises EngineError: it doesn't answer.
+        :raises EngineError: the engine doesn't answer.
         """
 
     async def step(self, items: Sequence[StepItem]) -> list[StepResult]:
-        """Run one step for several sequences; results are in items' order.
+        """Run one step for several sequences; return the results in the same order.
 
-        :raises EngineUnavailableError: no answer; the step may have run.
+        :raises EngineUnavailableError: there was no valid answer; the step may have
+            run.
         """
 
     async def load(self, order: LoadOrder) -> None:
-        """Give an order to load layers; it replaces what is loaded.
+        """Order the engine to load layers, which replace those it has loaded.
 
-        :raises EngineError: the engine refused, or didn't answer.
+        :raises EngineError: the engine refused the order or didn't answer.
         """
 
     async def close(self, sequences: Sequence[str]) -> None:
-        """Free sequences' KV caches.
+        """Make the engine free the KV caches of sequences.
 
-        :raises EngineError: the engine doesn't answer.
+        :raises EngineError: the engine refused or didn't answer.
         """
--- a/src/railfold/_internal/errors.py
+++ b/src/railfold/_internal/errors.py
@@ -1,7 +1,7 @@
-"""Every error railfold raises, as one tree.
+"""The exceptions of railfold, all derived from :class:`RailfoldError`.
 
-An error says what went wrong, why, and what to do about it. The ``code`` of a
-class is part of the interface: it appears in answers, logs and metrics.
+An error says what went wrong, why, and what to do about it. The ``code`` of a class is
+part of the public interface: it appears in answers, logs and metrics.
 """
 
 from __future__ import annotations
@@ -56,10 +56,10 @@
 
 
 class RailfoldError(Exception):
-    """Base of all errors.
+    """Base class of all errors.
 
-    :param what: what went wrong, one sentence.
-    :param why: the cause as far as it is known.
+    :param what: what went wrong, in one sentence.
+    :param why: the cause, as far as it is known.
     :param hint: what the reader can do about it.
     """
 
@@ -81,13 +81,17 @@
 
 
 class ListenError(RailfoldError):
-    """An address that the settings name can't be listened on."""
+    """The process can't listen on an address that the settings name."""
 
     code = "listen_failed"
 
 
 class SettingsError(RailfoldError):
-    """A settings file is refused; ``faults`` lists every fault found."""
+    """A settings file is invalid.
+
+    :param path: path of the file.
+    :param faults: all faults found in it.
+    """
 
     code = "settings_invalid"
 
@@ -101,25 +105,25 @@
 
 
 class RequestError(RailfoldError):
-    """A caller's request is refused before anything was sent to an agent."""
+    """A caller's request is refused before any part of it was sent to an agent."""
 
     code = "request_refused"
 
 
 class InvalidRequestError(RequestError):
-    """The request's body, header or field is malformed."""
+    """The request's body, or one of its headers or fields, is invalid."""
 
     code = "invalid_request"
 
 
 class BodyTooLargeError(RequestError):
-    """The request's body is over the limit."""
+    """The request's body exceeds the size limit."""
 
     code = "body_too_large"
 
 
 class HeadersTooLargeError(RequestError):
-    """The request's headers are over the limit."""
+    """The request's headers exceed the size limit."""
 
     code = "headers_too_large"
 
@@ -143,34 +147,37 @@
 
 
 class DeadlineExpiredError(RequestError):
-    """The request's deadline has passed or can't be met."""
+    """The request's deadline has passed, or the request can't complete before it."""
 
     code = "deadline_expired"
 
 
 class DuplicateKeyError(RequestError):
-    """An earlier request holds the same idempotency key."""
+    """An earlier request has used the same idempotency key."""
 
     code = "duplicate_key"
 
 
 class OverloadedError(RequestError):
-    """The workspace's or the system's limit is reached."""
+    """A limit of the workspace or of the whole system is reached."""
 
     code = "overloaded"
 
 
 class NoCapacityError(RequestError):
-    """No set of live backend servers covers the pipeline or service."""
+    """The live backend servers can't serve the pipeline or service.
+
+    They don't run all layers of the pipeline, or none of them provides the service.
+    """
 
     code = "no_capacity"
 
 
 class RoomShortError(NoCapacityError):
-    """Engines have no room, or it is kept for requests that go before.
+    """Engines have no room for the request, or reserve it for requests that go first.
 
-    :param served_share: which part of such requests found room of late, from 0 to 1.
-    :param left_s: until the caller gives up, in seconds.
+    :param served_share: share of similar requests that found room recently, 0 to 1.
+    :param left_s: time until the client's deadline.
     """
 
     code = "room_short"
@@ -190,10 +197,10 @@
 
 
 class AdmissionRefusedError(RailfoldError):
-    """A request wasn't admitted.
+    """Admission refused a request.
 
-    :param error: why; this is what the caller is told.
-    :param retry_after_s: when the caller should come back.
+    :param error: the reason, which the answer to the caller reports.
+    :param retry_after_s: delay after which the caller should retry.
     """
 
     code = "admission_refused"
@@ -205,19 +212,19 @@
 
 
 class QueueFullError(RailfoldError):
-    """A bound of a queue of waiting requests is reached."""
+    """A queue of waiting requests has reached one of its limits."""
 
     code = "queue_full"
 
 
 class SupervisorFailedError(RailfoldError):
-    """Children failed more often than the restart limit allows."""
+    """A supervisor's children failed more often than its restart limit allows."""
 
     code = "supervisor_failed"
 
 
 class ChildEndedError(RailfoldError):
-    """A child returned although children run until they are cancelled."""
+    """A supervisor's child returned, although children run until cancelled."""
 
     code = "child_ended"
 
@@ -229,57 +236,62 @@
 
 
 class NotReadyError(RequestError):
-    """The process hasn't a configuration yet, or is draining."""
+    """The process has no configuration yet, or is draining."""
 
     code = "not_ready"
 
 
 class ConfigurationStaleError(RequestError):
-    """What is known of the configuration is too old to rely on."""
+    """The process's copy of the configuration is too old to be trusted."""
 
     code = "configuration_stale"
 
 
 class RequestNotQuarantinedError(RailfoldError):
-    """No request of a content is held back."""
+    """No quarantined request has the content that the operator named."""
 
     code = "request_not_held"
 
 
 class RequestNotLoggedError(RailfoldError):
-    """No log line is about a request."""
+    """The log has no line about the request that the operator named."""
 
     code = "request_not_logged"
 
 
 class LineageError(RailfoldError):
-    """A token's layers weren't each run exactly once and in order."""
+    """A token's lineage doesn't run each layer exactly once and in order."""
 
     code = "lineage_invalid"
 
 
 class LinkProtocolError(RailfoldError):
-    """A peer sent a frame that can't be read."""
+    """A peer sent a frame that violates the link protocol."""
 
     code = "link_protocol"
 
 
 class LinkClosedError(RailfoldError):
-    """A link to a peer is closed."""
+    """The link to a peer is closed or can't be opened."""
 
     code = "link_closed"
 
 
 class RepeatedCrashesError(RequestError):
-    """Backend servers ended under requests with the same path, caller and body."""
+    """Backend servers crashed while running requests with the same content.
+
+    Requests have the same content if their path, caller and body are the same.
+    """
 
     code = "repeated_crashes"
 
 
 class RequestOnTrialError(RequestError):
-    """Whether requests with the same content end their servers is being tried.
+    """Requests with the same content may crash their servers, so this one must wait.
+
+    Until it is known whether they do, only one such request is tried at a time.
 
-    :param left_s: until the next one may be tried, in seconds.
+    :param left_s: time until the next one may be tried.
     """
 
     code = "request_on_trial"
@@ -292,9 +304,9 @@
 
 
 class RateLimitedError(RequestError):
-    """Backend servers name how many requests a second they take, and get them already.
+    """The rate limits that the backend servers announce are used up.
 
-    :param left_s: until one of them may take the next, in seconds.
+    :param left_s: time until one of the servers may accept the next request.
     """
 
     code = "rate_limited"
@@ -307,10 +319,10 @@
 
 
 class ServersBackingOffError(RequestError):
-    """All backend servers that could serve asked this entry to send nothing for a time.
+    """All backend servers that could serve the request asked this entry to back off.
 
-    :param left_s: until the first of them takes requests again, in seconds.
-    :param service: theirs.
+    :param left_s: time until the first backoff ends.
+    :param service: name of the service that the servers provide.
     """
 
     code = "servers_backing_off"
@@ -324,76 +336,80 @@
 
 
 class ServerNotEligibleError(RequestError):
-    """The backend server that was chosen takes no request any more.
+    """The chosen backend server doesn't accept requests any more.
 
-    Nothing was sent, and another server may serve.
+    Nothing was sent to it, so another server may serve the request.
     """
 
     code = "server_not_eligible"
 
 
 class MemoryQuotaExceededError(RequestError):
-    """The entry holds as much for the request's workspace as it may."""
+    """The request's workspace has used up its quota of the entry's memory."""
 
     code = "memory_short"
 
 
 class PeerMessageError(RailfoldError):
-    """What another entry is said to have sent can't be read or isn't from one."""
+    """A message or record from another entry is malformed or not authentic."""
 
     code = "peer_message"
 
 
 class EngineError(RailfoldError):
-    """A backend server refused a call or failed."""
+    """A backend server refused a call, or failed to execute it."""
 
     code = "engine_failed"
 
 
 class EngineUnavailableError(EngineError):
-    """A backend server didn't answer; the call may or may not have run."""
+    """A backend server didn't answer; the call may have run."""
 
     code = "engine_unavailable"
 
 
 class LeaseLostError(EngineError):
-    """The lease under which an order was to be given doesn't hold any more."""
+    """The lease that allows an order to an engine has expired."""
 
     code = "lease_lost"
 
 
 class LogUnavailableError(RailfoldError):
-    """The platform's log can't be reached or refuses."""
+    """The platform's log can't be reached or refused a request."""
 
     code = "log_unavailable"
 
 
 class RecordsExpiredError(LogUnavailableError):
-    """Records at the asked offset are gone: retention passed the reader."""
+    """The log has deleted the records at the requested offset by its retention."""
 
     code = "records_expired"
 
 
 class WriteUnsettledError(LogUnavailableError):
-    """An append's answer was lost and its effect isn't known yet."""
+    """The answer to an append was lost; whether it took effect isn't known yet."""
 
     code = "write_unsettled"
 
 
 class ProcessUnreachableError(RailfoldError):
-    """A process's operator port doesn't answer."""
+    """The operator port of a process doesn't answer."""
 
     code = "process_unreachable"
 
 
 class VersionNotInForceError(RailfoldError):
-    """A configuration version isn't in force everywhere in time."""
+    """A configuration version didn't take effect in all processes in time."""
 
     code = "version_not_in_force"
 
 
 class ConfigurationRefusedError(RailfoldError):
-    """A configuration change is invalid; ``faults`` lists every fault found."""
+    """A configuration change is invalid.
+
+    :param target: the object that the change is about.
+    :param faults: all faults found in the change.
+    """
 
     code = "configuration_refused"
 
@@ -407,6 +423,6 @@
 
 
 class ConfigurationConflictError(RailfoldError):
-    """Another change of the same object came first in the log."""
+    """Another change of the same object precedes this change in the log."""
 
     code = "configuration_conflict"
--- a/src/railfold/_internal/links/__init__.py
+++ b/src/railfold/_internal/links/__init__.py
@@ -1,1 +1,1 @@
-"""Links between railfold processes."""
+"""Links: long-lived connections between the processes of railfold."""
--- a/src/railfold/_internal/links/connection.py
+++ b/src/railfold/_internal/links/connection.py
@@ -1,7 +1,7 @@
-"""One link: a long-lived TCP stream that carries frames both ways.
+"""One link: a long-lived TCP connection that carries frames in both directions.
 
-Messages sent in the same pass of the loop leave in one frame, so that the
-number of frames follows the engine steps and not the number of sequences.
+Messages that are sent in the same iteration of the event loop share one frame, so that
+the number of frames grows with the engine steps and not with the sequences in a step.
 """
 
 from __future__ import annotations
@@ -36,7 +36,12 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkLimits:
-    """Bounds of one link."""
+    """Limits of one link.
+
+    :param max_frame_bytes: the longest frame that is accepted from the peer.
+    :param max_queued_bytes: the most bytes that wait to be written; if they exceed
+        it, the link is closed.
+    """
 
     max_frame_bytes: int = 16 * 1024 * 1024
     max_queued_bytes: int = 64 * 1024 * 1024
@@ -45,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkPeer:
-    """Who is at the other end, from its :class:`Hello`."""
+    """Identity of the peer, from its :class:`Hello`."""
 
     role: str
     name: str
@@ -55,11 +60,12 @@
 
 
 class Link:
-    """A handshaken link to one peer.
+    """A link to one peer; :meth:`handshake` must complete before it is used.
 
-    :param stream: the connected stream; it must allow ``max_queued_bytes``.
-    :param hello: what this process says of itself.
-    :param version: returns this process's configuration version.
+    :param stream: the connected stream; its buffer must hold ``max_queued_bytes``.
+    :param hello: the first message, which identifies this process.
+    :param configuration_version: returns this process's configuration version, which
+        each frame carries.
     """
 
     def __init__(
@@ -88,14 +94,15 @@
 
     @property
     def closed(self) -> bool:
-        """Whether the stream is closed."""
+        """Whether the connection is closed."""
         return self._stream.closed()
 
     async def handshake(self) -> None:
-        """Exchange :class:`Hello` with the peer.
+        """Exchange :class:`Hello` messages with the peer, and set :attr:`peer`.
 
         :raises LinkProtocolError: the peer speaks another protocol.
-        :raises LinkClosedError: the peer closed or didn't answer in time.
+        :raises LinkClosedError: the peer closed the connection or didn't answer in
+            time.
         """
         self._stream.set_nodelay(True)
         self.send(self._hello)
@@ -124,12 +131,12 @@
             case _:
                 self.close()
                 raise LinkProtocolError(
-                    "a peer's first message isn't a valid hello",
+                    "the first message of a peer isn't a valid hello message",
                     hint=f"both sides must speak protocol {PROTOCOL_VERSION}",
                 )
 
     def send(self, message: LinkMessage) -> None:
-        """Queue a message; it leaves with the next flush."""
+        """Queue a message for the frame that the next flush writes."""
         match message:
             case Activation():
                 self._activations.append(message)
@@ -144,7 +151,7 @@
             asyncio.get_running_loop().call_soon(self.flush)
 
     def flush(self) -> None:
-        """Write all queued messages as one frame."""
+        """Write all queued messages as one frame; do nothing if there are none."""
         if not self._flush_scheduled:
             return
         self._flush_scheduled = False
@@ -163,7 +170,7 @@
         except StreamClosedError:
             return
         except StreamBufferFullError:
-            # A peer that doesn't read is as good as gone.
+            # The peer doesn't read: more queued bytes would only use up memory.
             self.close()
             return
         self.bytes_sent += _LENGTH_PREFIX.size + len(data)
@@ -172,7 +179,7 @@
         """Return the peer's next frame.
 
         :raises LinkClosedError: the link is closed.
-        :raises LinkProtocolError: the frame is too long or can't be read.
+        :raises LinkProtocolError: the frame is too long or malformed.
         """
         try:
             return await self._read_frame()
@@ -189,7 +196,7 @@
         (length,) = _LENGTH_PREFIX.unpack(header)
         if length > self._limits.max_frame_bytes:
             raise LinkProtocolError(
-                f"a peer announced a frame of {length} bytes",
+                f"a peer sent a frame of {length} bytes, which is too long",
                 why=f"the limit is {self._limits.max_frame_bytes}",
             )
         frame = decode_frame(await self._stream.read_bytes(length))
@@ -201,11 +208,12 @@
         return frame
 
     def check_silence(self) -> int:
-        """Look whether the peer was heard; return how many looks in a row found no.
+        """Return how many consecutive calls, including this one, found no new frame.
 
-        For the one child that watches this link, at its intervals. Looks are
-        counted and not time, since the first look after a hold-up of the loop may
-        come before the sockets are read: it counts as one, however long it lasted.
+        The one task that monitors this link calls it at regular intervals. The calls
+        are counted instead of the time since the last frame, because the first call
+        after the event loop was blocked may run before the sockets are read. It then
+        counts as a single silent interval, however long the loop was blocked.
         """
         if self.last_received_s > self._last_received_at_check_s:
             self._last_received_at_check_s = self.last_received_s
@@ -215,10 +223,10 @@
         return self._silent_checks
 
     def close(self) -> None:
-        """Close the link; safe to call again."""
+        """Close the link; this is idempotent."""
         self._stream.close()
 
 
 def owner_name(link: Link) -> str:
-    """Return the name under which a linked entry owns work at an agent."""
+    """Return the name that identifies one incarnation of an entry as owner of work."""
     return f"{link.peer.name}#{link.peer.incarnation}"
--- a/src/railfold/_internal/links/endpoint.py
+++ b/src/railfold/_internal/links/endpoint.py
@@ -1,4 +1,4 @@
-"""Accepting and dialling links, and reading frames from them."""
+"""Accepts and dials links, and passes their frames to a handler."""
 
 from __future__ import annotations
 
@@ -21,20 +21,23 @@
 
 
 class LinkHandler(Protocol):
-    """What a process does with its links."""
+    """Callbacks of a process for the events of its links."""
 
     def link_up(self, link: Link) -> None:
-        """Called after the handshake."""
+        """Process a link that completed its handshake."""
 
     def frame_received(self, link: Link, frame: Frame) -> None:
-        """Called for every frame."""
+        """Process one frame from the peer."""
 
     def link_down(self, link: Link) -> None:
-        """Called once when an opened link ends."""
+        """Process the end of a link; called once after each :meth:`link_up`."""
 
 
 async def serve_link(link: Link, handler: LinkHandler) -> None:
-    """Read a handshaken link until it ends, feeding its handler."""
+    """Pass the events of a link to the handler until the link is closed.
+
+    :param link: a link that completed its handshake.
+    """
     handler.link_up(link)
     try:
         while True:
@@ -42,7 +45,7 @@
     except LinkClosedError:
         pass
     except LinkProtocolError as error:
-        logging.warning("link to %s dropped: %s", link.peer.name, error)
+        logging.warning("closing the link to %s: %s", link.peer.name, error)
     finally:
         link.close()
         handler.link_down(link)
@@ -66,13 +69,17 @@
         self._links: set[Link] = set()
 
     async def handle_stream(self, stream: IOStream, address: tuple[str, int]) -> None:
-        """Handshake and read one accepted stream."""
+        """Complete the handshake on an accepted connection and serve its link."""
         link = Link(stream, self._hello, self._configuration_version, self._limits)
         try:
             await link.handshake()
         except (LinkClosedError, LinkProtocolError) as error:
             logging.log_every_n(
-                logging.WARNING, "handshake with %s failed: %s", 100, address, error
+                logging.WARNING,
+                "link handshake with %s failed: %s",
+                100,
+                address,
+                error,
             )
             return
         self._links.add(link)
@@ -82,7 +89,7 @@
             self._links.discard(link)
 
     def close_links(self) -> None:
-        """Close every accepted link."""
+        """Write the queued messages of all accepted links, and close the links."""
         for link in list(self._links):
             link.flush()
             link.close()
@@ -94,9 +101,9 @@
     configuration_version: Callable[[], int],
     limits: LinkLimits,
 ) -> Link:
-    """Return a handshaken link to ``address``.
+    """Connect to ``address`` and return the link after its handshake.
 
-    :raises LinkClosedError: the peer can't be reached in time.
+    :raises LinkClosedError: the connection or the handshake failed or timed out.
     :raises LinkProtocolError: the peer speaks another protocol.
     """
     try:
@@ -116,7 +123,11 @@
 
 
 class LinkDialer:
-    """Keeps one link to one address open, dialling again when it ends."""
+    """Keeps a link to one address open, and dials again when it is closed.
+
+    :param delay_s: returns the delay before the next dial, in seconds, by the number
+        of failures in a row. After a link was closed, the number is 1.
+    """
 
     def __init__(
         self,
@@ -136,7 +147,7 @@
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin dialling."""
+        """Start the task that dials the address."""
         self._task = asyncio.create_task(self._run())
 
     async def stop(self) -> None:
--- a/src/railfold/_internal/links/messages.py
+++ b/src/railfold/_internal/links/messages.py
@@ -1,8 +1,8 @@
 """Messages between railfold processes, and their encoding.
 
-A frame holds the sender's configuration version and one or more messages. It
-is encoded with msgpack. Structs double as validated models: a frame that
-doesn't match them is refused with :class:`LinkProtocolError`.
+A frame holds the sender's configuration version and one or more messages. It is
+encoded with msgpack. The structs are also the schema: decoding a frame that doesn't
+match them raises :class:`LinkProtocolError`.
 """
 
 from __future__ import annotations
@@ -47,7 +47,7 @@
 
 
 class Hello(msgspec.Struct, tag="hello", frozen=True):
-    """First message in both directions on every link."""
+    """The first message in both directions on every link; identifies the sender."""
 
     protocol: int
     role: Literal["entry", "agent"]
@@ -58,11 +58,15 @@
 
 
 class Heartbeat(msgspec.Struct, tag="hb", frozen=True):
-    """An agent's own word about itself.
-
-    ``sequences`` counts all work there and ``owned`` the receiving entry's part
-    of it; ``step_ms`` is the recent time of one engine step, in milliseconds;
-    ``entries`` is how many entries the agent is linked to.
+    """Periodic report of an agent to each linked entry.
+
+    :param sequences: number of open sequences or running calls.
+    :param owned: how many of them the receiving entry owns.
+    :param max_sequences: the most sequences or calls at a time.
+    :param step_ms: recent mean duration of one engine step or call.
+    :param loaded: model layers that the engine has loaded.
+    :param services: names of the plain services that the agent provides.
+    :param entries: number of entries that are linked to the agent.
     """
 
     state: AgentState
@@ -76,10 +80,13 @@
 
 
 class Probe(msgspec.Struct, tag="probe", frozen=True):
-    """Asks whether the agent is alive; also renews the entry's lease there.
+    """Asks whether the agent is alive, and sets the terms of the entry's lease.
 
-    The agent sends heartbeats at ``heartbeat_interval_s`` and takes the entry
-    for gone if it hears nothing for ``lease_s``.
+    :param nonce: copied into the :class:`ProbeReply`.
+    :param heartbeat_interval_s: interval at which the agent sends heartbeats to this
+        entry.
+    :param lease_s: the agent closes the link if no frame arrives from the entry for
+        this long.
     """
 
     nonce: int
@@ -88,10 +95,11 @@
 
 
 class ProbeReply(msgspec.Struct, tag="probe+", frozen=True):
-    """Answer to :class:`Probe`.
+    """Answer to a :class:`Probe`.
 
-    ``stalled`` tells that the backend server's running step takes many times
-    as long as its recent ones.
+    :param nonce: copied from the probe.
+    :param stalled: whether the backend server's running step takes many times as long
+        as its recent ones.
     """
 
     nonce: int
@@ -99,7 +107,13 @@
 
 
 class OpenSequence(msgspec.Struct, tag="open", frozen=True):
-    """An entry opens one attempt of a request at one stage of its chain."""
+    """An entry opens one attempt of a request at one stage of its chain.
+
+    :param index: position of the stage in the chain, from 0.
+    :param base_step: the first step of this attempt.
+    :param max_tokens: number of steps of the whole answer.
+    :param emitted: ids of the tokens that earlier attempts generated.
+    """
 
     request_id: str
     attempt: int
@@ -116,7 +130,7 @@
 
 
 class Activation(msgspec.Struct, tag="act", array_like=True, frozen=True):
-    """A stage's output for one step, on its way to the next stage."""
+    """Output of a stage for one step, sent to the next stage."""
 
     request_id: str
     attempt: int
@@ -126,7 +140,10 @@
 
 
 class Feedback(msgspec.Struct, tag="fb", array_like=True, frozen=True):
-    """The token of one step, from the last stage back to the first."""
+    """Token generated in the previous step, sent by the last stage to the first.
+
+    :param step: the step that takes the token as its input.
+    """
 
     request_id: str
     attempt: int
@@ -135,7 +152,7 @@
 
 
 class EmittedToken(msgspec.Struct, tag="tok", array_like=True, frozen=True):
-    """A token with its lineage, from the last stage to the entry."""
+    """A generated token and its lineage, sent by the last stage to the entry."""
 
     request_id: str
     attempt: int
@@ -144,7 +161,7 @@
 
 
 class SequenceRefused(msgspec.Struct, tag="refused", frozen=True):
-    """A stage refused an attempt before its engine saw any of it."""
+    """A stage refused an attempt before its engine ran any part of it."""
 
     request_id: str
     attempt: int
@@ -152,7 +169,10 @@
 
 
 class SequenceFailed(msgspec.Struct, tag="failed", frozen=True):
-    """A stage can't go on with an attempt; ``host`` is where it failed."""
+    """A stage can't continue an attempt.
+
+    :param host: name of the host that failed.
+    """
 
     request_id: str
     attempt: int
@@ -161,14 +181,17 @@
 
 
 class CancelSequence(msgspec.Struct, tag="cancel", frozen=True):
-    """An entry gives up an attempt and asks for a tombstone."""
+    """An entry cancels an attempt and asks for a tombstone: a promise not to run it."""
 
     request_id: str
     attempt: int
 
 
 class TombstoneReply(msgspec.Struct, tag="tomb", frozen=True):
-    """An agent never runs the attempt from now on; tells if it ever started."""
+    """An agent confirms that it won't run the attempt from now on.
+
+    :param started: whether the attempt had started before.
+    """
 
     request_id: str
     attempt: int
@@ -176,7 +199,10 @@
 
 
 class CallService(msgspec.Struct, tag="call", frozen=True):
-    """A call of the plain service beside the agent."""
+    """A call of the plain service beside the agent.
+
+    :param timeout_s: time limit for the service's answer.
+    """
 
     request_id: str
     service: str
@@ -188,7 +214,10 @@
 
 
 class CallResult(msgspec.Struct, tag="call+", frozen=True):
-    """The plain service's answer."""
+    """Answer of the plain service to a call.
+
+    :param status: the HTTP status code.
+    """
 
     request_id: str
     status: int
@@ -197,7 +226,10 @@
 
 
 class CallRefused(msgspec.Struct, tag="call-", frozen=True):
-    """The call gave no answer; ``started`` tells if it may have run."""
+    """A call failed or was refused, without an answer of the service.
+
+    :param started: whether the call may have run.
+    """
 
     request_id: str
     started: bool
@@ -205,7 +237,12 @@
 
 
 class ConfigurationChange(msgspec.Struct, tag="conf+", frozen=True):
-    """One log record, for a receiver whose next offset is ``previous``."""
+    """One record of the configuration log.
+
+    :param previous: the next offset that the receiver must be at to apply the record.
+    :param offset: offset of the record.
+    :param appended_s: Unix time at which the record was appended.
+    """
 
     previous: int
     offset: int
@@ -214,7 +251,12 @@
 
 
 class ConfigurationSnapshot(msgspec.Struct, tag="conf", frozen=True):
-    """The sender's whole folded configuration, as canonical JSON."""
+    """The sender's complete configuration.
+
+    :param next_offset: offset of the first record that isn't included.
+    :param digest: checksum of ``state``.
+    :param state: the configuration as canonical JSON.
+    """
 
     version: int
     next_offset: int
@@ -223,7 +265,7 @@
 
 
 class ConfigurationRequest(msgspec.Struct, tag="conf?", frozen=True):
-    """Asks the peer for its configuration if it is newer than ``version``."""
+    """Asks the peer for its configuration if that is newer than ``version``."""
 
     version: int
 
@@ -248,10 +290,10 @@
 
 
 class Frame(msgspec.Struct, array_like=True, frozen=True):
-    """What one write on a link carries.
+    """The messages of one write on a link, and the sender's configuration version.
 
-    The per-token messages stand in lists of their own: they are the bulk of
-    the traffic, and a list of one type decodes faster than a tagged union.
+    Messages that are sent for each token have lists of their own, because they are
+    most of the traffic and a list of one type decodes faster than a tagged union.
     """
 
     configuration_version: int
@@ -266,20 +308,20 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return the frame's bytes, without the length prefix."""
+    """Return the encoded frame, without the length prefix."""
     return _ENCODER.encode(frame)
 
 
 def decode_frame(data: bytes) -> Frame:
-    """Return the frame in ``data``.
+    """Return the frame that ``data`` encodes.
 
-    :raises LinkProtocolError: the bytes aren't a valid frame.
+    :raises LinkProtocolError: ``data`` isn't a valid frame.
     """
     try:
         return _DECODER.decode(data)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
         raise LinkProtocolError(
-            "a peer sent a frame that can't be read",
+            "a peer sent a malformed frame",
             why=str(error),
             hint="check that both sides run compatible versions",
         ) from error
--- a/src/railfold/_internal/waiting.py
+++ b/src/railfold/_internal/waiting.py
@@ -1,9 +1,9 @@
-"""Waiting for a peer without taking this process's own lateness for its silence.
+"""Timeouts for the answers of peers that allow for delays of this process.
 
-A time-out that follows the clock alone also counts time in which this process
-neither sent nor read: while a callback held its event loop up, or while its
-processor quota was used up. The peer is then given up although its answer lies
-in the socket, or before the question has left.
+A timeout that only compares clock times also counts time in which this process neither
+sends nor reads, because a callback blocks its event loop or its CPU quota is used up.
+The wait then times out although the answer is already in the socket's buffer, or even
+before the request is sent.
 """
 
 from __future__ import annotations
@@ -16,28 +16,29 @@
 
 _T = TypeVar("_T")
 
-# A hold-up costs a wait one part of its time at most, and a hold-up is noticed if
-# it is longer than a part: 50 ms of the 0.2 s of a probe.
+# A wait is split into this many intervals. A blocked loop costs a wait at most one
+# interval of its timeout, and is detected if it is blocked for longer than an interval:
+# 50 ms for a probe, whose timeout is 0.2 s.
 _INTERVALS = 4
 
-# Parts that were held up are waited for anew this often in all, so that a process
-# that is always late gives a silent peer up too.
+# Limit on the delayed intervals of one wait that are repeated, so that a wait for a
+# silent peer ends even in a process that is always delayed.
 _MAX_REPEATED_INTERVALS = 4
 
 
 async def answer_within(answer: Awaitable[_T], timeout_s: float) -> _T:
-    """Return an answer that comes within ``timeout_s`` in which the loop turned.
+    """Return the answer if it arrives within ``timeout_s`` in which the loop ran.
 
-    The time passes in parts. A part that ended late by more than its own length
-    was held up and doesn't count, so that after a hold-up the loop writes and
-    reads its sockets before the answer is given up. An answer that is there when
-    the time is over counts.
+    The timeout is split into intervals. An interval that ended late by more than its
+    own length doesn't count, because the loop was blocked. After the loop was blocked
+    it therefore writes and reads its sockets before the wait times out. An answer that
+    is available when the time is over is returned.
 
-    ``tests/unit/test_blocked_event_loop.py`` measures it: with a plain time-out of
-    0.2 s an answer that takes 20 ms is lost in a hold-up of 0.3 s if the question
-    hadn't left before; with this function it is taken.
+    For example, if the loop is blocked for 0.3 s before it has sent the request, a
+    plain timeout of 0.2 s discards an answer that takes 20 ms, and this function
+    returns it (``tests/unit/test_blocked_event_loop.py``).
 
-    :raises TimeoutError: no answer came; it is cancelled.
+    :raises TimeoutError: no answer arrived; ``answer`` has been cancelled.
     """
     future = asyncio.ensure_future(answer)
     try:
--- a/tests/functional/test_engine_orders.py
+++ b/tests/functional/test_engine_orders.py
@@ -1,4 +1,8 @@
-"""Engines come to what the configuration wants, and only to that."""
+"""Agents make engines load the configured layers, and no others.
+
+An order from an agent that was paused or lost contact to the entries must not replace
+layers of a newer version, also on an engine that ignores fencing tokens.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,7 @@
 
 @pytest.fixture
 def two_engines() -> Iterator[Cluster]:
-    """Two hosts with the whole model; one engine ignores fencing numbers."""
+    """Two hosts that run the whole model; one engine ignores fencing tokens."""
     with Cluster(HOSTS) as cluster:
         yield cluster
 
@@ -52,7 +56,7 @@
 
 
 def send_stale_order(cluster: Cluster, host: EngineHost) -> None:
-    """Give the order that a woken old agent would give."""
+    """Send the order that an agent would send that was paused since version 1."""
     order = {
         "model": PIPELINE,
         "version": "1",
@@ -84,7 +88,8 @@
     with pytest.raises(OSError, match="409"):
         send_stale_order(two_engines, checking_host)
     send_stale_order(two_engines, ignoring_host)
-    # The engine that ignores numbers went back; its agent reads that back.
+    # The engine that ignores fencing tokens executed the stale order. Its agent reads
+    # this in the engine's status and orders version 2 again.
     wait_for_version(two_engines, "2")
     assert engine_status(two_engines, checking_host)["loads"] == 1
     assert engine_status(two_engines, ignoring_host)["loads"] == 3
--- a/tests/functional/test_recovery.py
+++ b/tests/functional/test_recovery.py
@@ -1,4 +1,7 @@
-"""Answers go on when stages die, freeze or restart under them."""
+"""An answer continues on other hosts when stages of its chain fail, freeze or restart.
+
+Without spare stages its request fails at once, with a delay for the client's retry.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 
 def serving_hosts(cluster: Cluster) -> list[str]:
-    """Return the hosts that have sequences open, in layer order."""
+    """Return the hosts that have open sequences, in layer order."""
     agents = cluster.status()["agents"]
     return sorted(agent["host"] for agent in agents if agent["load"] > 0)
 
@@ -61,7 +64,7 @@
 def test_answer_continues_after_an_answer_of_an_engine_is_lost(
     spare_cluster: Cluster,
 ) -> None:
-    # The fixture checks that the engine wasn't given the step again.
+    # The fixture checks that the step wasn't sent to the engine again.
     caller = start_stream(spare_cluster)
     middle_host = serving_hosts(spare_cluster)[1]
     post(f"{spare_cluster.engine_url(middle_host)}/control/drop", {})
--- a/tests/unit/test_blocked_event_loop.py
+++ b/tests/unit/test_blocked_event_loop.py
@@ -1,7 +1,8 @@
-"""A process that is late itself doesn't take that for the silence of its peers.
+"""A process whose event loop is blocked must not take its peers for lost.
 
-The peers run on a loop of their own in another thread, so that they answer while
-the loop under test is held up.
+While the loop is blocked, nothing is sent or read, but timeouts run on. The peers run
+on an event loop in another thread, so that they answer while the loop under test is
+blocked.
 """
 
 from __future__ import annotations
@@ -37,14 +38,14 @@
 
 LIMITS = LinkLimits()
 BLOCKED_S = 0.3
-INTERVAL_S = 0.05  # Four of them are the silence that ends a link: less than LATE_S.
-AGENT_CHECK_INTERVAL_S = 0.25  # Between an agent's looks at its links.
-PROBE_TIMEOUT_S = 0.2  # As by default in the settings of an entry.
+INTERVAL_S = 0.05  # A link closes after 4 silent intervals: less than BLOCKED_S.
+AGENT_CHECK_INTERVAL_S = 0.25  # Interval at which an agent checks its links.
+PROBE_TIMEOUT_S = 0.2  # The default of an entry's settings.
 STAGE = Stage("a1", "127.0.0.1:1", 7, LayerRange(0, 11))
 
 
 class Agent:
-    """An agent that answers probes; a frozen one doesn't."""
+    """An agent that answers probes unless it is frozen."""
 
     def __init__(self, host: str, failure_domain: str) -> None:
         self.hello = Hello(1, "agent", host, STAGE.incarnation, failure_domain, "west")
@@ -73,7 +74,7 @@
 
 
 class AgentThread:
-    """Agents in different failure domains, on a loop and thread of their own."""
+    """Runs agents of different failure domains on an event loop in another thread."""
 
     def __init__(self, hosts: dict[str, str]) -> None:
         self._loop = asyncio.new_event_loop()
@@ -113,7 +114,7 @@
 
 
 class IdleBackend:
-    """A backend server that an agent has nothing to do with yet."""
+    """A backend server without work."""
 
     def report(self) -> BackendReport:
         return BackendReport(available=True, running=0, capacity=8, step_ms=1.0)
@@ -129,7 +130,7 @@
 
 
 class RecordingRequest:
-    """A request in flight, which remembers the hosts it was told are lost."""
+    """A request in flight that records the hosts reported to it as lost."""
 
     def __init__(self) -> None:
         self.lost_hosts: set[str] = set()
@@ -142,15 +143,15 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Give the loop turns until a condition holds."""
+    """Let the event loop run until a condition is true."""
     async with asyncio.timeout(5.0):
-        while not condition():  # noqa: ASYNC110 - conditions of many kinds.
+        while not condition():  # noqa: ASYNC110 - any condition.
             await asyncio.sleep(0)
 
 
 @pytest.fixture
 def agent_thread() -> Iterator[AgentThread]:
-    """Two well agents."""
+    """Two healthy agents in different failure domains."""
     agents = AgentThread({"a1": "hall-a", "b1": "depot-b"})
     yield agents
     agents.stop()
@@ -163,7 +164,7 @@
 
 @pytest.fixture
 async def pool(agent_thread: AgentThread, metrics: Metrics) -> AsyncIterator[AgentPool]:
-    """The links of an entry that routes to both agents."""
+    """The agent pool of an entry, with open links to both agents."""
     agent_pool = AgentPool(
         Hello(1, "entry", "e1", 1, "hall-a", "west"),
         ConfigurationReplica(metrics, lambda: None),
@@ -191,11 +192,10 @@
     return "not linked" if member is None else member.displayed_state
 
 
-# Streams began anew on other hosts, or ended once the retry budget was spent, though
-# all agents were well. Order of events: the entry's loop is held up, so that all its
-# streams look silent; it queues probes; it is held up once more for 0.3 s before they
-# leave. Cause: a probe's 0.2 s begin when it is queued and run on while the entry
-# neither sends nor reads. Evidence: the agent gets the probe after it was given up.
+# The loop is blocked for 0.3 s after a probe is queued and before it is sent. If the
+# probe's timeout of 0.2 s ran on meanwhile, the agent would be suspected before it got
+# the probe. Its streams would restart on other hosts, or fail once the retry budget is
+# exhausted, although all agents are healthy.
 async def test_blocked_loop_before_a_probe_is_sent_loses_no_agent(
     agent_thread: AgentThread,
     pool: AgentPool,
@@ -205,17 +205,17 @@
     probe_task = asyncio.create_task(pool.probe((STAGE,)))
     await wait_until(lambda: metrics.counters["probes"])
     assert not agent_thread.agents["a1"].probed.is_set()
-    time.sleep(BLOCKED_S)  # noqa: ASYNC251 - it is to hold the loop up.
+    time.sleep(BLOCKED_S)  # noqa: ASYNC251 - blocks the loop.
     await probe_task
     assert state_of(pool, "a1") == "serving"
     assert request_in_flight.lost_hosts == set()
 
 
-# The same for users while an entry's own link was full, for instance with a large
-# configuration. Order of events: nothing that anybody sent arrives for 0.3 s; tokens
-# are late; the entry probes; the answers of all agents wait behind what fills the
-# link. Cause: an agent is given up after 0.2 s whether or not any other agent could
-# make itself heard. Evidence: all answers arrive together, 0.1 s after the verdict.
+# The entry's own network link is saturated, for example by a large configuration, so
+# that the probe answers of all agents arrive only after 0.3 s. If an agent were
+# suspected after the timeout of 0.2 s although no other agent's answer had arrived
+# either, the entry would restart healthy streams on other hosts, or fail them once the
+# retry budget is exhausted.
 async def test_late_answers_of_all_agents_lose_no_agent(
     agent_thread: AgentThread, pool: AgentPool, request_in_flight: RecordingRequest
 ) -> None:
@@ -231,7 +231,7 @@
 ) -> None:
     probe_task = asyncio.create_task(pool.probe((STAGE,)))
     await wait_until(agent_thread.agents["a1"].probed.is_set)
-    time.sleep(BLOCKED_S)  # noqa: ASYNC251 - it is to hold the loop up.
+    time.sleep(BLOCKED_S)  # noqa: ASYNC251 - blocks the loop.
     await probe_task
     assert state_of(pool, "a1") == "serving"
     assert request_in_flight.lost_hosts == set()
@@ -258,9 +258,9 @@
 
 
 async def block_loop_after(sleep_s: float) -> None:
-    """Hold the loop up when a timer set now has ended, before its task wakes."""
+    """Block the loop when a timer that starts now fires, before its task resumes."""
     await asyncio.sleep(sleep_s)
-    time.sleep(BLOCKED_S)  # noqa: ASYNC251 - it is to hold the loop up.
+    time.sleep(BLOCKED_S)  # noqa: ASYNC251 - blocks the loop.
 
 
 async def test_blocked_loop_at_an_entrys_link_check_closes_no_link(
@@ -304,7 +304,7 @@
         dial_task = asyncio.create_task(dial(address, hello, int, limits))
         for _ in range(loop_passes):
             await asyncio.sleep(0)
-        time.sleep(BLOCKED_S)  # noqa: ASYNC251 - it is to hold the loop up.
+        time.sleep(BLOCKED_S)  # noqa: ASYNC251 - blocks the loop.
         link = await dial_task
         assert link.peer.name == "a1"
         link.close()
@@ -315,12 +315,12 @@
 
     async def block_loop() -> None:
         await asyncio.sleep(0.17)
-        time.sleep(BLOCKED_S)  # noqa: ASYNC251 - it is to hold the loop up.
+        time.sleep(BLOCKED_S)  # noqa: ASYNC251 - blocks the loop.
         arrived.set()
 
     async def answer() -> str:
         await arrived.wait()
-        for _ in range(5):  # An answer goes through several turns of the loop.
+        for _ in range(5):  # An answer takes several loop iterations.
             await asyncio.sleep(0)
         return "answer"
 
@@ -332,7 +332,7 @@
 async def test_wait_on_a_permanently_slow_loop_times_out() -> None:
     async def block_repeatedly() -> None:
         while True:
-            time.sleep(0.03)  # noqa: ASYNC251 - it is to hold the loop up.
+            time.sleep(0.03)  # noqa: ASYNC251 - blocks the loop.
             await asyncio.sleep(0)
 
     blocker = asyncio.create_task(block_repeatedly())
--- a/tests/unit/test_links.py
+++ b/tests/unit/test_links.py
@@ -1,4 +1,8 @@
-"""Links refuse what they can't read, and batch what they send."""
+"""Links reject malformed input and batch the messages that they send.
+
+A peer that speaks another protocol, sends a malformed frame or stays silent must not
+keep a connection open. One frame per message would waste time on each token.
+"""
 
 from __future__ import annotations
 
@@ -29,7 +33,7 @@
 
 
 class RecordingHandler:
-    """Records what links do."""
+    """A link handler that records the events of its links."""
 
     def __init__(self) -> None:
         self.frames: list[Frame] = []
@@ -56,7 +60,7 @@
 
 
 class Server:
-    """A link server on a free port."""
+    """A link server on a free port of the loopback interface."""
 
     def __init__(self) -> None:
         self.handler = RecordingHandler()
