--- a/src/railfold/_internal/forwarding/servers/answer_header_reader.py
+++ b/src/railfold/_internal/forwarding/servers/answer_header_reader.py
@@ -79,10 +79,10 @@
         self._record_leaving(server_id, head)
 
     def _record_leaving(self, server_id: str, head: ResponseHead) -> None:
-        if not self._dialect.says_leaving(head):
+        if not self._dialect.announces_leaving(head):
             return
         if self._mark_leaving(server_id, _SERVER_CAUSE) and self._channel is not None:
-            self._channel.tell(LeavingNotice(server_id))
+            self._channel.broadcast(LeavingNotice(server_id))
 
     def record_leaving_notice(self, message: LeavingNotice) -> None:
         """Process another entry's notice that a server leaves.
--- a/src/railfold/_internal/forwarding/servers/layer_orders.py
+++ b/src/railfold/_internal/forwarding/servers/layer_orders.py
@@ -15,11 +15,11 @@
 from railfold._internal.decisions.orders import LoadOrder
 from railfold._internal.errors import EngineError, LeaseLostError
 from railfold._internal.forwarding.dialect import (
-    OrderBegun,
+    OrderAccepted,
     OrderFenced,
     OrderOutcome,
+    OrderOutcomeUnknown,
     OrderRefused,
-    OrderUnsettled,
 )
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.servers.engine_calls import EngineCalls
@@ -42,7 +42,7 @@
 
 # Outcome if another incarnation answers: its answer doesn't tell whether the
 # incarnation that the order is meant for executes it.
-_ENGINE_RESTARTED = OrderUnsettled("the engine has started again")
+_ENGINE_RESTARTED = OrderOutcomeUnknown("the engine has started again")
 
 
 class LayerOrders:
@@ -108,13 +108,13 @@
             outcome = await self._send(entry, order)
             self._log_order(entry, order, outcome)
             match outcome:
-                case OrderBegun():
+                case OrderAccepted():
                     self._begun_layers[entry.server_id] = order.layers
                     self._execution_wait_s.pop(entry.server_id, None)
                     await self._wait_until_loaded(entry, order.layers, load_s)
                 case OrderFenced():
                     self._leadership.record_refused_token(order.fencing_token)
-                case OrderRefused() | OrderUnsettled():
+                case OrderRefused() | OrderOutcomeUnknown():
                     pass  # The reconciler gives the order again when it is due.
         finally:
             self._in_progress.discard(entry.server_id)
@@ -155,10 +155,10 @@
         except LeaseLostError as error:
             return OrderRefused(error.what)
         except EngineError as error:
-            return OrderUnsettled(str(error))
+            return OrderOutcomeUnknown(str(error))
         if entry.is_other_incarnation(dialect.decode_started_at_ms(response.body)):
             return _ENGINE_RESTARTED
-        return dialect.order_outcome(response.head)
+        return dialect.classify_order_answer(response.head)
 
     def _record_executing(self, server_id: str) -> None:
         last_wait_s = self._execution_wait_s.get(server_id)
@@ -193,11 +193,11 @@
 
 def _outcome_text(outcome: OrderOutcome) -> str:
     match outcome:
-        case OrderBegun():
+        case OrderAccepted():
             return "begun"
         case OrderFenced():
             return "fenced"
         case OrderRefused(reason=reason):
             return f"refused: {reason}"
-        case OrderUnsettled(reason=reason):
+        case OrderOutcomeUnknown(reason=reason):
             return f"no answer: {reason}"
--- a/src/railfold/_internal/forwarding/store/feeds.py
+++ b/src/railfold/_internal/forwarding/store/feeds.py
@@ -1,4 +1,4 @@
-"""Taking what the store says into what an entry knows."""
+"""Readers of the store's streams, which update the state of an entry."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 )
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.store.shared_records import (
-    KEY_NAME,
+    PEER_KEY_RECORD,
     decode_hold,
-    decode_key,
+    decode_peer_key,
 )
 from railfold._internal.observability.events import (
     ConfigurationAccepted,
@@ -33,20 +33,20 @@
 
 __all__ = ["ConfigurationFeed", "QuarantineFeed", "RegistrationFeed"]
 
-# Records that name no backend server are remembered up to this many, so that a flood
-# of them takes little memory and few log lines.
-_REFUSED_KEPT = 1000
+# Limits how many ids of refused registrations are remembered, so that many such records
+# take little memory and few log lines.
+_MAX_REFUSED_IDS = 1000
 
-# Of an id that somebody else wrote, so much stands in the logs.
-_ID_SHOWN = 128
+# Ids in records are written by others and may be long; this many characters are logged.
+_MAX_LOGGED_ID_LENGTH = 128
 
-# A registration that nobody renews has lapsed by then: after three heartbeats, and at
-# most about two seconds more after the store was away.
-_LAPSED_S = 6.0
+# A registration that isn't renewed lapses within this time: after three heartbeats, and
+# up to about two seconds later after an outage of the store.
+_REGISTRATION_LAPSE_S = 6.0
 
 
 class ConfigurationFeed:
-    """Reads the configuration: the newest version wins, and none goes back."""
+    """Reads the configuration and applies each version that is newer than the last."""
 
     def __init__(
         self,
@@ -59,19 +59,19 @@
         self._key = key
         self._decode = decode
         self._on_accepted = on_accepted
-        self._next = NEWEST_OF_EACH_KEY
-        # The newest version that was read since the stream was read anew.
+        self._next_offset = NEWEST_OF_EACH_KEY
+        # The newest version read since the stream was last read from its start.
         self._read_version = 0
-        # The newest that another entry has read.
-        self.version_elsewhere = 0
+        # The newest version that another entry is known to have read.
+        self.newest_peer_version = 0
 
     def next_offset(self) -> int:
         """Return the offset to read from."""
-        return self._next
+        return self._next_offset
 
     def record(self, record: LogRecord) -> None:
-        """Take one record."""
-        self._next = record.offset + 1
+        """Process one record."""
+        self._next_offset = record.offset + 1
         item: KeyedValue = record.body
         if item.key != self._key or not item.value:
             return
@@ -104,156 +104,173 @@
         self._on_accepted(table)
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
-        """All that was in force when the read was sent is known.
+        """Renew the proof that the known configuration is in force.
 
-        Unless the log went back, and holds an older configuration than is known: what
-        else it lacks isn't known either.
+        It was in force when the read was sent. If the log was restored from an older
+        copy and contains an older configuration than the known one, the read proves
+        nothing, since other changes may be missing too.
         """
-        self._next = next_offset
+        self._next_offset = next_offset
         if not self.lacks_newest:
             self._router.lease.renew(sent_s)
 
     @property
     def lacks_newest(self) -> bool:
-        """Whether this or another entry knows a newer configuration than was read."""
+        """Whether a newer version than the last one read is known here or elsewhere."""
         table = self._router.table
         known = table.version if table is not None else 0
-        return self._read_version < max(known, self.version_elsewhere)
+        return self._read_version < max(known, self.newest_peer_version)
 
     @property
-    def newer_elsewhere(self) -> bool:
-        """Whether another entry knows a newer configuration."""
+    def peer_has_newer(self) -> bool:
+        """Whether another entry knows a newer version than this one."""
         table = self._router.table
-        return table is None or table.version < self.version_elsewhere
+        return table is None or table.version < self.newest_peer_version
 
     def expired(self, first_offset: int) -> int:
-        """History is gone: take the newest record of each key."""
-        self._next = NEWEST_OF_EACH_KEY
+        """Read the newest record of each key, since earlier records have expired."""
+        self._next_offset = NEWEST_OF_EACH_KEY
         self._read_version = 0
         return NEWEST_OF_EACH_KEY
 
 
 class RegistrationFeed:
-    """Reads the backend servers' registrations.
+    """Reads the backend servers' registrations into the directory.
 
-    :param on_copy: called when a whole copy of them has been taken.
+    It first reads a snapshot, which is the newest record of each key, and then the
+    records that follow it. It reads another snapshot when it has missed records.
+
+    :param on_snapshot: called when a snapshot has been applied.
     """
 
     def __init__(
         self,
         router: Router,
         decode: Callable[[str, bytes], Registration],
-        on_copy: Callable[[], None],
+        on_snapshot: Callable[[], None],
     ) -> None:
         self._router = router
         self._decode = decode
-        self._on_copy = on_copy
-        self._next = NEWEST_OF_EACH_KEY
-        self._copy: dict[str, Registration] | None = {}
-        # Registered ids whose newest record names no backend server to use.
-        self._refused: set[str] = set()
-        # Whether the next whole copy is of before what was known last.
-        self._went_back = False
-        # What such a copy holds of servers that were seen to leave.
-        self._left: dict[str, Registration] = {}
-        self._left_due_s = 0.0
+        self._on_snapshot = on_snapshot
+        self._next_offset = NEWEST_OF_EACH_KEY
+        self._snapshot: dict[str, Registration] | None = {}
+        # Registered ids whose newest record describes no usable backend server.
+        self._refused_ids: set[str] = set()
+        # Whether the next snapshot may be older than the known registrations.
+        self._log_restored = False
+        # Registrations in such a snapshot whose servers had left before.
+        self._departed: dict[str, Registration] = {}
+        self._departed_due_s = 0.0
 
     def next_offset(self) -> int:
         """Return the offset to read from."""
-        return self._next
+        return self._next_offset
 
     def record(self, record: LogRecord) -> None:
-        """Take one record."""
-        self._next = record.offset + 1
+        """Process one record."""
+        self._next_offset = record.offset + 1
         item: KeyedValue = record.body
-        self._left.pop(item.key, None)
+        self._departed.pop(item.key, None)
         if not item.value:
-            self._refused.discard(item.key)
+            self._refused_ids.discard(item.key)
             self._remove(item.key)
             return
         try:
             registration = self._decode(item.key, item.value)
         except RailfoldError as error:
-            self._refuse(item.key, error)
+            self._refuse_registration(item.key, error)
             return
-        self._refused.discard(item.key)
-        if self._copy is not None:
-            self._copy[registration.registered_id] = registration
+        self._refused_ids.discard(item.key)
+        if self._snapshot is not None:
+            self._snapshot[registration.registered_id] = registration
         else:
             self._register(registration)
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
-        """All registrations there are have been given."""
-        self._next = next_offset
+        """Apply the snapshot, if one was read."""
+        self._next_offset = next_offset
         now_s = asyncio.get_running_loop().time()
-        if self._copy is None:
-            self._take_left(now_s)
+        if self._snapshot is None:
+            self._register_departed(now_s)
             return
-        copy, self._copy = self._copy, None
-        if self._went_back:
-            self._pass_over_left(copy, now_s)
+        snapshot, self._snapshot = self._snapshot, None
+        if self._log_restored:
+            self._exclude_departed(snapshot, now_s)
         known = [e.registration.registered_id for e in self._router.directory]
         for registered_id in known:
-            if registered_id in self._refused:
+            if registered_id in self._refused_ids:
                 self._router.directory.withdraw(registered_id)
-            elif registered_id not in copy:
+            elif registered_id not in snapshot:
                 self._remove(registered_id)
-        for registration in copy.values():
+        for registration in snapshot.values():
             self._register(registration)
         self._router.directory.expire(now_s)
-        self._on_copy()
+        self._on_snapshot()
 
     def expired(self, first_offset: int) -> int:
-        """History is gone: take a whole copy."""
-        self._next = NEWEST_OF_EACH_KEY
-        self._copy = {}
-        self._refused = set()
+        """Read a snapshot, since earlier records have expired."""
+        self._next_offset = NEWEST_OF_EACH_KEY
+        self._snapshot = {}
+        self._refused_ids = set()
         return NEWEST_OF_EACH_KEY
 
-    def log_went_back(self) -> None:
-        """The log came back from an older copy; the next whole copy is of that."""
-        self._went_back = True
+    def log_restored(self) -> None:
+        """Expect an older snapshot, since the log was restored from an older copy."""
+        self._log_restored = True
 
-    def _pass_over_left(self, copy: dict[str, Registration], now_s: float) -> None:
-        """Pass over servers of an older copy that were seen to leave since.
+    def _exclude_departed(
+        self, snapshot: dict[str, Registration], now_s: float
+    ) -> None:
+        """Exclude servers from an older snapshot that have left since.
 
-        One that does live is taken once it is written again, or if its registration
-        hasn't lapsed by the time at which that of a dead one has.
+        A server that is still running is registered once its registration is written
+        again, or if the registration hasn't lapsed by the time at which the one of a
+        stopped server would have.
         """
-        self._went_back = False
+        self._log_restored = False
         directory = self._router.directory
-        self._left = {i: r for i, r in copy.items() if directory.has_left(r)}
-        self._left_due_s = now_s + _LAPSED_S
-        for registered_id in self._left:
+        self._departed = {i: r for i, r in snapshot.items() if directory.has_left(r)}
+        self._departed_due_s = now_s + _REGISTRATION_LAPSE_S
+        for registered_id in self._departed:
             if directory.get_by_registered_id(registered_id) is None:
-                del copy[registered_id]
+                del snapshot[registered_id]
             else:
-                copy[registered_id] = replace(copy[registered_id], draining=True)
+                snapshot[registered_id] = replace(
+                    snapshot[registered_id], draining=True
+                )
 
-    def _take_left(self, now_s: float) -> None:
-        if not self._left or now_s < self._left_due_s:
+    def _register_departed(self, now_s: float) -> None:
+        """Register excluded servers whose registrations should have lapsed by now."""
+        if not self._departed or now_s < self._departed_due_s:
             return
-        left, self._left = self._left, {}
-        for registered_id, registration in left.items():
+        departed, self._departed = self._departed, {}
+        for registered_id, registration in departed.items():
             if self._router.directory.get_by_registered_id(registered_id) is None:
                 self._register(registration)
 
-    def _refuse(self, registered_id: str, error: RailfoldError) -> None:
-        """Take a record that names no backend server to use.
+    def _refuse_registration(self, registered_id: str, error: RailfoldError) -> None:
+        """Withdraw the server of a record that describes no usable backend server.
 
-        The same holds in a whole copy and behind it, so that entries that read it at
-        different times agree.
+        The result is the same whether the record is part of a snapshot or follows it,
+        so that entries that read it at different times agree.
         """
         self._router.metrics.count("registrations.refused")
-        if self._copy is not None:
-            self._copy.pop(registered_id, None)
+        if self._snapshot is not None:
+            self._snapshot.pop(registered_id, None)
         else:
             self._router.directory.withdraw(registered_id)
-        if registered_id in self._refused or len(self._refused) >= _REFUSED_KEPT:
-            return  # One line a change: whoever writes such records may write many.
-        self._refused.add(registered_id)
+        if (
+            registered_id in self._refused_ids
+            or len(self._refused_ids) >= _MAX_REFUSED_IDS
+        ):
+            return  # Log once per change; there may be many such records.
+        self._refused_ids.add(registered_id)
         self._router.log.write(
-            EngineChanged(registered_id[:_ID_SHOWN], "registration refused", str(error))
+            EngineChanged(
+                registered_id[:_MAX_LOGGED_ID_LENGTH],
+                "registration refused",
+                str(error),
+            )
         )
 
     def _register(self, registration: Registration) -> None:
@@ -262,91 +279,93 @@
         if known is not None and known.registration == registration:
             known.removal_due_s = None
             return
-        taken = directory.register(registration)
-        if taken.entry is None:
+        result = directory.register(registration)
+        if result.entry is None:
             self._router.metrics.count("registrations.outdated")
             return
-        self._router.avoidance.readmit(taken.entry.server_id)
+        self._router.avoidance.readmit(result.entry.server_id)
         self._router.log.write(
             EngineChanged(
-                taken.entry.server_id,
-                "draining" if taken.entry.draining else "serving",
+                result.entry.server_id,
+                "draining" if result.entry.draining else "serving",
                 "registered",
                 str(registration.layers) if registration.layers else "",
             )
         )
-        if taken.ended:
-            self._router.report_ended(frozenset(taken.ended))
+        if result.ended:
+            self._router.report_ended(frozenset(result.ended))
 
     def _remove(self, registered_id: str) -> None:
-        if self._copy is not None:
-            self._copy.pop(registered_id, None)
+        if self._snapshot is not None:
+            self._snapshot.pop(registered_id, None)
         directory = self._router.directory
         entry = directory.get_by_registered_id(registered_id)
         directory.remove(registered_id, asyncio.get_running_loop().time())
         state = "removed"
         if directory.get_by_registered_id(registered_id) is not None:
             state = "removal waits"
-        name = entry.server_id if entry is not None else registered_id[:_ID_SHOWN]
+        name = (
+            entry.server_id
+            if entry is not None
+            else registered_id[:_MAX_LOGGED_ID_LENGTH]
+        )
         self._router.log.write(EngineChanged(name, state, "registration removed"))
 
 
 class QuarantineFeed:
-    """Reads what entries recorded of requests that are held back.
+    """Reads entries' records about request contents that are held back.
 
-    :param on_key: takes the key that all entries share.
-    :param on_known: called when all records were read once.
+    :param on_peer_key: called with the key that all entries share.
+    :param on_loaded: called once, when all records have been read.
     """
 
     def __init__(
         self,
         quarantine: RequestQuarantine,
-        on_key: Callable[[bytes], None],
-        on_known: Callable[[], None],
+        on_peer_key: Callable[[bytes], None],
+        on_loaded: Callable[[], None],
     ) -> None:
         self._quarantine = quarantine
-        self._on_key = on_key
-        self._on_known = on_known
-        self._next = NEWEST_OF_EACH_KEY
-        self._known = False
-        self._has_key = False
+        self._on_peer_key = on_peer_key
+        self._on_loaded = on_loaded
+        self._next_offset = NEWEST_OF_EACH_KEY
+        self._loaded = False
+        self._has_peer_key = False
 
     def next_offset(self) -> int:
         """Return the offset to read from."""
-        return self._next
+        return self._next_offset
 
     def record(self, record: LogRecord) -> None:
-        """Take one record."""
-        self._next = record.offset + 1
+        """Process one record."""
+        self._next_offset = record.offset + 1
         item: KeyedValue = record.body
         try:
-            self._take(item)
+            self._apply(item)
         except PeerMessageError as error:
-            name = item.key[:_ID_SHOWN]
-            logging.warning(
-                "record %r of the quarantine is passed over: %s", name, error
-            )
+            name = item.key[:_MAX_LOGGED_ID_LENGTH]
+            logging.warning("ignoring quarantine record %r: %s", name, error)
 
-    def _take(self, item: KeyedValue) -> None:
-        if item.key == KEY_NAME:
-            self._on_key(decode_key(item.value))
-            self._has_key = True
+    def _apply(self, item: KeyedValue) -> None:
+        if item.key == PEER_KEY_RECORD:
+            self._on_peer_key(decode_peer_key(item.value))
+            self._has_peer_key = True
         elif item.value:
             self._quarantine.record_read(item.key, decode_hold(item.value))
         else:
             self._quarantine.record_removed(item.key)
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
-        """All that was recorded when the read was sent is known."""
-        self._next = next_offset
-        if not self._has_key:
+        """Report that all records were read, and whether the shared key is missing."""
+        self._next_offset = next_offset
+        if not self._has_peer_key:
             self._quarantine.key_missing(next_offset)
-        if not self._known:
-            self._known = True
-            self._on_known()
+        if not self._loaded:
+            self._loaded = True
+            self._on_loaded()
 
     def expired(self, first_offset: int) -> int:
-        """History is gone: take the newest record of each key."""
-        self._next = NEWEST_OF_EACH_KEY
-        self._has_key = False
+        """Read the newest record of each key, since earlier records have expired."""
+        self._next_offset = NEWEST_OF_EACH_KEY
+        self._has_peer_key = False
         return NEWEST_OF_EACH_KEY
--- a/tests/forwarding/test_deregistered_during_outage.py
+++ b/tests/forwarding/test_deregistered_during_outage.py
@@ -17,7 +17,7 @@
     deployment: Deployment,
 ) -> None:
     """The other engines, which are still registered, serve the requests."""
-    engine = deployment.first_engines[0]
+    engine = deployment.first_stage_engines[0]
     entry = deployment.entry
     deployment.store.mode = "out"
     await until(lambda: not entry._store_reachable.is_set())
--- a/tests/forwarding/test_requests.py
+++ b/tests/forwarding/test_requests.py
@@ -20,19 +20,19 @@
     MODEL_SERVICE,
     Deployment,
     configuration,
-    events_of,
     routes,
-    runs,
+    run_count,
+    stream_body,
     until,
 )
 
 
 async def test_a_stream_passes_through_a_chain(deployment: Deployment) -> None:
     reply = await deployment.ask("/draft/1", "s-1", events=12)
-    assert (reply.status, reply.whole) == (200, True)
-    assert reply.body == events_of(12)
+    assert (reply.status, reply.complete) == (200, True)
+    assert reply.body == stream_body(12)
     assert reply.headers["Railfold-Response-Seal"] == SEAL
-    assert runs(deployment, "s-1") == 1
+    assert run_count(deployment, "s-1") == 1
 
 
 async def test_a_chain_stays_within_one_failure_domain(deployment: Deployment) -> None:
@@ -76,7 +76,7 @@
 ) -> None:
     reply = await deployment.ask(path, "c-1", key=key)
     assert reply.status == status
-    assert runs(deployment, "c-1") == 0
+    assert run_count(deployment, "c-1") == 0
 
 
 async def test_a_request_refused_by_one_server_runs_on_another(
@@ -86,7 +86,7 @@
     for number in range(6):
         reply = await deployment.ask("/slip/1", f"c-{number}")
         assert reply.status == 200
-        assert runs(deployment, f"c-{number}") == 1
+        assert run_count(deployment, f"c-{number}") == 1
 
 
 async def test_clients_get_503_if_all_servers_refuse(deployment: Deployment) -> None:
@@ -95,7 +95,7 @@
     reply = await deployment.ask("/slip/1", "c-1")
     assert reply.status == 503
     assert float(reply.headers["Retry-After"]) > 0
-    assert runs(deployment, "c-1") == 0
+    assert run_count(deployment, "c-1") == 0
 
 
 async def test_an_unrepeatable_call_whose_answer_is_lost_runs_once(
@@ -106,7 +106,7 @@
     reply = await deployment.ask("/slip/1", "c-1")
     assert reply.status == 502
     assert "Retry-After" not in reply.headers
-    assert runs(deployment, "c-1") == 1
+    assert run_count(deployment, "c-1") == 1
 
 
 async def test_a_safe_call_whose_answer_is_lost_is_repeated(
@@ -199,7 +199,7 @@
 
 async def test_metrics_are_served(deployment: Deployment) -> None:
     await deployment.ask("/draft/1", "s-1")
-    metrics = deployment.settings.metrics
+    metrics = deployment.settings.metrics_address
     assert metrics is not None
     url = f"http://{metrics}/metrics"
     text = await asyncio.to_thread(lambda: urllib.request.urlopen(url).read().decode())
@@ -222,7 +222,7 @@
     )
     await until(lambda: deployment.entry.router.table.version == 2)
     await deployment.ask("/draft/1", "r-1", events=2)
-    (seen,) = [h for e in deployment.first_engines for h in e.seen]
+    (seen,) = [h for e in deployment.first_stage_engines for h in e.seen]
     assert seen["Railfold-Request-Priority"] == engine
 
 
--- a/tests/functional/test_engine_orders.py
+++ b/tests/functional/test_engine_orders.py
@@ -71,10 +71,10 @@
     two_engines: Cluster,
 ) -> None:
     caller = StreamCaller(two_engines.callers_url(), "unit 1", 1000)
-    caller.wait_tokens(3)
+    caller.wait_for_tokens(3)
     publish_version(two_engines, "2")
     assert not caller.outcome, "the answer ended before the change"
-    caller.assert_whole()
+    caller.assert_complete()
     assert caller.outcome["attempts"] == 1
     wait_for_version(two_engines, "2")
     assert [engine_status(two_engines, host)["loads"] for host in HOSTS] == [1, 1]
--- a/tests/functional/test_recovery.py
+++ b/tests/functional/test_recovery.py
@@ -19,7 +19,7 @@
 
 def start_stream(cluster: Cluster, prompt: str = "unit 7") -> StreamCaller:
     caller = StreamCaller(cluster.callers_url(), prompt, TOKENS)
-    caller.wait_tokens(3)
+    caller.wait_for_tokens(3)
     return caller
 
 
@@ -27,7 +27,7 @@
     caller = start_stream(spare_cluster)
     middle_host = serving_hosts(spare_cluster)[1]
     spare_cluster.processes[f"agent-{middle_host}"].kill()
-    caller.assert_whole()
+    caller.assert_complete()
     assert caller.outcome["attempts"] == 2
 
 
@@ -35,21 +35,21 @@
     caller = start_stream(spare_cluster)
     last_host = serving_hosts(spare_cluster)[2]
     spare_cluster.processes[f"engine-{last_host}"].kill()
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answer_continues_after_its_agent_freezes(spare_cluster: Cluster) -> None:
     caller = start_stream(spare_cluster)
     first_host = serving_hosts(spare_cluster)[0]
     spare_cluster.processes[f"agent-{first_host}"].freeze()
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answer_continues_after_its_engine_freezes(spare_cluster: Cluster) -> None:
     caller = start_stream(spare_cluster)
     middle_host = serving_hosts(spare_cluster)[1]
     post(f"{spare_cluster.engine_url(middle_host)}/control/freeze", {})
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answer_continues_after_its_engine_loses_its_caches(
@@ -58,7 +58,7 @@
     caller = start_stream(spare_cluster)
     middle_host = serving_hosts(spare_cluster)[1]
     post(f"{spare_cluster.engine_url(middle_host)}/control/restart", {})
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answer_continues_after_an_answer_of_an_engine_is_lost(
@@ -68,7 +68,7 @@
     caller = start_stream(spare_cluster)
     middle_host = serving_hosts(spare_cluster)[1]
     post(f"{spare_cluster.engine_url(middle_host)}/control/drop", {})
-    caller.assert_whole()
+    caller.assert_complete()
     assert caller.outcome["attempts"] == 2
 
 
@@ -79,7 +79,7 @@
     hosts = serving_hosts(spare_cluster)
     for host in (hosts[0], hosts[2]):
         spare_cluster.processes[f"agent-{host}"].kill()
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answers_continue_after_a_failure_domain_is_lost(
@@ -91,7 +91,7 @@
             spare_cluster.processes[f"agent-{host.host}"].kill()
             spare_cluster.processes[f"engine-{host.host}"].kill()
     for caller in callers:
-        caller.assert_whole()
+        caller.assert_complete()
 
 
 def test_answer_continues_while_the_log_is_unavailable(spare_cluster: Cluster) -> None:
@@ -99,7 +99,7 @@
     caller = start_stream(spare_cluster)
     middle_host = serving_hosts(spare_cluster)[1]
     spare_cluster.processes[f"agent-{middle_host}"].kill()
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_resumed_agent_serves_new_requests(spare_cluster: Cluster) -> None:
@@ -107,16 +107,16 @@
     middle_host = serving_hosts(spare_cluster)[1]
     agent = spare_cluster.processes[f"agent-{middle_host}"]
     agent.freeze()
-    caller.assert_whole()
+    caller.assert_complete()
     agent.thaw()
     spare_cluster.wait_until(lambda: spare_cluster.serving() == 6, "six agents")
     second_caller = start_stream(spare_cluster, "unit 8")
-    second_caller.assert_whole()
+    second_caller.assert_complete()
 
 
 def test_request_without_a_spare_stage_fails_at_once(cluster: Cluster) -> None:
     caller = StreamCaller(cluster.callers_url(), "unit 9", 5000)
-    caller.wait_tokens(3)
+    caller.wait_for_tokens(3)
     cluster.processes["agent-meter-b1"].kill()
     caller.finish()
     assert caller.outcome["outcome"] == "failed"
