--- a/src/railfold/_internal/agent/links.py
+++ b/src/railfold/_internal/agent/links.py
@@ -90,7 +90,7 @@
 
     def frame_received(self, link: Link, frame: Frame) -> None:
         """Take a frame."""
-        self._replica.frame(link, frame)
+        self._replica.handle_frame(link, frame)
         for message in frame.messages:
             match message:
                 case Probe():
--- a/src/railfold/_internal/commands/forward.py
+++ b/src/railfold/_internal/commands/forward.py
@@ -64,7 +64,7 @@
     source: SettingsSource, loaded: PlatformSettings, listeners: Listeners
 ) -> None:
     from railfold._internal.forwarding.process import run_forwarding_entry
-    from railfold._internal.platform.adapter import UsersPlatform
+    from railfold._internal.platform.adapter import MetadataStorePlatform
 
-    adapter = UsersPlatform(loaded.store, loaded.store_partitions)
+    adapter = MetadataStorePlatform(loaded.store, loaded.store_partitions)
     await run_forwarding_entry(loaded.forwarding, adapter, source, listeners)
--- a/src/railfold/_internal/commands/held.py
+++ b/src/railfold/_internal/commands/held.py
@@ -15,7 +15,7 @@
     HoldRecord,
     decode_hold,
 )
-from railfold._internal.platform.adapter import UsersPlatform
+from railfold._internal.platform.adapter import MetadataStorePlatform
 from railfold._internal.platform.settings import load_platform_settings, settings_path
 from railfold._internal.store.records import NEWEST_OF_EACH_KEY
 
@@ -62,12 +62,12 @@
     click.echo(f"{content}: lifted")
 
 
-def _platform(settings: Path | None) -> UsersPlatform:
+def _platform(settings: Path | None) -> MetadataStorePlatform:
     loaded = load_platform_settings(settings or settings_path())
-    return UsersPlatform(loaded.store, loaded.store_partitions)
+    return MetadataStorePlatform(loaded.store, loaded.store_partitions)
 
 
-async def _read(platform: UsersPlatform) -> list[_Held]:
+async def _read(platform: MetadataStorePlatform) -> list[_Held]:
     page = await platform.new_log().read(
         platform.quarantine_stream, NEWEST_OF_EACH_KEY, 0.0
     )
@@ -83,7 +83,7 @@
     return found
 
 
-async def _lift(platform: UsersPlatform, content: str) -> None:
+async def _lift(platform: MetadataStorePlatform, content: str) -> None:
     """Take a content's record away; entries read that at once.
 
     :raises RequestNotHeldError: there is none.
--- a/src/railfold/_internal/configuration/replica.py
+++ b/src/railfold/_internal/configuration/replica.py
@@ -31,9 +31,9 @@
 
 __all__ = ["ConfigurationReplica"]
 
-_ASK_TIMEOUT_S = 2.0
+_SNAPSHOT_TIMEOUT_S = 2.0
 
-_RECORD = msgspec.json.Decoder(ConfigurationRecord)
+_RECORD_DECODER = msgspec.json.Decoder(ConfigurationRecord)
 
 
 class ConfigurationReplica:
@@ -46,8 +46,8 @@
         self.configuration = Configuration()
         self._metrics = metrics
         self._on_change = on_change
-        self._asked_link: Link | None = None
-        self._asked_s = 0.0
+        self._requested_link: Link | None = None
+        self._requested_s = 0.0
 
     @property
     def version(self) -> int:
@@ -56,9 +56,9 @@
 
     def fold(self, offset: int, appended_s: float, data: bytes) -> None:
         """Fold one log record, given as JSON."""
-        before = self.version
+        previous_version = self.version
         try:
-            record = _RECORD.decode(data)
+            record = _RECORD_DECODER.decode(data)
         except msgspec.MsgspecError:
             # Not a record of ours, or of a later release: all processes skip it.
             self._metrics.count("configuration.unreadable_records")
@@ -75,9 +75,9 @@
                 entry.verdict.value,
                 "; ".join(entry.reasons),
             )
-        self._after(before)
+        self._report_change(previous_version)
 
-    def frame(self, link: Link, frame: Frame) -> None:
+    def handle_frame(self, link: Link, frame: Frame) -> None:
         """Take what a frame says of the configuration."""
         for message in frame.messages:
             match message:
@@ -85,7 +85,7 @@
                     if message.previous == self.configuration.next_offset:
                         self.fold(message.offset, message.appended_s, message.record)
                 case ConfigurationSnapshot():
-                    self._asked_link = None
+                    self._requested_link = None
                     self._restore(link, message)
                 case ConfigurationRequest(version=version):
                     if version < self.version:
@@ -93,12 +93,12 @@
                 case _:
                     pass
         if frame.configuration_version > self.version:
-            self._ask(link)
+            self._request_snapshot(link)
 
     def link_down(self, link: Link) -> None:
         """Forget what was asked of a peer whose link ended."""
-        if self._asked_link is link:
-            self._asked_link = None
+        if self._requested_link is link:
+            self._requested_link = None
 
     def snapshot(self) -> ConfigurationSnapshot:
         """Return this process's copy as a message."""
@@ -110,12 +110,15 @@
             state,
         )
 
-    def _ask(self, link: Link) -> None:
+    def _request_snapshot(self, link: Link) -> None:
         # One peer at a time: a copy is large, and all peers have the same.
         now_s = asyncio.get_running_loop().time()
-        if self._asked_link is not None and now_s - self._asked_s < _ASK_TIMEOUT_S:
+        if (
+            self._requested_link is not None
+            and now_s - self._requested_s < _SNAPSHOT_TIMEOUT_S
+        ):
             return
-        self._asked_link, self._asked_s = link, now_s
+        self._requested_link, self._requested_s = link, now_s
         link.send(ConfigurationRequest(self.version))
 
     def _restore(self, link: Link, message: ConfigurationSnapshot) -> None:
@@ -127,16 +130,16 @@
 
     def restore_state(self, state: dict[str, object], next_offset: int) -> None:
         """Take over a peer's or checkpoint's state if it is newer."""
-        before = self.version
+        previous_version = self.version
         try:
             self.configuration.restore(state, next_offset)
         except ConfigurationRefusedError as error:
             self._metrics.count("configuration.snapshots_refused")
             logging.error("a configuration snapshot is refused: %s", error)
             return
-        self._after(before)
+        self._report_change(previous_version)
 
-    def _after(self, before: int) -> None:
-        if self.version > before:
+    def _report_change(self, previous_version: int) -> None:
+        if self.version > previous_version:
             self._metrics.gauge("configuration.version", self.version)
             self._on_change()
--- a/src/railfold/_internal/configuration/scanner.py
+++ b/src/railfold/_internal/configuration/scanner.py
@@ -35,18 +35,18 @@
     def __init__(self, replica: ConfigurationReplica, metrics: Metrics) -> None:
         self._replica = replica
         self._metrics = metrics
-        self._first_kept = 0
+        self._first_kept_offset = 0
         self._scan_offset = 0
 
     @property
     def in_gap(self) -> bool:
         """Whether records that weren't folded have expired."""
-        return self._replica.configuration.next_offset < self._first_kept
+        return self._replica.configuration.next_offset < self._first_kept_offset
 
     def next_offset(self) -> int:
         """Return the offset to read from."""
         if self.in_gap:
-            return max(self._scan_offset, self._first_kept)
+            return max(self._scan_offset, self._first_kept_offset)
         return self._replica.configuration.next_offset
 
     def expired(self, first_offset: int) -> int:
@@ -54,14 +54,14 @@
 
         :returns: the offset to go on from.
         """
-        self._first_kept = first_offset
+        self._first_kept_offset = first_offset
         self._scan_offset = first_offset
         return self.next_offset()
 
     def record(self, record: LogRecord) -> FoldedRecord | None:
         """Take one record; return it if it was folded."""
         data = msgspec.json.encode(record.body)
-        checkpoint = _as_checkpoint(data)
+        checkpoint = _decode_checkpoint(data)
         if self.in_gap:
             self._scan_offset = record.offset + 1
             if checkpoint is not None:
@@ -76,8 +76,8 @@
     def _restore(self, checkpoint: CheckpointRecord) -> None:
         state = msgspec.json.encode(checkpoint.state, order="sorted")
         next_offset = checkpoint.covers_offset + 1
-        usable = next_offset >= self._first_kept
-        if state_digest(state) != checkpoint.digest or not usable:
+        closes_gap = next_offset >= self._first_kept_offset
+        if state_digest(state) != checkpoint.digest or not closes_gap:
             self._metrics.count("configuration.checkpoints_refused")
             logging.error(
                 "checkpoint by %s (covers %d) is refused",
@@ -89,7 +89,7 @@
         self._replica.restore_state(checkpoint.state, next_offset)
 
 
-def _as_checkpoint(data: bytes) -> CheckpointRecord | None:
+def _decode_checkpoint(data: bytes) -> CheckpointRecord | None:
     try:
         return msgspec.json.decode(data, type=CheckpointRecord)
     except msgspec.MsgspecError:
--- a/src/railfold/_internal/entry/agents.py
+++ b/src/railfold/_internal/entry/agents.py
@@ -230,7 +230,7 @@
                         driver.message(link.peer.name, message)
                 case _:
                     pass
-        self._replica.frame(link, frame)
+        self._replica.handle_frame(link, frame)
 
     def _heartbeat(self, link: Link, message: Heartbeat) -> None:
         self.entries = max(1, message.entries)
--- a/src/railfold/_internal/entry/claims.py
+++ b/src/railfold/_internal/entry/claims.py
@@ -18,7 +18,7 @@
 )
 from railfold._internal.errors import LogUnavailableError
 from railfold._internal.observability.metrics import Metrics
-from railfold._internal.store.claim_records import claim_from_log, claim_to_log
+from railfold._internal.store.claim_records import decode_claim, encode_claim
 from railfold._internal.store.follower import SettlingAppender
 from railfold._internal.store.records import LogRecord
 
@@ -54,7 +54,7 @@
     def record(self, record: LogRecord) -> None:
         """Fold one record."""
         try:
-            write_id, claim = claim_from_log(record.body)
+            write_id, claim = decode_claim(record.body)
         except msgspec.ValidationError:
             self._metrics.count("claims.unreadable_records")
             self._ledger.skip_to(record.offset + 1)
@@ -119,11 +119,11 @@
 
     async def _append(self, record: ClaimRecord, timeout_s: float) -> None:
         write_id = uuid.uuid4().hex
-        await self._appender.append(write_id, claim_to_log(write_id, record), timeout_s)
+        await self._appender.append(write_id, encode_claim(write_id, record), timeout_s)
 
     def _append_later(self, record: ClaimRecord) -> None:
         write_id = uuid.uuid4().hex
-        self._appender.append_later(write_id, claim_to_log(write_id, record))
+        self._appender.append_nowait(write_id, encode_claim(write_id, record))
 
     def _abandon(self, write: ClaimWrite) -> None:
         self._metrics.count("claims.abandoned")
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -385,7 +385,7 @@
 
     def _on_proof_failure(self) -> None:
         """End the waiting read, so that an outage of the store is detected at once."""
-        self._configuration.give_up_waiting()
+        self._configuration.cancel_waiting_read()
 
     def _on_store_lost(self, error: LogUnavailableError) -> None:
         self._store_reachable.clear()
--- a/src/railfold/_internal/platform/adapter.py
+++ b/src/railfold/_internal/platform/adapter.py
@@ -9,10 +9,10 @@
 from railfold._internal.platform.dialect import PlatformDialect
 from railfold._internal.platform.store import DutyLease, GroupLease, KeyedLog
 
-__all__ = ["UsersPlatform"]
+__all__ = ["MetadataStorePlatform"]
 
 
-class UsersPlatform:
+class MetadataStorePlatform:
     """What the forwarding entry needs of the users' platform."""
 
     configuration_stream = "keyed.op"
@@ -22,21 +22,21 @@
     entries_stream = "keyed.railfold-entries"
 
     def __init__(self, store: Address, partitions: int) -> None:
-        self._store = store
+        self._store_address = store
         self._partitions = partitions
         self.dialect = PlatformDialect()
 
     def new_log(self) -> KeyedLog:
         """Return a new client of the store's log."""
-        return KeyedLog(self._store)
+        return KeyedLog(self._store_address)
 
     def new_member_client(self, duty: str) -> GroupLease:
         """Return a client of the group of all entries, which names candidates."""
-        return GroupLease(self._store, duty, self._partitions)
+        return GroupLease(self._store_address, duty, self._partitions)
 
     def new_lease_client(self, duty: str) -> DutyLease:
         """Return a client for the lease of a duty."""
-        return DutyLease(self._store, duty, self._partitions)
+        return DutyLease(self._store_address, duty, self._partitions)
 
     def decode_configuration(self, value: bytes) -> RoutingTable:
         """Return a configuration."""
--- a/src/railfold/_internal/platform/answer_headers.py
+++ b/src/railfold/_internal/platform/answer_headers.py
@@ -10,10 +10,10 @@
 
 from railfold._internal.forwarding.messages import Header
 
-__all__ = ["READ", "UNREAD", "unlisted"]
+__all__ = ["IGNORED_HEADERS", "READ_HEADERS", "unlisted_headers"]
 
 # Of backend servers' answers; read where requests and health checks are translated.
-READ = frozenset(
+READ_HEADERS = frozenset(
     {
         "at-server",
         "railfold-attempt-id",
@@ -26,15 +26,19 @@
 
 # Passed on to clients, and not needed here: who answers a health check is told by the
 # check's address and start; which weights ran is part of the answer.
-UNREAD = frozenset({"railfold-instance-id", "railfold-weight-versions"})
+IGNORED_HEADERS = frozenset({"railfold-instance-id", "railfold-weight-versions"})
 
-_LISTED = READ | UNREAD
+_LISTED_HEADERS = READ_HEADERS | IGNORED_HEADERS
 
 # How the platform's own names begin.
-_PREFIXES = ("railfold-", "server-", "at-")
+_PLATFORM_PREFIXES = ("railfold-", "server-", "at-")
 
 
-def unlisted(headers: Iterable[Header]) -> list[str]:
+def unlisted_headers(headers: Iterable[Header]) -> list[str]:
     """Return the names of the platform's own headers that aren't listed here."""
     names = (name.lower() for name, _ in headers)
-    return [n for n in names if n.startswith(_PREFIXES) and n not in _LISTED]
+    return [
+        n
+        for n in names
+        if n.startswith(_PLATFORM_PREFIXES) and n not in _LISTED_HEADERS
+    ]
--- a/src/railfold/_internal/platform/configuration.py
+++ b/src/railfold/_internal/platform/configuration.py
@@ -19,14 +19,14 @@
 
 __all__ = ["decode_configuration"]
 
-_KINDS = {
+_ROUTE_KINDS = {
     "safe": RouteKind.SAFE,
     "unsafe": RouteKind.UNSAFE,
     "stream": RouteKind.STREAM,
 }
 
 
-class _Split(msgspec.Struct, frozen=True):
+class _TrafficShare(msgspec.Struct, frozen=True):
     service: str
     weight: float
 
@@ -45,7 +45,7 @@
     slo_ms: float = 1000.0
     priority: int = 1
     service: str | None = None
-    traffic_split: list[_Split] = []
+    traffic_split: list[_TrafficShare] = []
     max_attempts: int = 1
     public: bool = False
     resumable: bool = False
@@ -57,7 +57,7 @@
     load_s: float = 0.0
 
 
-class _Kind(msgspec.Struct, frozen=True):
+class _AcceleratorKind(msgspec.Struct, frozen=True):
     """``mb`` is its memory.
 
     ``pace`` multiplies the time of decode steps, ``read_x`` that of reading prompts.
@@ -69,14 +69,14 @@
     read_x: float = 1.0
 
 
-class _Usual(msgspec.Struct, frozen=True):
+class _TypicalRequest(msgspec.Struct, frozen=True):
     """Mean numbers of tokens."""
 
     prompt: int = 500
     answer: int = 200
 
 
-class _Delay(msgspec.Struct, frozen=True):
+class _DomainDelay(msgspec.Struct, frozen=True):
     """One-way latency between two failure domains, either way."""
 
     source: str = msgspec.field(name="from")
@@ -100,9 +100,9 @@
     models: list[_Model]
     layers: int = 0
     layer_mb: float = 0.0
-    kinds: list[_Kind] = []
+    kinds: list[_AcceleratorKind] = []
     loads_at_once: int = 4
-    usual: _Usual = _Usual()
+    usual: _TypicalRequest = _TypicalRequest()
     step_ms: float = 1.0
     per_seq_ms: float = 0.0
     context_per_k: float = 0.0
@@ -111,7 +111,7 @@
     stride: int = 1
     act_bytes: float = 0.0
     pipe_mbps: float = 0.0
-    delays: list[_Delay] = []
+    delays: list[_DomainDelay] = []
 
 
 class _Service(msgspec.Struct, frozen=True):
@@ -170,15 +170,15 @@
 
 
 def _route(route: _Route) -> Route:
-    splits = route.traffic_split
+    shares = route.traffic_split
     if route.service is not None:
-        splits = [_Split(route.service, 1.0)]
+        shares = [_TrafficShare(route.service, 1.0)]
     return Route(
         name=route.name,
         host=route.host.lower(),
         path_prefix=route.path_prefix,
-        kind=_KINDS[route.kind],
-        services=tuple(WeightedService(s.service, s.weight) for s in splits),
+        kind=_ROUTE_KINDS[route.kind],
+        services=tuple(WeightedService(s.service, s.weight) for s in shares),
         timeout_s=route.timeout_ms / 1000.0,
         objective_s=route.slo_ms / 1000.0,
         priority=route.priority,
--- a/src/railfold/_internal/platform/dialect.py
+++ b/src/railfold/_internal/platform/dialect.py
@@ -50,12 +50,12 @@
 _TOKEN_COUNTS = "Railfold-Token-Counts"
 _SEAL = "Railfold-Response-Seal"
 _NOT_EXECUTED = "Railfold-Not-Executed"
-_AT_FAULT = "At-Server"
+_SERVER_AT_FAULT = "At-Server"
 _LAST_EVENT_ID = "Last-Event-Id"
 # Requests a second that a server in need takes from all entries together.
 _RATE_LIMIT = "Server-Limit"
 _LEAVING = "Server-Leaving"
-_IS_LEAVING = "1"
+_LEAVING_VALUE = "1"
 # 0 is let in first, 9 last, 5 is usual.
 _ENGINE_PRIORITY = "Railfold-Request-Priority"
 _MOST_URGENT = 0
@@ -68,16 +68,16 @@
 
 # Enough for any time in milliseconds or count of tokens. Clients may send what they
 # like, and longer numbers take time to read and to reckon with.
-_WHOLE_NUMBER = re.compile(r"[0-9]{1,12}")
+_NUMBER_PATTERN = re.compile(r"[0-9]{1,12}")
 
 # A rate in requests a second. Signs, exponents, words and longer numbers mean nothing.
 _RATE = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?|\.[0-9]{1,9}")
 
 # Of a text that can't be read so much is told in logs.
-_TEXT_TOLD = 40
+_MAX_LOGGED_CHARACTERS = 40
 
 # Set by this process alone; what a client sends under these names is dropped.
-_OWN_HEADERS = frozenset(
+_RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
         _DEADLINE,
@@ -95,7 +95,7 @@
 )
 
 _MISDIRECTED = 421
-_PROMISES_NOT_RUN = (408, 421, 429, 503)
+_NOT_RUN_STATUSES = (408, 421, 429, 503)
 _FIRST_SERVER_ERROR = 500
 _CLIENT_ERRORS = range(400, 500)
 _SUCCESSES = range(200, 300)
@@ -127,8 +127,8 @@
         request_id = fields.get(_REQUEST_ID.lower(), "")
         if not request_id:
             raise InvalidRequestError(f"the request has no {_REQUEST_ID}")
-        dropped = _OWN_HEADERS | connection_headers(fields.get("connection", ""))
-        deadline_ms = _number(fields, _DEADLINE)
+        dropped = _RESERVED_HEADERS | connection_headers(fields.get("connection", ""))
+        deadline_ms = _header_number(fields, _DEADLINE)
         return ClientRequest(
             request_id=request_id,
             method=method,
@@ -140,8 +140,8 @@
             credential=_credential(fields),
             received_s=now_s,
             deadline_s=None if deadline_ms is None else now_s + deadline_ms / 1000.0,
-            last_event_id=_number(fields, _LAST_EVENT_ID),
-            size=_size(fields.get(_TOKEN_COUNTS.lower(), "")),
+            last_event_id=_header_number(fields, _LAST_EVENT_ID),
+            size=_request_size(fields.get(_TOKEN_COUNTS.lower(), "")),
         )
 
     def forward_headers(
@@ -166,7 +166,7 @@
         if answered_id and answered_id != request_id:
             return MismatchedAnswer()
         if head.get(_NOT_EXECUTED) or head.status == _MISDIRECTED:
-            at_fault = head.get(_AT_FAULT)
+            at_fault = head.get(_SERVER_AT_FAULT)
             where = f" because of {at_fault}" if at_fault else ""
             reason = f"it answered {head.status}{where}"
             return NotExecuted(at_fault, reason, head.status == _MISDIRECTED)
@@ -176,7 +176,7 @@
             if head.get("Content-Encoding"):
                 return UnusableAnswer("its answer is encoded")
             return ServedAnswer()
-        if head.status in _PROMISES_NOT_RUN:
+        if head.status in _NOT_RUN_STATUSES:
             # Without the proof that it wasn't run, this isn't to be passed on.
             return UnusableAnswer(f"it answered {head.status} without a proof")
         if head.status >= _FIRST_SERVER_ERROR:
@@ -185,7 +185,7 @@
 
     def unknown_headers(self, head: ResponseHead) -> Sequence[str]:
         """Return names of the platform's own headers that aren't known here."""
-        return answer_headers.unlisted(head.headers)
+        return answer_headers.unlisted_headers(head.headers)
 
     def rate_limit(self, head: ResponseHead) -> RateLimitHeader:
         """Return what an answer's head says of the rate that its server takes.
@@ -200,7 +200,7 @@
             case [text] if _RATE.fullmatch(text):
                 return RateLimitAdvertised(float(text))
             case _:
-                return UnreadableRateLimit(", ".join(values)[:_TEXT_TOLD])
+                return UnreadableRateLimit(", ".join(values)[:_MAX_LOGGED_CHARACTERS])
 
     def retry_after(self, head: ResponseHead) -> RetryAfterHeader:
         """Return for how long an answer's head asks to send nothing."""
@@ -208,7 +208,7 @@
 
     def announces_leaving(self, head: ResponseHead) -> bool:
         """Return whether an answer's head says that its server leaves."""
-        return head.get(_LEAVING).strip() == _IS_LEAVING
+        return head.get(_LEAVING).strip() == _LEAVING_VALUE
 
     def report_call(self) -> EngineCall:
         """Return the call that asks an engine for its report."""
@@ -223,10 +223,10 @@
         return engines.decode_started_at_ms(body)
 
     def place_call(
-        self, layers: LayerRange, fencing: int, order_count: int
+        self, layers: LayerRange, fencing_token: int, order_count: int
     ) -> EngineCall:
         """Return the order to hold these layers."""
-        return engines.place_call(layers, fencing, order_count)
+        return engines.place_call(layers, fencing_token, order_count)
 
     def reroute_call(self, request_id: str, chain: Chain) -> EngineCall:
         """Return the order to go on with a running request over another chain."""
@@ -254,11 +254,11 @@
     return authorization[len(_BEARER) :].strip()
 
 
-def _number(fields: dict[str, str], name: str) -> int | None:
+def _header_number(fields: dict[str, str], name: str) -> int | None:
     return _whole_number(fields.get(name.lower(), ""))
 
 
-def _size(text: str) -> RequestSize:
+def _request_size(text: str) -> RequestSize:
     """Return the sizes in ``prompt,answer``."""
     prompt_text, _, answer_text = text.partition(",")
     prompt, answer = _whole_number(prompt_text), _whole_number(answer_text)
@@ -269,5 +269,5 @@
 
 def _whole_number(text: str) -> int | None:
     """Return the number in a header of a client; ``None`` if it isn't one."""
-    match = _WHOLE_NUMBER.fullmatch(text.strip())
+    match = _NUMBER_PATTERN.fullmatch(text.strip())
     return int(match[0]) if match else None
--- a/src/railfold/_internal/platform/engines.py
+++ b/src/railfold/_internal/platform/engines.py
@@ -25,26 +25,26 @@
 
 _REPORT_PATH = "/railfold/report"
 _ORDER_PATH = "/railfold/order"
-_JSON = ("Content-Type", "application/json")
+_JSON_HEADER = ("Content-Type", "application/json")
 
 # Others may write registrations too. A live server's takes some 400 bytes; more than
 # this is not one, and is not worth the time to read it.
-_MOST_BYTES = 16 * 1024
+_MAX_REGISTRATION_BYTES = 16 * 1024
 
 # Ids and addresses go into headers of every request, as they are.
-_HEADER_TEXT = re.compile(r"[!-~]{1,128}")
+_HEADER_SAFE_TEXT = re.compile(r"[!-~]{1,128}")
 
 # Far beyond any model and server there is, and small enough to count through. They
 # keep a figure that means nothing from becoming work or memory inside.
-_MOST_LAYERS = 4096
-_MOST_SLOTS = 1_000_000
-_SLOWEST = 10_000.0
+_MAX_LAYERS = 4096
+_MAX_SLOTS = 1_000_000
+_MAX_SLOWNESS = 10_000.0
 
 _Name = Annotated[str, Meta(min_length=1, max_length=256)]
 _Version = Annotated[str, Meta(max_length=64)]
 _Count = Annotated[int, Meta(ge=0, le=2**53)]
 _StartedAt = Annotated[int, Meta(ge=1, le=2**53)]
-_LayerNumber = Annotated[int, Meta(ge=0, le=_MOST_LAYERS)]
+_LayerNumber = Annotated[int, Meta(ge=0, le=_MAX_LAYERS)]
 
 
 class _Model(msgspec.Struct, frozen=True):
@@ -63,7 +63,7 @@
     version: int | None = None
 
 
-class _Entry(msgspec.Struct, frozen=True):
+class _RegistrationRecord(msgspec.Struct, frozen=True):
     """A registration; its id is the record's key.
 
     ``kind`` is the accelerator's. ``cold_left_ms``, ``stage`` and ``seq`` aren't used,
@@ -75,7 +75,7 @@
     service: _Name
     address: str
     zone: _Name
-    slots: Annotated[int, Meta(ge=1, le=_MOST_SLOTS)]
+    slots: Annotated[int, Meta(ge=1, le=_MAX_SLOTS)]
     state: Literal["ready", "draining"]
     models: list[_Model] = []
     layers: _Layers | None = None
@@ -87,7 +87,7 @@
     born: _StartedAt | UnsetType = UNSET
 
 
-class _Stalled(msgspec.Struct, frozen=True):
+class _StalledRequest(msgspec.Struct, frozen=True):
     """A request (``id``) that stands still, and whom it waits for."""
 
     address: str = ""
@@ -100,10 +100,10 @@
     """
 
     seq: _Count = 0
-    pace: Annotated[float, Meta(ge=0.0, le=_SLOWEST)] = 1.0
+    pace: Annotated[float, Meta(ge=0.0, le=_MAX_SLOWNESS)] = 1.0
     busy: bool = False
     layers: _Layers | None = None
-    stalled: list[_Stalled] = []
+    stalled: list[_StalledRequest] = []
     born: _StartedAt | UnsetType = UNSET
 
 
@@ -130,7 +130,7 @@
     operation: str = "repath"
 
 
-_ENTRY_DECODER = msgspec.json.Decoder(_Entry)
+_REGISTRATION_DECODER = msgspec.json.Decoder(_RegistrationRecord)
 _REPORT_DECODER = msgspec.json.Decoder(_Report)
 _INCARNATION_DECODER = msgspec.json.Decoder(_Incarnation)
 
@@ -140,44 +140,44 @@
 
     :raises EngineError: it can't be read, or says what no backend server can mean.
     """
-    if not _HEADER_TEXT.fullmatch(key):
+    if not _HEADER_SAFE_TEXT.fullmatch(key):
         raise EngineError("a registration's id can't be used", why=repr(key[:40]))
-    if len(value) > _MOST_BYTES:
+    if len(value) > _MAX_REGISTRATION_BYTES:
         raise EngineError("a registration is too large", why=f"{len(value)} bytes")
     try:
-        entry = _ENTRY_DECODER.decode(value)
-        return _registration(key, entry)
+        record = _REGISTRATION_DECODER.decode(value)
+        return _registration(key, record)
     except ValueError as error:  # Also a decoder's.
         raise EngineError("a registration can't be read", why=str(error)) from error
 
 
-def _registration(key: str, entry: _Entry) -> Registration:
+def _registration(key: str, record: _RegistrationRecord) -> Registration:
     """Translate an entry.
 
     :raises ValueError: its address or layers mean nothing.
     """
-    address = parse_address(entry.address)
-    if address.port == 0 or not _HEADER_TEXT.fullmatch(entry.address):
-        raise ValueError(f"{entry.address!r} can't be connected to")
+    address = parse_address(record.address)
+    if address.port == 0 or not _HEADER_SAFE_TEXT.fullmatch(record.address):
+        raise ValueError(f"{record.address!r} can't be connected to")
     return Registration(
         registered_id=key,
-        service=entry.service,
+        service=record.service,
         address=str(address),
-        failure_domain=entry.zone,
-        slots=entry.slots,
-        draining=entry.state == "draining",
-        model=entry.models[0].name if entry.models else "",
-        layers=_layers(entry.layers),
-        accelerator=entry.kind or "",
-        started_at_ms=_started_at_ms(entry.born),
-        version=_version(entry),
+        failure_domain=record.zone,
+        slots=record.slots,
+        draining=record.state == "draining",
+        model=record.models[0].name if record.models else "",
+        layers=_layer_range(record.layers),
+        accelerator=record.kind or "",
+        started_at_ms=_started_at_ms(record.born),
+        version=_software_version(record),
     )
 
 
-def _version(entry: _Entry) -> str:
+def _software_version(record: _RegistrationRecord) -> str:
     """Return what tells software and weights apart from others."""
-    weights = f" weights {entry.models[0].version}" if entry.models else ""
-    return f"{entry.version}{weights}"
+    weights = f" weights {record.models[0].version}" if record.models else ""
+    return f"{record.version}{weights}"
 
 
 def decode_report(body: bytes) -> EngineReport:
@@ -187,7 +187,7 @@
     """
     try:
         report = _REPORT_DECODER.decode(body)
-        layers = _layers(report.layers)
+        layers = _layer_range(report.layers)
     except ValueError as error:  # Also a decoder's.
         raise EngineError("a report can't be read", why=str(error)) from error
     return EngineReport(
@@ -209,7 +209,7 @@
         return None
 
 
-def _layers(layers: _Layers | None) -> LayerRange | None:
+def _layer_range(layers: _Layers | None) -> LayerRange | None:
     """Translate layers; none is held if the range is empty.
 
     :raises ValueError: one end is missing, or they are the wrong way round.
@@ -233,24 +233,26 @@
     return EngineCall("GET", _REPORT_PATH, (("Host", "engine"),))
 
 
-def place_call(layers: LayerRange, fencing: int, order_count: int) -> EngineCall:
+def place_call(layers: LayerRange, fencing_token: int, order_count: int) -> EngineCall:
     """Return the order to hold these layers and no others."""
     order = _PlaceOrder(
         first=layers.first,
         target_version=layers.last + 1,
-        fence_token=fencing,
+        fence_token=fencing_token,
         expected_rev=order_count,
     )
-    return _order(msgspec.json.encode(order))
+    return _order_call(msgspec.json.encode(order))
 
 
 def reroute_call(request_id: str, chain: Chain) -> EngineCall:
     """Return the order to go on with a request over another chain."""
-    return _order(msgspec.json.encode(_RerouteOrder(request_id, chain_text(chain))))
+    return _order_call(
+        msgspec.json.encode(_RerouteOrder(request_id, chain_text(chain)))
+    )
 
 
-def _order(body: bytes) -> EngineCall:
-    return EngineCall("POST", _ORDER_PATH, (("Host", "engine"), _JSON), body)
+def _order_call(body: bytes) -> EngineCall:
+    return EngineCall("POST", _ORDER_PATH, (("Host", "engine"), _JSON_HEADER), body)
 
 
 def chain_text(chain: Chain) -> str:
--- a/src/railfold/_internal/platform/retry_after.py
+++ b/src/railfold/_internal/platform/retry_after.py
@@ -22,7 +22,7 @@
 # Signs, exponents, words and longer numbers mean nothing.
 _SECONDS = re.compile(r"[0-9]{1,12}(\.[0-9]{0,9})?|\.[0-9]{1,9}")
 
-_MAX_TEXT_LOGGED = 40
+_MAX_LOGGED_CHARACTERS = 40
 
 
 def retry_after(head: ResponseHead) -> RetryAfterHeader:
@@ -37,7 +37,7 @@
     delays_s = [_delay_s(value, head) for value in values]
     readable_s = [delay_s for delay_s in delays_s if delay_s is not None]
     if not readable_s:
-        return UnreadableRetryAfter(", ".join(values)[:_MAX_TEXT_LOGGED])
+        return UnreadableRetryAfter(", ".join(values)[:_MAX_LOGGED_CHARACTERS])
     return RetryAfter(max(readable_s))
 
 
--- a/src/railfold/_internal/platform/settings.py
+++ b/src/railfold/_internal/platform/settings.py
@@ -26,7 +26,7 @@
 SETTINGS_VARIABLE = "RAILFOLD_NODE_FILE"
 
 # As many as make a key of 128 bits in base64.
-_LEAST_KEY_CHARACTERS = 22
+_MIN_KEY_CHARACTERS = 22
 
 _MB = 1024 * 1024
 
@@ -77,7 +77,7 @@
     parts: int = 1
 
 
-class _Document(msgspec.Struct, frozen=True):
+class _SettingsFile(msgspec.Struct, frozen=True):
     """The whole file, as far as it is used.
 
     ``port_range`` is the first and the last of the ports that are left free for what
@@ -93,7 +93,7 @@
     region: str = ""
     bootstrap: bool = False
     port_range: Annotated[list[_Port], Meta(min_length=2, max_length=2)] | None = None
-    peer_key: Annotated[str, Meta(min_length=_LEAST_KEY_CHARACTERS)] | None = None
+    peer_key: Annotated[str, Meta(min_length=_MIN_KEY_CHARACTERS)] | None = None
     chain_choice: Literal["cheapest", "predicted"] = "cheapest"
     bounds: dict[str, Any] = msgspec.field(default_factory=dict)
     limits: dict[str, Any] = msgspec.field(default_factory=dict)
@@ -133,10 +133,10 @@
         raise SettingsError(str(path), [f"can't be read: {error.strerror}"]) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError(str(path), [f"isn't valid TOML: {error}"]) from error
-    return _Decoder(path, metrics_port).decode(data)
+    return _SettingsDecoder(path, metrics_port).decode(data)
 
 
-class _Decoder:
+class _SettingsDecoder:
     """Decodes one file and gathers its faults."""
 
     def __init__(self, path: Path, metrics_port: int | None) -> None:
@@ -145,25 +145,31 @@
         self._faults: list[str] = []
 
     def decode(self, data: dict[str, Any]) -> PlatformSettings:
-        document = self._convert("", data, _Document)
+        document = self._convert("", data, _SettingsFile)
         listen = self._convert("listen.", data.get("listen", {}), _Listen)
         bounds = self._convert("bounds.", data.get("bounds", {}), _Bounds)
         limits = self._convert("limits.", data.get("limits", {}), _Limits)
         store = self._convert("platform.", data.get("platform", {}), _Store)
-        clients = self._address("listen.front", listen.front if listen else None)
-        ready = self._address("listen.ready", listen.ready if listen else None)
-        address = self._address("platform.address", store.address if store else None)
+        client_address = self._parse_address(
+            "listen.front", listen.front if listen else None
+        )
+        readiness_address = self._parse_address(
+            "listen.ready", listen.ready if listen else None
+        )
+        store_address = self._parse_address(
+            "platform.address", store.address if store else None
+        )
         if not (document and bounds and limits and store):
             raise SettingsError(str(self._path), self._faults)
-        if not (clients and ready and address):
+        if not (client_address and readiness_address and store_address):
             raise SettingsError(str(self._path), self._faults)
         forwarding = ForwardingSettings(
             name=document.node,
             failure_domain=document.zone,
             region=document.region,
-            client_address=clients,
-            readiness_address=ready,
-            metrics_address=self._metrics(document.ip),
+            client_address=client_address,
+            readiness_address=readiness_address,
+            metrics_address=self._metrics_address(document.ip),
             credential_lease_s=bounds.revoke_ms / 1000.0,
             grace_s=bounds.grace_s,
             drain_notice_s=bounds.drain_ms / 1000.0,
@@ -171,32 +177,32 @@
             retry_slack=bounds.budget_slack,
             retry_window_s=bounds.budget_window_s,
             first_start=document.bootstrap,
-            peer_address=self._peers(document),
+            peer_address=self._peer_address(document),
             peer_key=document.peer_key.encode() if document.peer_key else None,
             memory_bytes=int(limits.memory_mb * _MB),
             predicts_chains=document.chain_choice == "predicted",
         )
-        return PlatformSettings(forwarding, address, store.parts)
+        return PlatformSettings(forwarding, store_address, store.parts)
 
-    def _metrics(self, ip: str) -> Address | None:
+    def _metrics_address(self, ip: str) -> Address | None:
         if self._metrics_port is None:
             return None
-        return self._address("ip", f"{ip}:{self._metrics_port}")
+        return self._parse_address("ip", f"{ip}:{self._metrics_port}")
 
-    def _peers(self, document: _Document) -> Address | None:
+    def _peer_address(self, document: _SettingsFile) -> Address | None:
         """Return where other entries' messages are taken: at the range's last port."""
         if document.port_range is None:
             return None
-        return self._address("ip", f"{document.ip}:{document.port_range[-1]}")
+        return self._parse_address("ip", f"{document.ip}:{document.port_range[-1]}")
 
-    def _convert(self, prefix: str, data: Any, form: type[T]) -> T | None:
+    def _convert(self, prefix: str, data: Any, struct: type[T]) -> T | None:
         try:
-            return msgspec.convert(data, form)
+            return msgspec.convert(data, struct)
         except msgspec.ValidationError as error:
             self._faults.append(f"{prefix or 'file: '}{error}")
             return None
 
-    def _address(self, name: str, text: str | None) -> Address | None:
+    def _parse_address(self, name: str, text: str | None) -> Address | None:
         if text is None:
             return None
         try:
--- a/src/railfold/_internal/platform/store.py
+++ b/src/railfold/_internal/platform/store.py
@@ -38,14 +38,14 @@
 
 # An answer to a read may take longer, as long as some of it arrives in each such time:
 # a large record fills a slow link for seconds.
-_READ_STALL_S = 1.0
+_READ_STALL_TIMEOUT_S = 1.0
 
 # A slow link of 10 Mbit/s carries it in a tenth of a second.
 _READ_KB = 128
 
 _OK = 200
 _GONE = 410
-_ENDS_ELSEWHERE = 412
+_PRECONDITION_FAILED = 412
 
 # Rises by one whenever the store comes back from an older copy.
 _EPOCH_HEADER = "Store-Era"
@@ -54,7 +54,7 @@
 _RAW = "application/octet-stream"
 
 # Far beyond what it can reach by rising one by one; a token keeps it beside others.
-_MOST_EPOCH = 2**16
+_MAX_EPOCH = 2**16
 
 # All streams of the system have one partition that is used: the first.
 _PARTITION = 0
@@ -63,11 +63,11 @@
 # over the others without a word. One's share of them tells how many members there are.
 # All that it deals are asked for; where there are more entries than partitions, their
 # own list tells how many there are.
-_MOST_TOPICS = 20
+_MAX_TOPICS = 20
 
 # As many as one's share tells well enough among some hundred; more make each renewal
 # larger.
-_LEAST_PARTITIONS = 400
+_MIN_PARTITIONS = 400
 
 _PAGE_HEAD = struct.Struct(">QQ")
 _LENGTH = struct.Struct(">I")
@@ -91,14 +91,14 @@
     more_pages: bool = False
 
 
-class _Joined(msgspec.Struct, frozen=True):
+class _JoinAnswer(msgspec.Struct, frozen=True):
     """``parts`` are rows of topic, partition and committed offset."""
 
     generation: int
     parts: list[tuple[str, int, int]] = []
 
 
-class _StoreCalls:
+class _StoreConnection:
     """Makes one call at a time, over a connection of its own."""
 
     def __init__(self, address: Address) -> None:
@@ -111,7 +111,7 @@
         body: bytes = b"",
         wait_s: float = 0.0,
         content_type: str = _JSON,
-        stall_s: float | None = None,
+        stall_timeout_s: float | None = None,
     ) -> Response:
         """Make a call; return its answer: done, or refused for its condition.
 
@@ -123,7 +123,7 @@
         timeout_s = wait_s + _ANSWER_TIMEOUT_S
         try:
             response = await self._connection.call(
-                method, target, headers, body, timeout_s, stall_s
+                method, target, headers, body, timeout_s, stall_timeout_s
             )
         except EngineError as error:
             raise LogUnavailableError(
@@ -131,7 +131,7 @@
             ) from error
         if response.head.status == _GONE:
             raise RecordsExpiredError("records of the store have expired")
-        if response.head.status not in (_OK, _ENDS_ELSEWHERE):
+        if response.head.status not in (_OK, _PRECONDITION_FAILED):
             raise LogUnavailableError(f"the store answered {response.head.status}")
         return response
 
@@ -140,7 +140,7 @@
     """Reads and writes streams that keep the newest record of each key."""
 
     def __init__(self, address: Address) -> None:
-        self._calls = _StoreCalls(address)
+        self._store = _StoreConnection(address)
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
         """Return records from ``offset`` on, or the newest of each key.
@@ -152,7 +152,7 @@
         :raises LogUnavailableError: the store can't be read now.
         """
         if offset < 0:
-            return await self._newest(stream)
+            return await self._read_newest(stream)
         query = urlencode(
             {
                 "topic": stream,
@@ -162,13 +162,13 @@
                 "max_kb": _READ_KB,
             }
         )
-        response = await self._calls.call(
+        response = await self._store.call(
             "GET",
             f"/railfold/log-read?{query}",
             wait_s=wait_s,
-            stall_s=_READ_STALL_S,
+            stall_timeout_s=_READ_STALL_TIMEOUT_S,
         )
-        return _page(response, offset)
+        return _decode_page(response, offset)
 
     async def put(
         self, stream: str, key: str, value: bytes, expected_end: int | None = None
@@ -185,7 +185,7 @@
             fields["current_rev"] = expected_end
         name = key.encode()
         record = bytes([len(name)]) + name + value
-        response = await self._calls.call(
+        response = await self._store.call(
             "POST",
             f"/railfold/log-append?{urlencode(fields)}",
             _LENGTH.pack(len(record)) + record,
@@ -193,7 +193,7 @@
         )
         return response.head.status == _OK
 
-    async def _newest(self, stream: str) -> LogPage:
+    async def _read_newest(self, stream: str) -> LogPage:
         records: list[LogRecord] = []
         transfer_s = 0.0
         after = ""
@@ -204,8 +204,10 @@
                 # The name says revision; it takes the last key of a page.
                 fields["after_rev"] = after
             query = urlencode(fields)
-            response = await self._calls.call(
-                "GET", f"/railfold/log-newest?{query}", stall_s=_READ_STALL_S
+            response = await self._store.call(
+                "GET",
+                f"/railfold/log-newest?{query}",
+                stall_timeout_s=_READ_STALL_TIMEOUT_S,
             )
             transfer_s += response.transfer_s
             if epoch not in (None, _epoch_of(response)):
@@ -213,8 +215,8 @@
             epoch = _epoch_of(response)
             # A key that isn't UTF-8 must not hide the records beside it.
             text = response.body.decode("utf-8", "replace")
-            page = _decode(text, _NewestPage)
-            records += [_newest_record(item) for item in page.items]
+            page = _decode_json(text, _NewestPage)
+            records += [_decode_newest_item(item) for item in page.items]
             last = page.items[-1].key if page.items else after
             if not page.more_pages or last == after:
                 # The first page's end: what came since is read again.
@@ -223,7 +225,7 @@
             after = last
 
 
-def _newest_record(item: _NewestItem) -> LogRecord:
+def _decode_newest_item(item: _NewestItem) -> LogRecord:
     try:
         value = base64.b64decode(item.value, validate=True) if item.value else b""
     except ValueError as error:
@@ -233,7 +235,7 @@
     return LogRecord(item.offset, 0.0, KeyedValue(item.key, value))
 
 
-def _page(response: Response, offset: int) -> LogPage:
+def _decode_page(response: Response, offset: int) -> LogPage:
     """Decode the end, the first kept offset, then records with their lengths."""
     body = response.body
     if len(body) < _PAGE_HEAD.size:
@@ -247,7 +249,7 @@
         if position + length > len(body):
             raise LogUnavailableError("a record in the store's answer is cut short")
         record = body[position : position + length]
-        records.append(LogRecord(offset, 0.0, _keyed(record)))
+        records.append(LogRecord(offset, 0.0, _decode_keyed_value(record)))
         position += length
         offset += 1
     return LogPage(records, first, end, response.transfer_s, _epoch_of(response))
@@ -259,12 +261,12 @@
     :raises LogUnavailableError: it can't be read.
     """
     text = response.head.get(_EPOCH_HEADER, "0")
-    if not (text.isascii() and text.isdigit()) or int(text) > _MOST_EPOCH:
+    if not (text.isascii() and text.isdigit()) or int(text) > _MAX_EPOCH:
         raise LogUnavailableError("the store's epoch can't be read", why=text[:40])
     return int(text)
 
 
-def _keyed(record: bytes) -> KeyedValue:
+def _decode_keyed_value(record: bytes) -> KeyedValue:
     """Decode a key's length, the key and the value.
 
     A key that isn't text is kept recognizable: it is of no use, and its reader says so.
@@ -274,9 +276,9 @@
     return KeyedValue(key, record[1 + key_length :])
 
 
-def _decode(body: bytes | str, form: type[T]) -> T:
+def _decode_json(body: bytes | str, type_: type[T]) -> T:
     try:
-        return msgspec.json.decode(body, type=form)
+        return msgspec.json.decode(body, type=type_)
     except msgspec.DecodeError as error:
         raise LogUnavailableError(
             "the store's answer can't be read", why=str(error)
@@ -296,24 +298,24 @@
     so that the fencing token is made of the store's epoch and the generation.
     """
 
-    _first_generation = 0
+    _generation_base = 0
 
     def __init__(
         self,
         address: Address,
         duty: str,
         partitions: int,
-        least_partitions: int = _LEAST_PARTITIONS,
+        min_partitions: int = _MIN_PARTITIONS,
     ) -> None:
-        topics = min(_MOST_TOPICS, math.ceil(least_partitions / partitions))
+        topics = min(_MAX_TOPICS, math.ceil(min_partitions / partitions))
         self._partitions = topics * partitions
-        self._calls = _StoreCalls(address)
+        self._store = _StoreConnection(address)
         self._group = f"railfold-{duty}"
         self._topics = [f"railfold-{duty}-{n}" for n in range(topics)]
         self._generation = 0
         self._epoch = 0
         numbers = {0, 1, 2, self._partitions // 2, self._partitions - 1}
-        self._candidate_rows = {
+        self._candidate_partitions = {
             (self._topics[number // partitions], number % partitions)
             for number in numbers
         }
@@ -332,22 +334,22 @@
                 "generation": self._generation,
             }
         )
-        response = await self._calls.call("POST", "/railfold/log-join", body)
+        response = await self._store.call("POST", "/railfold/log-join", body)
         epoch = _epoch_of(response)
         if epoch < self._epoch:
             raise LogUnavailableError("an answer of the store's older epoch")
-        joined = _decode(response.body, _Joined)
-        rows = {(row[0], row[1]) for row in joined.parts}
+        joined = _decode_json(response.body, _JoinAnswer)
+        assigned = {(row[0], row[1]) for row in joined.parts}
         # This answer is to a generation of another history: what it deals is taken
         # once it was asked for with the present one.
         same_history = epoch == self._epoch or self._generation == 0
         self._epoch = epoch
         self._generation = joined.generation if same_history else 0
-        holding = (self._topics[0], _PARTITION) in rows and same_history
-        token = fencing_token(epoch, self._first_generation + joined.generation)
-        deal = PartitionAssignment(token, len(joined.parts), self._partitions)
-        is_candidate = not rows.isdisjoint(self._candidate_rows)
-        return LeaseGrant(holding, token, deal, epoch, is_candidate)
+        is_holder = (self._topics[0], _PARTITION) in assigned and same_history
+        token = fencing_token(epoch, self._generation_base + joined.generation)
+        assignment = PartitionAssignment(token, len(joined.parts), self._partitions)
+        is_candidate = not assigned.isdisjoint(self._candidate_partitions)
+        return LeaseGrant(is_holder, token, assignment, epoch, is_candidate)
 
     async def release(self, holder: str) -> None:
         """Give the lease back.
@@ -355,7 +357,7 @@
         :raises LogUnavailableError: no answer came.
         """
         body = msgspec.json.encode({"group": self._group, "member": holder})
-        await self._calls.call("POST", "/railfold/log-leave", body)
+        await self._store.call("POST", "/railfold/log-leave", body)
 
 
 class DutyLease(GroupLease):
@@ -365,7 +367,7 @@
     have been done.
     """
 
-    _first_generation = 2**35
+    _generation_base = 2**35
 
     def __init__(self, address: Address, duty: str, partitions: int) -> None:
-        super().__init__(address, f"{duty}-leader", partitions, least_partitions=1)
+        super().__init__(address, f"{duty}-leader", partitions, min_partitions=1)
--- a/src/railfold/_internal/store/claim_records.py
+++ b/src/railfold/_internal/store/claim_records.py
@@ -12,7 +12,7 @@
     ReleaseWrite,
 )
 
-__all__ = ["StoredClaim", "claim_from_log", "claim_to_log"]
+__all__ = ["StoredClaimRecord", "decode_claim", "encode_claim"]
 
 
 class _StoredClaim(msgspec.Struct, tag="claim", frozen=True):
@@ -42,13 +42,13 @@
     answer: bytes
 
 
-StoredClaim = _StoredClaim | _StoredRelease | _StoredCompletion
+StoredClaimRecord = _StoredClaim | _StoredRelease | _StoredCompletion
 
 
-def claim_to_log(write_id: str, record: ClaimRecord) -> object:
+def encode_claim(write_id: str, record: ClaimRecord) -> object:
     """Return a record's JSON value."""
     key = record.key
-    stored: StoredClaim
+    stored: StoredClaimRecord
     match record:
         case ClaimWrite():
             stored = _StoredClaim(
@@ -75,12 +75,12 @@
     return msgspec.to_builtins(stored)
 
 
-def claim_from_log(body: object) -> tuple[str, ClaimRecord]:
+def decode_claim(body: object) -> tuple[str, ClaimRecord]:
     """Return the write id and the record in a log record's body.
 
     :raises msgspec.ValidationError: it isn't a claim record.
     """
-    stored = msgspec.convert(body, StoredClaim)
+    stored = msgspec.convert(body, StoredClaimRecord)
     key = ClaimKey(stored.workspace, stored.key)
     match stored:
         case _StoredClaim():
--- a/src/railfold/_internal/store/follower.py
+++ b/src/railfold/_internal/store/follower.py
@@ -37,7 +37,7 @@
 
 # An outage that goes on is logged again after this time, then after twice as long
 # each time.
-_REMIND_S = 2.0
+_FIRST_REMINDER_S = 2.0
 
 
 class StreamReader(Protocol):
@@ -134,13 +134,13 @@
         self._on_regained = on_regained
         self._reachable = reachable
         self._backoff = Backoff(max_s=pace.max_backoff_s)
-        self._read_at_s = 0.0
-        self._waiting: asyncio.Future[LogPage] | None = None
+        self._last_read_s = 0.0
+        self._waiting_read: asyncio.Future[LogPage] | None = None
         self._reading = False
-        self._resume_at = -1
+        self._resume_offset = -1
         self._is_behind = False
-        self._lost_s: float | None = None
-        self._remind_s = 0.0
+        self._outage_began_s: float | None = None
+        self._next_reminder_s = 0.0
 
     @property
     def reading(self) -> bool:
@@ -161,7 +161,7 @@
                 failures += 1
                 self._set_reading(False, error)
                 self._metrics.count(f"log.{self._stream}.read_failures")
-                self._note_outage(failures, error)
+                self._report_outage(failures, error)
                 await self._wait_after_failure(failures)
 
     async def _wait_after_failure(self, failures: int) -> None:
@@ -172,22 +172,22 @@
             await asyncio.wait_for(self._reachable.wait(), _UNREACHABLE_RETRY_S)
 
     async def _read_once(self, *, wait: bool) -> None:
-        offset = max(self._reader.next_offset(), self._resume_at)
+        offset = max(self._reader.next_offset(), self._resume_offset)
         wait_s = self.pace.wait_s if wait else 0.0
-        await self._wait_for_turn()
+        await self._wait_min_interval()
         sent_s = asyncio.get_running_loop().time()
         page = await self._read(offset, wait_s)
-        is_same_history = self._note_epoch(page.epoch)
+        is_same_history = self._check_epoch(page.epoch)
         self._set_reading(True, None)
-        self._note_transfer(page.transfer_s)
+        self._report_transfer(page.transfer_s)
         if not is_same_history and offset >= 0:
             # Offsets were given out again: what stands there may be other records.
-            self._resume_at = self._reader.expired(page.first_offset)
+            self._resume_offset = self._reader.expired(page.first_offset)
             return
         self._is_behind = bool(page.records) and not page.reaches_end(offset)
         if self._keeps_newest and not page.reaches_end(offset):
             self._metrics.count(f"log.{self._stream}.skipped_records")
-            self._resume_at = self._reader.expired(page.first_offset)
+            self._resume_offset = self._reader.expired(page.first_offset)
             return
         for record in page.records:
             if record.offset < offset:
@@ -198,7 +198,7 @@
 
     async def _read(self, offset: int, wait_s: float) -> LogPage:
         read = asyncio.ensure_future(self._log.read(self._stream, offset, wait_s))
-        self._waiting = read if wait_s > 0.0 else None
+        self._waiting_read = read if wait_s > 0.0 else None
         try:
             return await read
         except asyncio.CancelledError:
@@ -207,43 +207,43 @@
                 raise  # Not the read alone: this child ends.
             raise LogUnavailableError("a read that waited was given up") from None
         finally:
-            self._waiting = None
+            self._waiting_read = None
 
-    def give_up_waiting(self) -> None:
+    def cancel_waiting_read(self) -> None:
         """The log doesn't answer others: a read that waits isn't waited for."""
-        waiting, self._waiting = self._waiting, None
-        if waiting is not None:
-            waiting.cancel()
+        waiting_read, self._waiting_read = self._waiting_read, None
+        if waiting_read is not None:
+            waiting_read.cancel()
 
-    def _note_epoch(self, epoch: int) -> bool:
+    def _check_epoch(self, epoch: int) -> bool:
         """Return whether an answer is of the history that was read before.
 
         :raises LogUnavailableError: it is of an older one.
         """
-        known, self._epoch = self._epoch, epoch
-        if known == epoch:
+        previous_epoch, self._epoch = self._epoch, epoch
+        if previous_epoch == epoch:
             return True
-        if known is not None and epoch < known:
-            self._epoch = known
+        if previous_epoch is not None and epoch < previous_epoch:
+            self._epoch = previous_epoch
             raise LogUnavailableError("an answer of the log's older epoch")
-        if known is not None:
+        if previous_epoch is not None:
             self._metrics.count(f"log.{self._stream}.went_back")
             logging.warning("stream %s: the log went back", self._stream)
         if self._on_epoch is not None:
             self._on_epoch(epoch)
-        return known is None
+        return previous_epoch is None
 
-    def _note_transfer(self, transfer_s: float) -> None:
+    def _report_transfer(self, transfer_s: float) -> None:
         self._metrics.timing(f"log.{self._stream}.transfer", transfer_s)
         if transfer_s > _LONG_TRANSFER_S:
             logging.info("stream %s: a read took %.3f s", self._stream, transfer_s)
 
-    async def _wait_for_turn(self) -> None:
+    async def _wait_min_interval(self) -> None:
         loop = asyncio.get_running_loop()
-        turn_s = self._read_at_s + self.pace.min_interval_s
-        if turn_s > loop.time() and not self._is_behind:
-            await asyncio.sleep(turn_s - loop.time())
-        self._read_at_s = loop.time()
+        next_read_s = self._last_read_s + self.pace.min_interval_s
+        if next_read_s > loop.time() and not self._is_behind:
+            await asyncio.sleep(next_read_s - loop.time())
+        self._last_read_s = loop.time()
 
     async def _skip_expired(self, error: RecordsExpiredError) -> None:
         self._metrics.count(f"log.{self._stream}.expired_reads")
@@ -253,7 +253,7 @@
         except LogUnavailableError:
             await asyncio.sleep(self._backoff.delay_s(1))
             return
-        self._resume_at = self._reader.expired(first_offset)
+        self._resume_offset = self._reader.expired(first_offset)
 
     async def _first_offset(self) -> int:
         page = await self._log.read(self._stream, NEWEST_OF_EACH_KEY, 0.0)
@@ -264,10 +264,12 @@
             return
         self._reading = reading
         if reading:
-            out_s = self._out_s()
-            self._lost_s = None
+            outage_s = self._outage_s()
+            self._outage_began_s = None
             self._metrics.gauge(f"log.{self._stream}.out_s", 0.0)
-            logging.info("stream %s: the log answers after %.1f s", self._stream, out_s)
+            logging.info(
+                "stream %s: the log answers after %.1f s", self._stream, outage_s
+            )
             if self._on_regained is not None:
                 self._on_regained()
             return
@@ -275,26 +277,26 @@
         if self._on_lost is not None and error is not None:
             self._on_lost(error)
 
-    def _out_s(self) -> float:
+    def _outage_s(self) -> float:
         """Return for how long reads have failed."""
-        if self._lost_s is None:
+        if self._outage_began_s is None:
             return 0.0
-        return asyncio.get_running_loop().time() - self._lost_s
+        return asyncio.get_running_loop().time() - self._outage_began_s
 
-    def _note_outage(self, failures: int, error: LogUnavailableError) -> None:
+    def _report_outage(self, failures: int, error: LogUnavailableError) -> None:
         """Tell from time to time that reads still fail, and why."""
-        if self._lost_s is None:
-            self._lost_s = asyncio.get_running_loop().time()
-            self._remind_s = _REMIND_S
-        out_s = self._out_s()
-        self._metrics.gauge(f"log.{self._stream}.out_s", out_s)
-        if out_s < self._remind_s:
+        if self._outage_began_s is None:
+            self._outage_began_s = asyncio.get_running_loop().time()
+            self._next_reminder_s = _FIRST_REMINDER_S
+        outage_s = self._outage_s()
+        self._metrics.gauge(f"log.{self._stream}.out_s", outage_s)
+        if outage_s < self._next_reminder_s:
             return
-        self._remind_s *= 2.0
+        self._next_reminder_s *= 2.0
         logging.warning(
             "stream %s: the log has been out for %.1f s, %d failed reads in a row: %s",
             self._stream,
-            out_s,
+            outage_s,
             failures,
             error,
         )
@@ -360,7 +362,7 @@
         finally:
             self._settled.pop(write_id, None)
 
-    def append_later(self, write_id: str, body: Any) -> None:
+    def append_nowait(self, write_id: str, body: Any) -> None:
         """Append a record without waiting for it; it may be lost."""
         self._queue.append((write_id, body))
         self._wake.set()
--- a/tests/forwarding/test_proofs_from_peers.py
+++ b/tests/forwarding/test_proofs_from_peers.py
@@ -41,7 +41,7 @@
 
     entry._proofs._log.read = read  # type: ignore[method-assign]
     entry._configuration._log.read = read  # type: ignore[method-assign]
-    entry._configuration.give_up_waiting()
+    entry._configuration.cancel_waiting_read()
 
 
 async def ask(deployment: Deployment, number: int, request_id: str) -> Reply:
--- a/tests/forwarding/test_slow_store_link.py
+++ b/tests/forwarding/test_slow_store_link.py
@@ -15,7 +15,7 @@
 
 from railfold._internal.core import Address
 from railfold._internal.errors import LogUnavailableError
-from railfold._internal.platform.adapter import UsersPlatform
+from railfold._internal.platform.adapter import MetadataStorePlatform
 from railfold._internal.store.records import LogPage
 from soak.proxy import Link, Pipe
 from standins.metadata_store import PARTITIONS
@@ -41,7 +41,7 @@
     link = Link(deployment.store_address.port, Pipe(1, [LINK_BPS]))
     await link.start()
     address = Address("127.0.0.1", link.listen_port)
-    deployment._adapter = UsersPlatform(address, PARTITIONS)
+    deployment._adapter = MetadataStorePlatform(address, PARTITIONS)
     await deployment.add_entry()
     yield deployment, link
     await deployment.stop()
@@ -127,7 +127,7 @@
 
     entry_behind._proofs._log.read = read  # type: ignore[method-assign]
     entry_behind._configuration._log.read = read  # type: ignore[method-assign]
-    entry_behind._configuration.give_up_waiting()
+    entry_behind._configuration.cancel_waiting_read()
     two_entries.store.put("keyed.op", "config", large_configuration(2, 1000))
     await until(
         lambda: other_entry.router.table and other_entry.router.table.version == 2
--- a/tests/lib/forwarding.py
+++ b/tests/lib/forwarding.py
@@ -19,7 +19,7 @@
     DEFAULT_MEMORY_BYTES,
     ForwardingSettings,
 )
-from railfold._internal.platform.adapter import UsersPlatform
+from railfold._internal.platform.adapter import MetadataStorePlatform
 from standins.chaining_engine import LAYERS, Engine
 from standins.cluster import free_port
 from standins.metadata_store import PARTITIONS, MetadataStore
@@ -135,7 +135,7 @@
         self._start_engines()
         self._log_out, self._log_in = os.pipe()
         self._trees: list[asyncio.Task[None]] = []
-        self._adapter = UsersPlatform(store, PARTITIONS)
+        self._adapter = MetadataStorePlatform(store, PARTITIONS)
         self._settings = [self._entry_settings(n) for n in range(self.entry_count)]
 
     def _entry_settings(self, number: int) -> ForwardingSettings:
--- a/tests/unit/test_answer_headers.py
+++ b/tests/unit/test_answer_headers.py
@@ -13,7 +13,7 @@
 from railfold._internal.forwarding.messages import ResponseHead
 from railfold._internal.forwarding.servers.unknown_headers import UnknownHeaderReporter
 from railfold._internal.observability.metrics import Metrics
-from railfold._internal.platform.answer_headers import READ, UNREAD
+from railfold._internal.platform.answer_headers import IGNORED_HEADERS, READ_HEADERS
 from railfold._internal.platform.dialect import PlatformDialect
 
 # The documented headers, with the use of each, or the reason for not reading it.
@@ -32,8 +32,8 @@
 def test_each_documented_header_is_listed() -> None:
     read = {n.lower() for n, use in DOCUMENTED_HEADERS.items() if use[:4] == "read"}
     unread = {n.lower() for n, use in DOCUMENTED_HEADERS.items() if use[:3] == "not"}
-    assert read == READ
-    assert unread == UNREAD
+    assert read == READ_HEADERS
+    assert unread == IGNORED_HEADERS
     assert len(read) + len(unread) == len(DOCUMENTED_HEADERS)
 
 
--- a/tests/unit/test_log_epoch.py
+++ b/tests/unit/test_log_epoch.py
@@ -177,10 +177,10 @@
         log, "stream", reader, Metrics(), FollowerPace(wait_s=9.0), on_lost=lost.append
     )
     child = asyncio.ensure_future(follower.run(asyncio.Event()))
-    await until(lambda: follower._waiting is not None)
-    follower.give_up_waiting()
+    await until(lambda: follower._waiting_read is not None)
+    follower.cancel_waiting_read()
     await until(lambda: bool(lost))
-    await until(lambda: follower._waiting is not None)
+    await until(lambda: follower._waiting_read is not None)
     child.cancel()
     with pytest.raises(asyncio.CancelledError):
         await child
--- a/tests/unit/test_platform_configuration.py
+++ b/tests/unit/test_platform_configuration.py
@@ -12,26 +12,26 @@
 from tests.lib.forwarding import configuration
 
 
-def with_engine(**changes: Any) -> bytes:
+def configuration_with_engine(**changes: Any) -> bytes:
     document = configuration()
     document["services"][0]["engine"].update(changes)
     return json.dumps(document).encode()
 
 
-def test_a_sound_configuration_is_taken() -> None:
-    assert decode_configuration(with_engine()).version == 1
+def test_valid_configuration_is_accepted() -> None:
+    assert decode_configuration(configuration_with_engine()).version == 1
 
 
 @pytest.mark.parametrize(
     "changes",
     [{"models": []}, {"read_per_s": 0}, {"layers": "8"}, {"kinds": [{"name": "l4"}]}],
 )
-def test_one_that_cant_be_reckoned_with_is_refused(changes: dict[str, Any]) -> None:
+def test_invalid_engine_settings_are_refused(changes: dict[str, Any]) -> None:
     with pytest.raises(ConfigurationRefusedError):
-        decode_configuration(with_engine(**changes))
+        decode_configuration(configuration_with_engine(**changes))
 
 
-def test_an_unknown_kind_of_route_is_refused() -> None:
+def test_unknown_route_kind_is_refused() -> None:
     document = configuration()
     document["routes"][0]["kind"] = "sometimes"
     with pytest.raises(ConfigurationRefusedError):
--- a/tests/unit/test_platform_settings.py
+++ b/tests/unit/test_platform_settings.py
@@ -49,7 +49,7 @@
     return file
 
 
-def test_memory_and_the_choice_of_chains_are_taken(path: Path) -> None:
+def test_memory_limit_and_chain_choice_are_read(path: Path) -> None:
     path.write_text(
         'chain_choice = "predicted"\n' + TEXT + "[limits]\nmemory_mb = 152\n"
     )
@@ -62,14 +62,16 @@
     ("field", "text"),
     [("chain_choice", 'chain_choice = "best"\n'), ("memory_mb", "")],
 )
-def test_a_wrong_choice_or_memory_is_a_fault(path: Path, field: str, text: str) -> None:
+def test_invalid_chain_choice_or_memory_limit_is_refused(
+    path: Path, field: str, text: str
+) -> None:
     limits = "[limits]\nmemory_mb = 0\n" if field == "memory_mb" else ""
     path.write_text(text + TEXT + limits)
     with pytest.raises(SettingsError, match=field):
         load_platform_settings(path)
 
 
-def test_fields_are_translated(path: Path) -> None:
+def test_platform_fields_are_translated(path: Path) -> None:
     loaded = load_platform_settings(path, metrics_port=7340)
     assert loaded.store == Address("10.200.1.7", 8223)
     assert loaded.store_partitions == 12
@@ -82,65 +84,67 @@
     assert settings.first_start
 
 
-def test_every_fault_is_told_at_once(path: Path) -> None:
+def test_all_faults_are_reported_together(path: Path) -> None:
     text = TEXT.replace('"10.1.0.40:8227"', '"nowhere"').replace("parts = 12", "")
     text = text.replace("grace_s = 8", 'grace_s = "long"')
     path.write_text(text.replace('address = "10.200.1.7:8223"', ""))
-    with pytest.raises(SettingsError) as caught:
+    with pytest.raises(SettingsError) as raised:
         load_platform_settings(path)
-    told = "\n".join(caught.value.faults)
-    assert "listen.front" in told
-    assert "bounds." in told
-    assert "platform." in told
+    fault_text = "\n".join(raised.value.faults)
+    assert "listen.front" in fault_text
+    assert "bounds." in fault_text
+    assert "platform." in fault_text
 
 
 @pytest.mark.parametrize("text", ["not toml", "node = 1"])
-def test_other_files_are_refused(path: Path, text: str) -> None:
+def test_file_in_another_format_is_refused(path: Path, text: str) -> None:
     path.write_text(text)
     with pytest.raises(SettingsError):
         load_platform_settings(path)
 
 
-def test_the_command_checks_a_file(path: Path) -> None:
+def test_check_option_accepts_a_valid_file(path: Path) -> None:
     result = CliRunner().invoke(cli, ["forward", "--check", str(path)])
     assert result.exit_code == 0
     assert "no faults" in result.output
 
 
-def change(path: Path, text: str) -> None:
+def write_settings(path: Path, text: str) -> None:
     path.write_text(text)
 
 
-def load(path: Path) -> ForwardingSettings:
+def load_forwarding_settings(path: Path) -> ForwardingSettings:
     return load_platform_settings(path).forwarding
 
 
-@pytest.mark.parametrize("signalled", [True, False])
-async def test_settings_are_read_again(
-    path: Path, signalled: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("by_signal", [True, False])
+async def test_changed_settings_are_reloaded_and_invalid_ones_ignored(
+    path: Path, by_signal: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(reload, "_CHECK_INTERVAL_S", 0.02 if not signalled else 60.0)
-    taken: list[ForwardingSettings] = []
-    out, into = os.pipe()
-    log = DecisionLog("front-1", into)
-    watcher = SettingsWatcher(SettingsSource(path, load), taken.append, log)
+    monkeypatch.setattr(reload, "_CHECK_INTERVAL_S", 0.02 if not by_signal else 60.0)
+    applied: list[ForwardingSettings] = []
+    read_fd, write_fd = os.pipe()
+    log = DecisionLog("front-1", write_fd)
+    watcher = SettingsWatcher(
+        SettingsSource(path, load_forwarding_settings), applied.append, log
+    )
     ready = asyncio.Event()
     task = asyncio.create_task(watcher.run(ready))
     await ready.wait()
-    change(path, TEXT.replace("revoke_ms = 5000", "revoke_ms = 12000"))
-    if signalled:
+    write_settings(path, TEXT.replace("revoke_ms = 5000", "revoke_ms = 12000"))
+    if by_signal:
         os.kill(os.getpid(), signal.SIGHUP)
     async with asyncio.timeout(5.0):
-        while not taken:  # noqa: ASYNC110 - the watcher tells nobody else.
+        while not applied:  # noqa: ASYNC110 - the watcher tells nobody else.
             await asyncio.sleep(0.01)
-    assert taken[-1].credential_lease_s == 12.0
-    change(path, "faulty")
+    assert applied[-1].credential_lease_s == 12.0
+    write_settings(path, "faulty")
     os.kill(os.getpid(), signal.SIGHUP)
     await asyncio.sleep(0.2)
-    assert taken[-1].credential_lease_s == 12.0
+    assert applied[-1].credential_lease_s == 12.0
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
     log.flush()
-    assert b"refused" in os.read(out, 65536)
-    os.close(out)
-    os.close(into)
+    assert b"refused" in os.read(read_fd, 65536)
+    os.close(read_fd)
+    os.close(write_fd)
--- a/tests/unit/test_registration_feed.py
+++ b/tests/unit/test_registration_feed.py
@@ -26,7 +26,7 @@
 from railfold._internal.forwarding.store.feeds import RegistrationFeed
 from railfold._internal.observability.decision_log import DecisionLog
 from railfold._internal.observability.metrics import Metrics
-from railfold._internal.platform.adapter import UsersPlatform
+from railfold._internal.platform.adapter import MetadataStorePlatform
 from railfold._internal.store.records import LogRecord
 
 Write = tuple[str, bytes]
@@ -48,7 +48,7 @@
     """The registration feed and the directory of an entry."""
 
     def __init__(self) -> None:
-        platform = UsersPlatform(Address("127.0.0.1", 1), 1)
+        platform = MetadataStorePlatform(Address("127.0.0.1", 1), 1)
         self.router = Router(
             dialect=platform.dialect,
             directory=EngineDirectory(),
--- a/tests/unit/test_replica.py
+++ b/tests/unit/test_replica.py
@@ -39,7 +39,7 @@
         self.sent.append(message)
 
 
-def record(offset: int, base: int) -> bytes:
+def encoded_change(offset: int, base: int) -> bytes:
     body = {"hosts": [f"h{offset}"]}
     change = ChangeRecord(f"w{offset}", "ana", "service", "line-records", base, body)
     return msgspec.json.encode(change)
@@ -48,84 +48,92 @@
 def replica_at(changes: int) -> ConfigurationReplica:
     replica = ConfigurationReplica(Metrics(), lambda: None)
     for offset in range(changes):
-        replica.fold(offset, 1.0, record(offset, offset))
+        replica.fold(offset, 1.0, encoded_change(offset, offset))
     return replica
 
 
-def give(replica: ConfigurationReplica, peer: FakePeer, *messages, version: int = 0):  # type: ignore[no-untyped-def]
+def deliver_frame(
+    replica: ConfigurationReplica, peer: FakePeer, *messages, version: int = 0
+):  # type: ignore[no-untyped-def]
     """Give a frame to a replica."""
-    replica.frame(peer, Frame(version, list(messages)))  # type: ignore[arg-type]
+    replica.handle_frame(peer, Frame(version, list(messages)))  # type: ignore[arg-type]
 
 
-async def test_replica_that_is_behind_asks_once_and_catches_up() -> None:
+async def test_outdated_replica_requests_one_snapshot_and_catches_up() -> None:
     behind, ahead, peer = replica_at(1), replica_at(3), FakePeer()
-    give(behind, peer, version=3)
-    give(behind, peer, version=3)
+    deliver_frame(behind, peer, version=3)
+    deliver_frame(behind, peer, version=3)
     assert peer.sent == [ConfigurationRequest(1)]
-    give(behind, peer, ahead.snapshot(), version=3)
+    deliver_frame(behind, peer, ahead.snapshot(), version=3)
     assert behind.version == 3
     assert behind.configuration.digest() == ahead.configuration.digest()
 
 
-async def test_one_peer_is_asked_at_a_time_and_another_if_it_is_silent() -> None:
+async def test_snapshot_is_requested_from_another_peer_only_after_a_timeout() -> None:
     behind, first, second = replica_at(1), FakePeer(), FakePeer()
-    give(behind, first, version=3)
-    give(behind, second, version=3)
+    deliver_frame(behind, first, version=3)
+    deliver_frame(behind, second, version=3)
     assert (len(first.sent), len(second.sent)) == (1, 0)
     await asyncio.sleep(3.0)
-    give(behind, second, version=3)
+    deliver_frame(behind, second, version=3)
     assert second.sent == [ConfigurationRequest(1)]
 
 
-async def test_lost_peer_is_not_waited_for() -> None:
+async def test_closed_link_ends_the_wait_for_its_snapshot() -> None:
     behind, first, second = replica_at(1), FakePeer(), FakePeer()
-    give(behind, first, version=3)
+    deliver_frame(behind, first, version=3)
     behind.link_down(first)  # type: ignore[arg-type]
-    give(behind, second, version=3)
+    deliver_frame(behind, second, version=3)
     assert second.sent == [ConfigurationRequest(1)]
 
 
-def test_stale_peer_changes_nothing() -> None:
+def test_older_snapshot_is_not_restored() -> None:
     ahead, stale, peer = replica_at(3), replica_at(1), FakePeer()
-    give(ahead, peer, stale.snapshot(), version=1)
+    deliver_frame(ahead, peer, stale.snapshot(), version=1)
     assert ahead.version == 3
     assert peer.sent == []
 
 
-def test_stale_peer_that_asks_gets_the_newer_copy() -> None:
+def test_only_outdated_peer_gets_a_snapshot() -> None:
     ahead, peer = replica_at(3), FakePeer()
-    give(ahead, peer, ConfigurationRequest(1))
+    deliver_frame(ahead, peer, ConfigurationRequest(1))
     assert peer.sent == [ahead.snapshot()]
-    give(ahead, peer, ConfigurationRequest(3))
+    deliver_frame(ahead, peer, ConfigurationRequest(3))
     assert len(peer.sent) == 1
 
 
-def test_damaged_copy_is_refused() -> None:
+def test_snapshot_with_a_wrong_digest_is_refused() -> None:
     behind, ahead, peer = replica_at(1), replica_at(3), FakePeer()
     damaged = msgspec.structs.replace(ahead.snapshot(), digest="0" * 32)
-    give(behind, peer, damaged)
+    deliver_frame(behind, peer, damaged)
     assert behind.version == 1
 
 
-async def test_change_is_folded_only_if_none_is_missing_before_it() -> None:
+async def test_change_after_a_missing_one_is_not_folded() -> None:
     behind, peer = replica_at(1), FakePeer()
-    give(behind, peer, ConfigurationChange(2, 2, 1.0, record(2, 2)), version=3)
+    deliver_frame(
+        behind, peer, ConfigurationChange(2, 2, 1.0, encoded_change(2, 2)), version=3
+    )
     assert behind.version == 1
     assert peer.sent == [ConfigurationRequest(1)]
-    give(behind, peer, ConfigurationChange(1, 1, 1.0, record(1, 1)))
+    deliver_frame(behind, peer, ConfigurationChange(1, 1, 1.0, encoded_change(1, 1)))
     assert behind.version == 2
 
 
-def test_unreadable_record_is_passed_over() -> None:
+def test_unreadable_record_is_skipped() -> None:
     replica = replica_at(1)
     replica.fold(1, 1.0, b'{"type":"later"}')
-    replica.fold(2, 1.0, record(2, 1))
+    replica.fold(2, 1.0, encoded_change(2, 1))
     assert replica.version == 3
 
 
-def checkpoint(of: Configuration, *, digest: str = "") -> CheckpointRecord:
+def checkpoint(source: Configuration, *, digest: str = "") -> CheckpointRecord:
     return CheckpointRecord(
-        "c1", "entry-0", of.next_offset - 1, digest or of.digest(), of.to_state()
+        "c1",
+        "entry-0",
+        source.next_offset - 1,
+        digest or source.digest(),
+        source.to_state(),
     )
 
 
@@ -133,32 +141,32 @@
     return LogRecord(offset, 1.0, msgspec.to_builtins(body))
 
 
-def test_gap_is_crossed_by_a_checkpoint_only() -> None:
-    whole, behind = replica_at(4), replica_at(1)
+def test_only_a_checkpoint_closes_a_gap() -> None:
+    complete, behind = replica_at(4), replica_at(1)
     scanner = ConfigurationScanner(behind, Metrics())
     assert scanner.expired(3) == 3
-    late = msgspec.json.decode(record(3, 3))
-    assert scanner.record(LogRecord(3, 1.0, late)) is None
+    late_body = msgspec.json.decode(encoded_change(3, 3))
+    assert scanner.record(LogRecord(3, 1.0, late_body)) is None
     assert behind.version == 1
-    scanner.record(log_record(4, checkpoint(whole.configuration)))
+    scanner.record(log_record(4, checkpoint(complete.configuration)))
     assert behind.version == 4
     assert not scanner.in_gap
     assert scanner.next_offset() == 4
 
 
 def test_checkpoint_with_a_wrong_digest_is_refused_and_audited() -> None:
-    whole, behind = replica_at(3), replica_at(1)
-    wrong = checkpoint(whole.configuration, digest="0" * 32)
+    complete, behind = replica_at(3), replica_at(1)
+    wrong = checkpoint(complete.configuration, digest="0" * 32)
     scanner = ConfigurationScanner(behind, Metrics())
     scanner.expired(2)
     scanner.record(log_record(3, wrong))
     assert behind.version == 1
-    whole.fold(3, 1.0, msgspec.json.encode(wrong))
-    assert whole.configuration.audit[-1].verdict.value == "checkpoint_refused"
+    complete.fold(3, 1.0, msgspec.json.encode(wrong))
+    assert complete.configuration.audit[-1].verdict.value == "checkpoint_refused"
 
 
 @pytest.mark.parametrize("changes", [1, 3])
-def test_checkpoint_of_the_same_state_says_nothing(changes: int) -> None:
+def test_checkpoint_of_the_same_state_is_not_audited(changes: int) -> None:
     replica = replica_at(changes)
     before = len(replica.configuration.audit)
     data = msgspec.json.encode(checkpoint(replica.configuration))
--- a/tests/unit/test_request_headers.py
+++ b/tests/unit/test_request_headers.py
@@ -14,14 +14,14 @@
 from railfold._internal.platform.dialect import PlatformDialect
 
 
-def decoded(**headers: str) -> ClientRequest:
+def decode(**headers: str) -> ClientRequest:
     fields = [("Host", "a.example"), ("Railfold-Attempt-Id", "r-1")]
     fields += [(name.replace("_", "-"), value) for name, value in headers.items()]
     return PlatformDialect().decode_request("POST", "/draft/", fields, b"", 10.0)
 
 
-def test_sound_numbers_are_taken() -> None:
-    request = decoded(
+def test_valid_numbers_are_decoded() -> None:
+    request = decode(
         Railfold_Deadline_Ms=" 1500 ",
         Last_Event_Id="12",
         Railfold_Token_Counts="1460, 80",
@@ -32,8 +32,8 @@
 
 
 @pytest.mark.parametrize("text", ["²", "-1", "1.5", "", "9" * 5000, "٣", "1e3"])
-def test_what_isnt_a_number_counts_as_not_sent(text: str) -> None:
-    request = decoded(
+def test_invalid_number_is_treated_as_missing(text: str) -> None:
+    request = decode(
         Railfold_Deadline_Ms=text,
         Last_Event_Id=text,
         Railfold_Token_Counts=f"{text},{text}",
@@ -44,5 +44,5 @@
 
 
 @given(st.text(st.characters(max_codepoint=255)))
-def test_no_header_raises(text: str) -> None:
-    decoded(Railfold_Deadline_Ms=text, Last_Event_Id=text, Railfold_Token_Counts=text)
+def test_arbitrary_text_raises_no_exception(text: str) -> None:
+    decode(Railfold_Deadline_Ms=text, Last_Event_Id=text, Railfold_Token_Counts=text)
--- a/tests/unit/test_server_statements.py
+++ b/tests/unit/test_server_statements.py
@@ -13,7 +13,7 @@
 import pytest
 
 from railfold._internal.platform import configuration, engines
-from railfold._internal.platform.answer_headers import READ, UNREAD
+from railfold._internal.platform.answer_headers import IGNORED_HEADERS, READ_HEADERS
 
 ROOT = Path(__file__).parent.parent.parent
 TABLE = ROOT / "docs" / "design" / "server-statements.md"
@@ -22,7 +22,7 @@
 _ROW = re.compile(r"\| `([^`]+)` \| (yes|no) \|(.*)\|")
 
 
-def listed(section: str, *, read: bool) -> set[str]:
+def documented_names(section: str, *, read: bool) -> set[str]:
     """Return the names of a section of the table that are read, or that aren't."""
     text = TABLE.read_text().split(f"## {section}\n")[1].split("\n## ")[0]
     rows = [_ROW.fullmatch(line) for line in text.splitlines()]
@@ -49,30 +49,34 @@
     return found
 
 
-def test_headers_of_answers() -> None:
+def test_answer_headers_match_the_documented_ones() -> None:
     section = "Headers in answers of backend servers"
     standard = {name.lower() for name in standard_headers_read()}
-    read = {name.lower() for name in listed(section, read=True)}
-    unread = {name.lower() for name in listed(section, read=False)}
-    assert read == READ | standard
-    assert unread == UNREAD
+    read = {name.lower() for name in documented_names(section, read=True)}
+    unread = {name.lower() for name in documented_names(section, read=False)}
+    assert read == READ_HEADERS | standard
+    assert unread == IGNORED_HEADERS
 
 
 @pytest.mark.parametrize(
     ("section", "struct", "checked_only"),
     [
-        ("Registrations", engines._Entry, {"cold_left_ms", "seq", "stage"}),
+        (
+            "Registrations",
+            engines._RegistrationRecord,
+            {"cold_left_ms", "seq", "stage"},
+        ),
         ("Reports of engines", engines._Report, set()),
     ],
 )
-def test_registrations_and_reports(
+def test_registration_and_report_fields_match_the_documented_ones(
     section: str, struct: type[msgspec.Struct], checked_only: set[str]
 ) -> None:
-    assert listed(section, read=True) | checked_only == fields_of(struct)
-    assert checked_only <= listed(section, read=False)
+    assert documented_names(section, read=True) | checked_only == fields_of(struct)
+    assert checked_only <= documented_names(section, read=False)
 
 
-def test_configuration() -> None:
+def test_configuration_fields_match_the_documented_ones() -> None:
     parts = {
         "": configuration._Configuration,
         "route.": configuration._Route,
@@ -83,4 +87,4 @@
     fields = {
         prefix + name for prefix, struct in parts.items() for name in fields_of(struct)
     }
-    assert listed("Configuration", read=True) == fields
+    assert documented_names("Configuration", read=True) == fields
