--- a/src/railfold/_internal/configuration/__init__.py
+++ b/src/railfold/_internal/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""Schema of the configuration that operators publish."""
+"""Replication of the configuration that operators publish."""
--- a/src/railfold/_internal/configuration/replica.py
+++ b/src/railfold/_internal/configuration/replica.py
@@ -1,9 +1,10 @@
-"""A process's copy of the configuration, kept level over links.
+"""A process's replica of the configuration, synchronized with its peers over links.
 
-Every frame carries its sender's version. A process that hears of a higher one
-asks that peer for its copy; a peer's copy is taken over only if it is newer
-and its digest is right. So no process ever goes back, and one that starts
-while the log is out takes the highest version that its peers offer.
+Every frame contains its sender's version. A process that receives a higher version
+than its own requests a snapshot from that peer, and restores the snapshot only if it is
+newer and its digest matches. Therefore no process returns to an older version, and a
+process that starts while the log is unavailable gets the highest version that its peers
+offer.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 class ConfigurationReplica:
     """The configuration in force in this process.
 
-    :param on_change: called after the version has risen.
+    :param on_change: called after the version has increased.
     """
 
     def __init__(self, metrics: Metrics, on_change: Callable[[], None]) -> None:
@@ -51,16 +52,17 @@
 
     @property
     def version(self) -> int:
-        """The version in force; it only ever rises."""
+        """The version in force; it never decreases."""
         return self.configuration.version
 
     def fold(self, offset: int, appended_s: float, data: bytes) -> None:
-        """Fold one log record, given as JSON."""
+        """Fold the JSON record at ``offset`` of the log; skip it if it is invalid."""
         previous_version = self.version
         try:
             record = _RECORD_DECODER.decode(data)
         except msgspec.MsgspecError:
-            # Not a record of ours, or of a later release: all processes skip it.
+            # The record may be from another writer or a later release. All processes
+            # skip it, so that their replicas stay equal.
             self._metrics.count("configuration.unreadable_records")
             self.configuration.skip(offset)
             return
@@ -78,7 +80,7 @@
         self._report_change(previous_version)
 
     def handle_frame(self, link: Link, frame: Frame) -> None:
-        """Take what a frame says of the configuration."""
+        """Process the configuration messages and the version in a peer's frame."""
         for message in frame.messages:
             match message:
                 case ConfigurationChange():
@@ -96,12 +98,12 @@
             self._request_snapshot(link)
 
     def link_down(self, link: Link) -> None:
-        """Forget what was asked of a peer whose link ended."""
+        """Discard the pending snapshot request if it was sent over this link."""
         if self._requested_link is link:
             self._requested_link = None
 
     def snapshot(self) -> ConfigurationSnapshot:
-        """Return this process's copy as a message."""
+        """Return this replica's state as a message."""
         state = self.configuration.encoded_state()
         return ConfigurationSnapshot(
             self.version,
@@ -111,7 +113,8 @@
         )
 
     def _request_snapshot(self, link: Link) -> None:
-        # One peer at a time: a copy is large, and all peers have the same.
+        # Only one request is pending at a time, since a snapshot is large and all peers
+        # have the same one.
         now_s = asyncio.get_running_loop().time()
         if (
             self._requested_link is not None
@@ -124,18 +127,20 @@
     def _restore(self, link: Link, message: ConfigurationSnapshot) -> None:
         if state_digest(message.state) != message.digest:
             self._metrics.count("configuration.snapshots_refused")
-            logging.error("configuration of peer %s has a wrong digest", link.peer.name)
+            logging.error(
+                "configuration snapshot of peer %s has a wrong digest", link.peer.name
+            )
             return
         self.restore_state(msgspec.json.decode(message.state), message.next_offset)
 
     def restore_state(self, state: dict[str, object], next_offset: int) -> None:
-        """Take over a peer's or checkpoint's state if it is newer."""
+        """Restore the state of a peer or a checkpoint if it is newer."""
         previous_version = self.version
         try:
             self.configuration.restore(state, next_offset)
         except ConfigurationRefusedError as error:
             self._metrics.count("configuration.snapshots_refused")
-            logging.error("a configuration snapshot is refused: %s", error)
+            logging.error("configuration snapshot is refused: %s", error)
             return
         self._report_change(previous_version)
 
--- a/src/railfold/_internal/configuration/scanner.py
+++ b/src/railfold/_internal/configuration/scanner.py
@@ -1,4 +1,4 @@
-"""Reading the configuration stream, over gaps that retention has made."""
+"""Apply the records of the configuration stream, also if some have expired."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 
 class FoldedRecord(msgspec.Struct, frozen=True):
-    """A record that was folded.
+    """A record that was folded into the replica.
 
-    :param previous: the replica's next offset before it.
-    :param checkpoint: the record, if it is a checkpoint.
+    :param previous: the replica's next offset before the record was folded.
+    :param data: the record as JSON.
+    :param checkpoint: the decoded record, if it is a checkpoint.
     """
 
     previous: int
@@ -28,8 +29,8 @@
 class ConfigurationScanner:
     """Folds log records into a replica.
 
-    Where records that weren't folded have expired, nothing is folded until a
-    checkpoint, or a peer's copy, leads over the gap.
+    If records have expired before they were folded, the replica has a gap. Nothing is
+    folded until a checkpoint or a peer's snapshot restores a state after the gap.
     """
 
     def __init__(self, replica: ConfigurationReplica, metrics: Metrics) -> None:
@@ -40,7 +41,7 @@
 
     @property
     def in_gap(self) -> bool:
-        """Whether records that weren't folded have expired."""
+        """Whether records have expired before they were folded."""
         return self._replica.configuration.next_offset < self._first_kept_offset
 
     def next_offset(self) -> int:
@@ -50,16 +51,16 @@
         return self._replica.configuration.next_offset
 
     def expired(self, first_offset: int) -> int:
-        """Take note that records before ``first_offset`` have expired.
+        """Record that the records before ``first_offset`` have expired.
 
-        :returns: the offset to go on from.
+        :returns: the offset to continue reading from.
         """
         self._first_kept_offset = first_offset
         self._scan_offset = first_offset
         return self.next_offset()
 
     def record(self, record: LogRecord) -> FoldedRecord | None:
-        """Take one record; return it if it was folded."""
+        """Process the next record; return it if it was folded."""
         data = msgspec.json.encode(record.body)
         checkpoint = _decode_checkpoint(data)
         if self.in_gap:
@@ -85,7 +86,9 @@
                 checkpoint.covers_offset,
             )
             return
-        logging.info("configuration restored from checkpoint of %s", checkpoint.writer)
+        logging.info(
+            "configuration was restored from a checkpoint by %s", checkpoint.writer
+        )
         self._replica.restore_state(checkpoint.state, next_offset)
 
 
--- a/src/railfold/_internal/platform/__init__.py
+++ b/src/railfold/_internal/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter of the users' platform: it translates names and forms only."""
+"""Adapter of the platform: it translates names and formats, and decides nothing."""
--- a/src/railfold/_internal/platform/adapter.py
+++ b/src/railfold/_internal/platform/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a whole."""
+"""The adapter that the forwarding entry uses to access its platform."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 
 class MetadataStorePlatform:
-    """What the forwarding entry needs of the users' platform."""
+    """Adapter of the platform whose metadata store contains the entries' streams.
+
+    :param store: address of the metadata store.
+    :param partitions: how many partitions each topic of the store has.
+    """
 
     configuration_stream = "keyed.op"
     configuration_key = "config"
@@ -27,21 +31,30 @@
         self.dialect = PlatformDialect()
 
     def new_log(self) -> KeyedLog:
-        """Return a new client of the store's log."""
+        """Return a new client of the store's log, with its own connection."""
         return KeyedLog(self._store_address)
 
     def new_member_client(self, duty: str) -> GroupLease:
-        """Return a client of the group of all entries, which names candidates."""
+        """Return a client for membership in the group of all entries.
+
+        Its grants say whether this entry is a candidate for the lease of the duty.
+        """
         return GroupLease(self._store_address, duty, self._partitions)
 
     def new_lease_client(self, duty: str) -> DutyLease:
-        """Return a client for the lease of a duty."""
+        """Return a client for the lease of a duty, which one entry holds at a time."""
         return DutyLease(self._store_address, duty, self._partitions)
 
     def decode_configuration(self, value: bytes) -> RoutingTable:
-        """Return a configuration."""
+        """Decode a configuration record.
+
+        :raises ConfigurationRefusedError: the record is invalid.
+        """
         return configuration.decode_configuration(value)
 
     def decode_registration(self, key: str, value: bytes) -> Registration:
-        """Return a backend server's registration."""
+        """Decode a backend server's registration record.
+
+        :raises EngineError: the record is invalid.
+        """
         return engines.decode_registration(key, value)
--- a/src/railfold/_internal/platform/answer_headers.py
+++ b/src/railfold/_internal/platform/answer_headers.py
@@ -1,7 +1,7 @@
-"""Names of the platform's own headers in answers, and who reads them.
+"""The platform's own headers in answers of backend servers.
 
-A name that isn't listed is new on the platform: it may state a bound that entries have
-to keep, so that it is told rather than passed over.
+A header that isn't listed here is new on the platform. It may state a limit that
+entries must respect, so entries report it rather than ignore it.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 __all__ = ["IGNORED_HEADERS", "READ_HEADERS", "unlisted_headers"]
 
-# Of backend servers' answers; read where requests and health checks are translated.
+# Read by the dialect, which translates answers to requests and health checks.
 READ_HEADERS = frozenset(
     {
         "at-server",
@@ -24,18 +24,18 @@
     }
 )
 
-# Passed on to clients, and not needed here: who answers a health check is told by the
-# check's address and start; which weights ran is part of the answer.
+# Passed on to clients, but not needed here: the address and the start time in a health
+# check identify the server, and the version of the weights only matters to the client.
 IGNORED_HEADERS = frozenset({"railfold-instance-id", "railfold-weight-versions"})
 
 _LISTED_HEADERS = READ_HEADERS | IGNORED_HEADERS
 
-# How the platform's own names begin.
+# Prefixes of the platform's own header names.
 _PLATFORM_PREFIXES = ("railfold-", "server-", "at-")
 
 
 def unlisted_headers(headers: Iterable[Header]) -> list[str]:
-    """Return the names of the platform's own headers that aren't listed here."""
+    """Return the lower-case names of platform headers that aren't listed here."""
     names = (name.lower() for name, _ in headers)
     return [
         n
--- a/src/railfold/_internal/platform/configuration.py
+++ b/src/railfold/_internal/platform/configuration.py
@@ -1,4 +1,4 @@
-"""The operator's configuration, decoded."""
+"""Decoding of the configuration that operators publish on the platform."""
 
 from __future__ import annotations
 
@@ -32,9 +32,10 @@
 
 
 class _Route(msgspec.Struct, frozen=True):
-    """``slo_ms`` is the latency objective, ``gap_aim_ms`` the longest pause allowed.
+    """A route to one ``service``, or to several in ``traffic_split``.
 
-    A route names either one service or, in ``traffic_split``, several.
+    ``slo_ms`` is the latency objective. ``gap_aim_ms`` is the objective for the longest
+    pause between two events of an answer.
     """
 
     name: str
@@ -58,9 +59,10 @@
 
 
 class _AcceleratorKind(msgspec.Struct, frozen=True):
-    """``mb`` is its memory.
+    """A kind of accelerator with ``mb`` megabytes of memory.
 
-    ``pace`` multiplies the time of decode steps, ``read_x`` that of reading prompts.
+    ``pace`` is the duration of its decode steps relative to the model's base
+    accelerator, ``read_x`` the same for processing a prompt.
     """
 
     name: str
@@ -70,14 +72,18 @@
 
 
 class _TypicalRequest(msgspec.Struct, frozen=True):
-    """Mean numbers of tokens."""
+    """Mean numbers of tokens in the prompt and in the answer."""
 
     prompt: int = 500
     answer: int = 200
 
 
 class _DomainDelay(msgspec.Struct, frozen=True):
-    """One-way latency between two failure domains, either way."""
+    """One-way latency between two failure domains, the same in both directions.
+
+    ``target_version`` contains the second failure domain; the platform uses this field
+    name for several purposes.
+    """
 
     source: str = msgspec.field(name="from")
     to: str = msgspec.field(name="target_version")
@@ -85,14 +91,18 @@
 
 
 class _Engine(msgspec.Struct, frozen=True):
-    """``slots`` is how many requests run at once.
-
-    ``kv_bytes`` is the state of one token over all layers; ``stride`` is how
-    many tokens an event of a stream holds. A decode step takes ``step_ms``, and for
-    each running request ``per_seq_ms`` and ``context_per_k`` milliseconds per 1,000
-    of its tokens more. Reading takes ``pairs_per_m`` milliseconds per million pairs
-    of a token and one before it, beside what ``read_per_s`` says. A stage passes on
-    ``act_bytes`` for each token; between failure domains all share ``pipe_mbps``.
+    """A model engine that runs up to ``slots`` requests at a time.
+
+    ``kv_bytes`` is the size of the state of one token over all layers. ``stride`` is
+    the number of tokens in one event of a stream. ``usual`` is a typical request.
+
+    A decode step takes ``step_ms``. Each request in flight adds ``per_seq_ms``, and
+    ``context_per_k`` milliseconds per 1,000 tokens of its context. Processing a prompt
+    takes the time for its tokens at ``read_per_s`` tokens per second, and in addition
+    ``pairs_per_m`` milliseconds per million pairs of a token and an earlier token.
+
+    A stage sends ``act_bytes`` bytes to the next one for each token. All transfers
+    between two failure domains share ``pipe_mbps`` megabits per second.
     """
 
     slots: int
@@ -127,7 +137,7 @@
 
 
 class _Tenant(msgspec.Struct, frozen=True):
-    """A workspace and its credentials."""
+    """A workspace with its credentials, and its priority if it has one."""
 
     name: str
     api_keys: list[str]
@@ -135,7 +145,7 @@
 
 
 class _Configuration(msgspec.Struct, frozen=True):
-    """``tenants`` is missing where no credentials are used."""
+    """The whole document; without ``tenants``, clients need no credentials."""
 
     version: int
     routes: list[_Route]
@@ -148,9 +158,9 @@
 
 
 def decode_configuration(value: bytes) -> RoutingTable:
-    """Return a configuration.
+    """Decode a configuration record.
 
-    :raises ConfigurationRefusedError: it can't be read.
+    :raises ConfigurationRefusedError: the record is invalid.
     """
     try:
         document = _DECODER.decode(value)
@@ -165,7 +175,11 @@
                 idle_timeout_s=document.limits.idle_timeout_ms / 1000.0,
             ),
         )
-    except (ValueError, LookupError, ArithmeticError) as error:  # Also a decoder's.
+    except (
+        ValueError,
+        LookupError,
+        ArithmeticError,
+    ) as error:  # Includes msgspec.DecodeError.
         raise ConfigurationRefusedError("the configuration", [str(error)]) from error
 
 
@@ -231,13 +245,13 @@
 
 
 def _sequence_step_ms(engine: _Engine) -> float:
-    """Return what a usual request in the middle of its answer adds to a step."""
+    """Return what a typical request, halfway through its answer, adds to a step."""
     context_tokens = engine.usual.prompt + engine.usual.answer / 2
     return engine.per_seq_ms + engine.context_per_k * context_tokens / 1000.0
 
 
 def _prompt_s(engine: _Engine) -> float:
-    """Return how long a base accelerator reads a usual prompt."""
+    """Return how long the base accelerator takes to process a typical prompt."""
     prompt = engine.usual.prompt
     pairs = prompt * prompt / 2
     return prompt / engine.read_per_s + engine.pairs_per_m * pairs / 1e9
--- a/src/railfold/_internal/platform/dialect.py
+++ b/src/railfold/_internal/platform/dialect.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers."""
+"""Translation of the platform's requests and answers, and of their headers."""
 
 from __future__ import annotations
 
@@ -40,43 +40,45 @@
 
 __all__ = ["PlatformDialect"]
 
-# The name means one request of a client: a client's own retry has another id.
+# Identifies one request of a client, despite its name. A client that retries by itself
+# uses another id.
 _REQUEST_ID = "Railfold-Attempt-Id"
 _DEADLINE = "Railfold-Deadline-Ms"
 _WORKSPACE = "Railfold-Tenant"
 _TARGET = "Railfold-Target-Instance"
-# The name is misleading: it holds the whole chain, with addresses and layers.
+# Contains the whole chain with addresses and layers, despite its name.
 _CHAIN = "Railfold-Hop-Count"
 _TOKEN_COUNTS = "Railfold-Token-Counts"
 _SEAL = "Railfold-Response-Seal"
 _NOT_EXECUTED = "Railfold-Not-Executed"
 _SERVER_AT_FAULT = "At-Server"
 _LAST_EVENT_ID = "Last-Event-Id"
-# Requests a second that a server in need takes from all entries together.
+# Requests per second that an overloaded server accepts from all entries together.
 _RATE_LIMIT = "Server-Limit"
 _LEAVING = "Server-Leaving"
 _LEAVING_VALUE = "1"
-# 0 is let in first, 9 last, 5 is usual.
+# From 0, which engines admit first, to 9; engines use 5 by default.
 _ENGINE_PRIORITY = "Railfold-Request-Priority"
 _MOST_URGENT = 0
 _LEAST_URGENT = 9
-# Added to a request's rank, so that the usual rank is the engines' usual one, and
-# none is as urgent as a client that waits in the middle of its answer.
-_RANK_OFFSET = 4
+# Added to a request's priority, so that the default priority of 1 becomes the engines'
+# default of 5, and no new request is as urgent as one whose client waits in the middle
+# of its answer.
+_PRIORITY_OFFSET = 4
 
 _BEARER = "bearer "
 
-# Enough for any time in milliseconds or count of tokens. Clients may send what they
-# like, and longer numbers take time to read and to reckon with.
+# Clients may send any text. Twelve digits are enough for any time in milliseconds or
+# number of tokens; longer numbers would take long to parse and to compute with.
 _NUMBER_PATTERN = re.compile(r"[0-9]{1,12}")
 
-# A rate in requests a second. Signs, exponents, words and longer numbers mean nothing.
+# A rate in requests per second. Signs, exponents, words and longer numbers are invalid.
 _RATE = re.compile(r"[0-9]{1,9}(\.[0-9]{0,9})?|\.[0-9]{1,9}")
 
-# Of a text that can't be read so much is told in logs.
+# Limit on the part of an invalid header value that is logged.
 _MAX_LOGGED_CHARACTERS = 40
 
-# Set by this process alone; what a client sends under these names is dropped.
+# Only this process sets these headers; it drops them from clients' requests.
 _RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
@@ -107,7 +109,7 @@
     """Translates requests, answers and engine calls."""
 
     def credential(self, headers: Iterable[Header]) -> str:
-        """Return the credential that a request holds; empty if it holds none."""
+        """Return the credential in a request's headers; empty if there is none."""
         return _credential({name.lower(): value for name, value in headers})
 
     def decode_request(
@@ -118,7 +120,7 @@
         body: bytes,
         now_s: float,
     ) -> ClientRequest:
-        """Return a client's request.
+        """Decode a client's request that was received at ``now_s``.
 
         :raises InvalidRequestError: a header is malformed or missing.
         """
@@ -147,7 +149,7 @@
     def forward_headers(
         self, request: ClientRequest, plan: SendPlan, now_s: float
     ) -> Sequence[Header]:
-        """Return the headers that the backend server gets."""
+        """Return the headers to send to the backend server at ``now_s``."""
         headers: list[Header] = [("Host", request.host), *request.headers]
         headers.append((_DEADLINE, str(max(1, int(plan.remaining_s(now_s) * 1000)))))
         headers.append((_TARGET, plan.registered_id))
@@ -161,7 +163,7 @@
         return headers
 
     def classify_answer(self, head: ResponseHead, request_id: str) -> AnswerKind:
-        """Return what an answer's head says."""
+        """Return what kind of answer to the request this is."""
         answered_id = head.get(_REQUEST_ID)
         if answered_id and answered_id != request_id:
             return MismatchedAnswer()
@@ -177,20 +179,22 @@
                 return UnusableAnswer("its answer is encoded")
             return ServedAnswer()
         if head.status in _NOT_RUN_STATUSES:
-            # Without the proof that it wasn't run, this isn't to be passed on.
-            return UnusableAnswer(f"it answered {head.status} without a proof")
+            # With this status a server promises that it hasn't run the request. Without
+            # the header that proves it, the answer must not be passed on.
+            return UnusableAnswer(f"it answered {head.status} without a proof header")
         if head.status >= _FIRST_SERVER_ERROR:
             return ServerFailure()
         return ServedAnswer()
 
     def unknown_headers(self, head: ResponseHead) -> Sequence[str]:
-        """Return names of the platform's own headers that aren't known here."""
+        """Return the names of platform headers that the adapter doesn't know."""
         return answer_headers.unlisted_headers(head.headers)
 
     def rate_limit(self, head: ResponseHead) -> RateLimitHeader:
-        """Return what an answer's head says of the rate that its server takes.
+        """Return the rate limit that the server advertises.
 
-        Two fields contradict each other or add nothing: neither is read.
+        A header that occurs more than once is unreadable, since the values may
+        contradict each other.
         """
         name = _RATE_LIMIT.lower()
         values = [v.strip() for n, v in head.headers if n.lower() == name]
@@ -203,37 +207,44 @@
                 return UnreadableRateLimit(", ".join(values)[:_MAX_LOGGED_CHARACTERS])
 
     def retry_after(self, head: ResponseHead) -> RetryAfterHeader:
-        """Return for how long an answer's head asks to send nothing."""
+        """Return for how long the server asks to be sent no requests."""
         return retry_after.retry_after(head)
 
     def announces_leaving(self, head: ResponseHead) -> bool:
-        """Return whether an answer's head says that its server leaves."""
+        """Return whether the server announces that it is leaving."""
         return head.get(_LEAVING).strip() == _LEAVING_VALUE
 
     def report_call(self) -> EngineCall:
-        """Return the call that asks an engine for its report."""
+        """Return the call that requests an engine's report."""
         return engines.report_call()
 
     def decode_report(self, body: bytes) -> EngineReport:
-        """Return an engine's report."""
+        """Decode the body of an engine's report.
+
+        :raises EngineError: the body is invalid.
+        """
         return engines.decode_report(body)
 
     def decode_started_at_ms(self, body: bytes) -> int | None:
-        """Return when the server that sent a message started, if the message tells."""
+        """Return the start time of the server that sent ``body``, if it is included."""
         return engines.decode_started_at_ms(body)
 
     def place_call(
         self, layers: LayerRange, fencing_token: int, order_count: int
     ) -> EngineCall:
-        """Return the order to hold these layers."""
+        """Return the call that orders an engine to load these layers.
+
+        :param fencing_token: token of the lease under which the order is given.
+        :param order_count: number of accepted orders in the engine's latest report.
+        """
         return engines.place_call(layers, fencing_token, order_count)
 
     def reroute_call(self, request_id: str, chain: Chain) -> EngineCall:
-        """Return the order to go on with a running request over another chain."""
+        """Return the call that moves a running request to another chain."""
         return engines.reroute_call(request_id, chain)
 
     def classify_order_answer(self, head: ResponseHead) -> OrderOutcome:
-        """Return what the answer to an order says."""
+        """Return the outcome of an order by the engine's answer to it."""
         if head.status in _ACCEPTED:
             return OrderAccepted()
         if head.status == _FENCED:
@@ -244,7 +255,7 @@
 def _engine_priority(plan: SendPlan) -> int:
     if plan.urgent:
         return _MOST_URGENT
-    return min(_LEAST_URGENT, _RANK_OFFSET + plan.priority)
+    return min(_LEAST_URGENT, _PRIORITY_OFFSET + plan.priority)
 
 
 def _credential(fields: dict[str, str]) -> str:
@@ -259,7 +270,7 @@
 
 
 def _request_size(text: str) -> RequestSize:
-    """Return the sizes in ``prompt,answer``."""
+    """Return the token counts in ``prompt,answer``; unknown sizes if it is invalid."""
     prompt_text, _, answer_text = text.partition(",")
     prompt, answer = _whole_number(prompt_text), _whole_number(answer_text)
     if prompt is None or answer is None:
@@ -268,6 +279,6 @@
 
 
 def _whole_number(text: str) -> int | None:
-    """Return the number in a header of a client; ``None`` if it isn't one."""
+    """Return the number in a client's header value; ``None`` if it is invalid."""
     match = _NUMBER_PATTERN.fullmatch(text.strip())
     return int(match[0]) if match else None
--- a/src/railfold/_internal/platform/engines.py
+++ b/src/railfold/_internal/platform/engines.py
@@ -1,4 +1,4 @@
-"""Backend servers' registrations and reports, and orders to engines."""
+"""Decoding of registrations and engine reports, and encoding of orders to engines."""
 
 from __future__ import annotations
 
@@ -27,15 +27,16 @@
 _ORDER_PATH = "/railfold/order"
 _JSON_HEADER = ("Content-Type", "application/json")
 
-# Others may write registrations too. A live server's takes some 400 bytes; more than
-# this is not one, and is not worth the time to read it.
+# Other clients of the store may write to the stream of registrations too. A server's
+# registration has about 400 bytes; a record above this limit isn't decoded, to save the
+# time.
 _MAX_REGISTRATION_BYTES = 16 * 1024
 
-# Ids and addresses go into headers of every request, as they are.
+# Ids and addresses are copied unescaped into the headers of every request.
 _HEADER_SAFE_TEXT = re.compile(r"[!-~]{1,128}")
 
-# Far beyond any model and server there is, and small enough to count through. They
-# keep a figure that means nothing from becoming work or memory inside.
+# Limits far above any real model and server, and low enough to iterate over. They keep
+# an invalid number from using up processor time or memory.
 _MAX_LAYERS = 4096
 _MAX_SLOTS = 1_000_000
 _MAX_SLOWNESS = 10_000.0
@@ -53,9 +54,10 @@
 
 
 class _Layers(msgspec.Struct, frozen=True):
-    """``from`` is the first layer, ``target_version`` the one after the last.
+    """Layers from ``from`` up to, but not including, ``target_version``.
 
-    The second name serves several calls; it holds no version here.
+    The platform uses the second field name for several purposes; it isn't a version
+    here.
     """
 
     first: _LayerNumber | None = msgspec.field(default=None, name="from")
@@ -64,12 +66,12 @@
 
 
 class _RegistrationRecord(msgspec.Struct, frozen=True):
-    """A registration; its id is the record's key.
+    """A backend server's registration; its id is the record's key.
 
-    ``kind`` is the accelerator's. ``cold_left_ms``, ``stage`` and ``seq`` aren't used,
-    but a record in which they are of another type is none of a backend server.
-    ``born`` is the Unix time of the server's start, in milliseconds; older platforms
-    don't tell it.
+    ``kind`` is the kind of accelerator. ``cold_left_ms``, ``stage`` and ``seq`` are
+    only validated, because a record in which they have another type isn't a backend
+    server's. ``born`` is the Unix time of the server's start, in milliseconds; older
+    versions of the platform don't include it.
     """
 
     service: _Name
@@ -88,15 +90,15 @@
 
 
 class _StalledRequest(msgspec.Struct, frozen=True):
-    """A request (``id``) that stands still, and whom it waits for."""
+    """A stalled request; ``address`` is the backend server that it waits for."""
 
     address: str = ""
 
 
 class _Report(msgspec.Struct, frozen=True):
-    """An engine's state; ``seq`` counts the orders that it has begun.
+    """An engine's state; ``seq`` is the number of orders that it has accepted.
 
-    ``pace`` is how many times longer than usual its steps take.
+    ``pace`` is the duration of its steps relative to the usual one.
     """
 
     seq: _Count = 0
@@ -108,13 +110,13 @@
 
 
 class _Incarnation(msgspec.Struct, frozen=True):
-    """What any message of a server tells of the server itself."""
+    """The start time that a server includes in any of its messages."""
 
     born: _StartedAt | UnsetType = UNSET
 
 
 class _PlaceOrder(msgspec.Struct, frozen=True):
-    """``target_version`` is the layer after the last one to hold."""
+    """An order to load layers; ``target_version`` is the end, which is exclusive."""
 
     first: int = msgspec.field(name="from")
     target_version: int
@@ -136,29 +138,29 @@
 
 
 def decode_registration(key: str, value: bytes) -> Registration:
-    """Return a backend server's registration.
+    """Decode a backend server's registration record with this key.
 
-    :raises EngineError: it can't be read, or says what no backend server can mean.
+    :raises EngineError: the record is invalid.
     """
     if not _HEADER_SAFE_TEXT.fullmatch(key):
-        raise EngineError("a registration's id can't be used", why=repr(key[:40]))
+        raise EngineError("a registration's id is invalid", why=repr(key[:40]))
     if len(value) > _MAX_REGISTRATION_BYTES:
         raise EngineError("a registration is too large", why=f"{len(value)} bytes")
     try:
         record = _REGISTRATION_DECODER.decode(value)
         return _registration(key, record)
-    except ValueError as error:  # Also a decoder's.
+    except ValueError as error:  # Includes msgspec.DecodeError.
         raise EngineError("a registration can't be read", why=str(error)) from error
 
 
 def _registration(key: str, record: _RegistrationRecord) -> Registration:
-    """Translate an entry.
+    """Translate a registration record.
 
-    :raises ValueError: its address or layers mean nothing.
+    :raises ValueError: its address or its layers are invalid.
     """
     address = parse_address(record.address)
     if address.port == 0 or not _HEADER_SAFE_TEXT.fullmatch(record.address):
-        raise ValueError(f"{record.address!r} can't be connected to")
+        raise ValueError(f"{record.address!r} isn't a valid address of a server")
     return Registration(
         registered_id=key,
         service=record.service,
@@ -175,20 +177,20 @@
 
 
 def _software_version(record: _RegistrationRecord) -> str:
-    """Return what tells software and weights apart from others."""
+    """Return a text that identifies the versions of the software and the weights."""
     weights = f" weights {record.models[0].version}" if record.models else ""
     return f"{record.version}{weights}"
 
 
 def decode_report(body: bytes) -> EngineReport:
-    """Return an engine's report.
+    """Decode the body of an engine's report.
 
-    :raises EngineError: it can't be read, or says what no engine can mean.
+    :raises EngineError: the body is invalid.
     """
     try:
         report = _REPORT_DECODER.decode(body)
         layers = _layer_range(report.layers)
-    except ValueError as error:  # Also a decoder's.
+    except ValueError as error:  # Includes msgspec.DecodeError.
         raise EngineError("a report can't be read", why=str(error)) from error
     return EngineReport(
         order_count=report.seq,
@@ -201,18 +203,21 @@
 
 
 def decode_started_at_ms(body: bytes) -> int | None:
-    """Return when the server that sent a message started, if the message tells."""
+    """Return the start time of the server that sent ``body``, if it is included.
+
+    The time is a Unix time in milliseconds.
+    """
     try:
         return _started_at_ms(_INCARNATION_DECODER.decode(body).born)
     except msgspec.DecodeError:
-        # A plain service's health answer may be any text.
+        # The body of a plain service's health check may be any text.
         return None
 
 
 def _layer_range(layers: _Layers | None) -> LayerRange | None:
-    """Translate layers; none is held if the range is empty.
+    """Return the range of layers; ``None`` if it is missing or empty.
 
-    :raises ValueError: one end is missing, or they are the wrong way round.
+    :raises ValueError: only one end is given, or the end is before the start.
     """
     if layers is None:
         return None
@@ -220,7 +225,7 @@
     if first is None and end is None:
         return None
     if first is None or end is None or end < first:
-        raise ValueError("layers without two ends in order")
+        raise ValueError("the layers need a start and an end that isn't before it")
     return LayerRange(first, end - 1) if end > first else None
 
 
@@ -229,12 +234,16 @@
 
 
 def report_call() -> EngineCall:
-    """Return the call that asks an engine for its report."""
+    """Return the call that requests an engine's report."""
     return EngineCall("GET", _REPORT_PATH, (("Host", "engine"),))
 
 
 def place_call(layers: LayerRange, fencing_token: int, order_count: int) -> EngineCall:
-    """Return the order to hold these layers and no others."""
+    """Return the call that orders an engine to hold exactly these layers.
+
+    :param fencing_token: token of the lease under which the order is given.
+    :param order_count: number of accepted orders in the engine's latest report.
+    """
     order = _PlaceOrder(
         first=layers.first,
         target_version=layers.last + 1,
@@ -245,7 +254,7 @@
 
 
 def reroute_call(request_id: str, chain: Chain) -> EngineCall:
-    """Return the order to go on with a request over another chain."""
+    """Return the call that moves a running request to another chain."""
     return _order_call(
         msgspec.json.encode(_RerouteOrder(request_id, chain_text(chain)))
     )
@@ -256,7 +265,7 @@
 
 
 def chain_text(chain: Chain) -> str:
-    """Return a chain as engines read it: the end of a range is exclusive."""
+    """Return a chain in the engines' format; the end of a range is exclusive."""
     return ",".join(
         f"{stage.address}={stage.layers.first}-{stage.layers.last + 1}"
         for stage in chain.stages
--- a/src/railfold/_internal/platform/retry_after.py
+++ b/src/railfold/_internal/platform/retry_after.py
@@ -1,4 +1,4 @@
-"""Retry-After in answers: seconds, with fractions, or an HTTP date."""
+"""The Retry-After header: seconds, also with a fraction, or an HTTP date."""
 
 from __future__ import annotations
 
@@ -19,16 +19,17 @@
 
 _NAME = "Retry-After"
 
-# Signs, exponents, words and longer numbers mean nothing.
+# Signs, exponents, words and longer numbers are invalid.
 _SECONDS = re.compile(r"[0-9]{1,12}(\.[0-9]{0,9})?|\.[0-9]{1,9}")
 
 _MAX_LOGGED_CHARACTERS = 40
 
 
 def retry_after(head: ResponseHead) -> RetryAfterHeader:
-    """Return what an answer's head asks for.
+    """Return the delay that an answer's Retry-After header asks for.
 
-    Several fields contradict the standard; the longest delay satisfies them all.
+    The standard allows only one such header. If there are several, the longest delay is
+    used, since it satisfies all of them.
     """
     name = _NAME.lower()
     values = [value.strip() for key, value in head.headers if key.lower() == name]
@@ -47,7 +48,8 @@
     retry_at = _http_date(value)
     if retry_at is None:
         return None
-    # By the server's own clock, if it tells its time: hosts' clocks differ.
+    # Relative to the server's own clock if the answer has a Date, since hosts' clocks
+    # differ.
     date = _http_date(head.get("Date"))
     answered_unix_s = date.timestamp() if date else clock.unix_time_s()
     return max(0.0, retry_at.timestamp() - answered_unix_s)
@@ -58,5 +60,5 @@
         date = parsedate_to_datetime(value)
     except (TypeError, ValueError, OverflowError):
         return None
-    # A date without a zone would be read in the host's own.
+    # A date without a time zone would be interpreted in this host's zone.
     return date if date.tzinfo is not None else None
--- a/src/railfold/_internal/platform/settings.py
+++ b/src/railfold/_internal/platform/settings.py
@@ -1,7 +1,7 @@
-"""The settings file that the platform lays beside each process.
+"""The settings file that the platform provides for each process.
 
-The path stands in the environment; the format is the platform's. Fields that
-this process doesn't use are passed over.
+An environment variable contains its path, and the platform defines its format. Fields
+that this process doesn't use are ignored.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 SETTINGS_VARIABLE = "RAILFOLD_NODE_FILE"
 
-# As many as make a key of 128 bits in base64.
+# Length of a key of 128 bits in base64.
 _MIN_KEY_CHARACTERS = 22
 
 _MB = 1024 * 1024
@@ -36,9 +36,9 @@
 
 
 class _Listen(msgspec.Struct, frozen=True):
-    """Addresses that the platform sends something to.
+    """Addresses on which the process listens.
 
-    ``front`` is where clients come, ``ready`` where the balancer asks.
+    ``front`` serves clients, ``ready`` the load balancer's readiness probes.
     """
 
     front: str
@@ -46,14 +46,14 @@
 
 
 class _Bounds(msgspec.Struct, frozen=True):
-    """Bounds of the rules that are in force.
-
-    ``drain_ms``: how long after a backend server has registered that it leaves new work
-    may still reach it.
-    ``revoke_ms``: how long after its removal a credential may still be used.
-    ``budget_ratio`` and ``budget_slack``: what all entries may send beyond the
-    first send of each request, as a share and a number, in any window of
-    ``budget_window_s``.
+    """Limits that the platform sets for entries.
+
+    ``grace_s``: time between the signal to stop and the kill.
+    ``drain_ms``: how long a backend server that has registered as leaving may still be
+    sent new requests.
+    ``revoke_ms``: how long a credential may still be used after its removal.
+    ``budget_ratio`` and ``budget_slack``: limit of the retries of all entries together
+    in any ``budget_window_s``, as a share of first attempts and a number beyond it.
     """
 
     grace_s: float = 8.0
@@ -65,23 +65,23 @@
 
 
 class _Limits(msgspec.Struct, frozen=True):
-    """What the host has for this process."""
+    """Resources of the host that this process may use."""
 
     memory_mb: Annotated[float, Meta(gt=0)] = DEFAULT_MEMORY_BYTES / _MB
 
 
 class _Store(msgspec.Struct, frozen=True):
-    """The metadata store; ``parts`` is how many partitions a topic has."""
+    """The metadata store; ``parts`` is the number of partitions of each topic."""
 
     address: str
     parts: int = 1
 
 
 class _SettingsFile(msgspec.Struct, frozen=True):
-    """The whole file, as far as it is used.
+    """The fields of the file that this process uses.
 
-    ``port_range`` is the first and the last of the ports that are left free for what
-    daemons say to each other. ``peer_key`` and ``chain_choice`` aren't the platform's:
+    ``port_range`` contains the first and the last port that are reserved for messages
+    between processes. ``peer_key`` and ``chain_choice`` aren't defined by the platform;
     operators may add them.
     """
 
@@ -100,7 +100,7 @@
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    """What the file says, decoded."""
+    """The decoded settings file."""
 
     forwarding: ForwardingSettings
     store: Address
@@ -108,9 +108,9 @@
 
 
 def settings_path() -> Path:
-    """Return the settings file's path.
+    """Return the path of the settings file from the environment.
 
-    :raises SettingsError: the environment names none.
+    :raises SettingsError: the environment variable isn't set.
     """
     path = os.environ.get(SETTINGS_VARIABLE)
     if not path:
@@ -121,11 +121,11 @@
 def load_platform_settings(
     path: Path, metrics_port: int | None = None
 ) -> PlatformSettings:
-    """Return the settings in a file.
+    """Load a settings file.
 
-    :param metrics_port: where metrics are served on the process's own address;
-        the deploy file tells it, since the platform reads it there too.
-    :raises SettingsError: with every fault found.
+    :param metrics_port: port that serves metrics on the process's own address. It isn't
+        in the settings file but in the deploy file, which the platform reads too.
+    :raises SettingsError: the file can't be read or is invalid; lists all faults.
     """
     try:
         data = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -137,7 +137,7 @@
 
 
 class _SettingsDecoder:
-    """Decodes one file and gathers its faults."""
+    """Decodes one file and collects its faults."""
 
     def __init__(self, path: Path, metrics_port: int | None) -> None:
         self._path = path
@@ -190,7 +190,7 @@
         return self._parse_address("ip", f"{ip}:{self._metrics_port}")
 
     def _peer_address(self, document: _SettingsFile) -> Address | None:
-        """Return where other entries' messages are taken: at the range's last port."""
+        """Return the address for other entries' messages: the range's last port."""
         if document.port_range is None:
             return None
         return self._parse_address("ip", f"{document.ip}:{document.port_range[-1]}")
--- a/src/railfold/_internal/platform/store.py
+++ b/src/railfold/_internal/platform/store.py
@@ -1,7 +1,4 @@
-"""Client of the platform's metadata store.
-
-Every client keeps one connection of its own.
-"""
+"""Clients of the platform's metadata store; each has its own connection."""
 
 from __future__ import annotations
 
@@ -32,41 +29,42 @@
 
 __all__ = ["DutyLease", "GroupLease", "KeyedLog"]
 
-# Beyond the time that the store itself may wait. It answers in 4 ms, and up to
-# 60 times as slow in its bad times.
+# In addition to the time for which the store itself may wait. It usually answers within
+# 4 ms, and takes up to 60 times as long when it is overloaded.
 _ANSWER_TIMEOUT_S = 1.0
 
-# An answer to a read may take longer, as long as some of it arrives in each such time:
-# a large record fills a slow link for seconds.
+# An answer to a read may take longer in total, as long as bytes arrive at least this
+# often: a large record occupies a slow link for seconds.
 _READ_STALL_TIMEOUT_S = 1.0
 
-# A slow link of 10 Mbit/s carries it in a tenth of a second.
+# Limit on one read: a slow link of 10 Mbit/s transfers this within 0.1 s.
 _READ_KB = 128
 
 _OK = 200
 _GONE = 410
 _PRECONDITION_FAILED = 412
 
-# Rises by one whenever the store comes back from an older copy.
+# Increases by one whenever the store is restored from an older copy.
 _EPOCH_HEADER = "Store-Era"
 
 _JSON = "application/json"
 _RAW = "application/octet-stream"
 
-# Far beyond what it can reach by rising one by one; a token keeps it beside others.
+# Far above any real epoch, which increases by one per restore. A fencing token has room
+# for an epoch up to this limit beside the generation.
 _MAX_EPOCH = 2**16
 
-# All streams of the system have one partition that is used: the first.
+# All streams use only the first partition of their topic.
 _PARTITION = 0
 
-# The store deals out the partitions of no more topics than this to a group, and passes
-# over the others without a word. One's share of them tells how many members there are.
-# All that it deals are asked for; where there are more entries than partitions, their
-# own list tells how many there are.
+# The store assigns the partitions of at most this many topics to a group and silently
+# ignores further topics. A member's share of the partitions shows how many members
+# there are. Members ask for no topics beyond this limit; if there are more entries than
+# partitions, the number of entries follows from the entries' own list.
 _MAX_TOPICS = 20
 
-# As many as one's share tells well enough among some hundred; more make each renewal
-# larger.
+# With this many partitions, shares are precise enough to count some hundred members.
+# More partitions would make each renewal larger.
 _MIN_PARTITIONS = 400
 
 _PAGE_HEAD = struct.Struct(">QQ")
@@ -76,7 +74,10 @@
 
 
 class _NewestItem(msgspec.Struct, frozen=True):
-    """``value`` is in base64; none means that the key is gone."""
+    """A key's newest record; a ``value`` of None means that the key was removed.
+
+    The value is encoded in base64.
+    """
 
     key: str
     offset: int
@@ -84,7 +85,11 @@
 
 
 class _NewestPage(msgspec.Struct, frozen=True):
-    """``more_pages`` is true if keys follow; ``end`` is the stream's end."""
+    """Some keys with their newest records, in the order of keys.
+
+    ``end`` is the offset at which the stream ends; ``more_pages`` says that more keys
+    follow.
+    """
 
     items: list[_NewestItem]
     end: int
@@ -92,14 +97,18 @@
 
 
 class _JoinAnswer(msgspec.Struct, frozen=True):
-    """``parts`` are rows of topic, partition and committed offset."""
+    """Answer to a member that joins a group or renews its membership.
+
+    ``parts`` lists the partitions assigned to the member, each as topic, partition and
+    committed offset.
+    """
 
     generation: int
     parts: list[tuple[str, int, int]] = []
 
 
 class _StoreConnection:
-    """Makes one call at a time, over a connection of its own."""
+    """Makes calls to the store, one at a time, over its own connection."""
 
     def __init__(self, address: Address) -> None:
         self._connection = PersistentConnection(address)
@@ -113,9 +122,13 @@
         content_type: str = _JSON,
         stall_timeout_s: float | None = None,
     ) -> Response:
-        """Make a call; return its answer: done, or refused for its condition.
+        """Make a call; return an answer with status 200 or 412 (precondition failed).
 
-        :raises LogUnavailableError: no sound answer came.
+        :param wait_s: for how long the store may wait before it answers.
+        :param stall_timeout_s: if given, the answer may take longer in total, as long
+            as bytes of it arrive at least this often.
+        :raises RecordsExpiredError: the requested records have expired.
+        :raises LogUnavailableError: no answer arrived in time, or it is an error.
         """
         headers: list[Header] = [("Host", str(self._connection.address))]
         if body:
@@ -137,18 +150,20 @@
 
 
 class KeyedLog:
-    """Reads and writes streams that keep the newest record of each key."""
+    """Reads and writes keyed streams, which keep the newest record of each key."""
 
     def __init__(self, address: Address) -> None:
         self._store = _StoreConnection(address)
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
-        """Return records from ``offset`` on, or the newest of each key.
+        """Return records from ``offset`` on, or the newest record of each key.
 
-        Of many records the first ones are returned, perhaps none.
+        If there are more records than fit into one answer, only the first ones are
+        returned, possibly none.
 
         :param offset: negative to get the newest record of each key.
-        :raises RecordsExpiredError: ``offset`` is before the first kept record.
+        :param wait_s: for how long to wait for a record if there is none.
+        :raises RecordsExpiredError: ``offset`` is before the first retained record.
         :raises LogUnavailableError: the store can't be read now.
         """
         if offset < 0:
@@ -173,15 +188,16 @@
     async def put(
         self, stream: str, key: str, value: bytes, expected_end: int | None = None
     ) -> bool:
-        """Write the newest record of a key; no value takes it away.
+        """Write the newest record of a key; an empty value removes the key.
 
-        :param expected_end: write only if the stream ends there.
-        :return: whether it was written; not, if the stream ends elsewhere.
-        :raises LogUnavailableError: no answer came; it may be written, also later.
+        :param expected_end: write only if the stream ends at this offset.
+        :return: whether the record was written; False if the stream ends elsewhere.
+        :raises LogUnavailableError: no answer arrived; the record may have been written
+            or may still be.
         """
         fields: dict[str, str | int] = {"topic": stream, "part": _PARTITION}
         if expected_end is not None:
-            # The name says revision; it takes the offset at which the stream ends.
+            # Takes the offset at which the stream ends, despite its name.
             fields["current_rev"] = expected_end
         name = key.encode()
         record = bytes([len(name)]) + name + value
@@ -201,7 +217,7 @@
         while True:
             fields = {"topic": stream, "part": _PARTITION}
             if after:
-                # The name says revision; it takes the last key of a page.
+                # Takes the last key of the previous page, despite its name.
                 fields["after_rev"] = after
             query = urlencode(fields)
             response = await self._store.call(
@@ -211,15 +227,18 @@
             )
             transfer_s += response.transfer_s
             if epoch not in (None, _epoch_of(response)):
-                raise LogUnavailableError("the store went back while it was read")
+                raise LogUnavailableError(
+                    "the store was restored from an older copy during a read"
+                )
             epoch = _epoch_of(response)
-            # A key that isn't UTF-8 must not hide the records beside it.
+            # A key that isn't valid UTF-8 must not make the other records unreadable.
             text = response.body.decode("utf-8", "replace")
             page = _decode_json(text, _NewestPage)
             records += [_decode_newest_item(item) for item in page.items]
             last = page.items[-1].key if page.items else after
             if not page.more_pages or last == after:
-                # The first page's end: what came since is read again.
+                # Every page gives the stream's end as of the first page, so records
+                # that were written during this read are read again.
                 records.sort(key=lambda record: record.offset)
                 return LogPage(records, 0, page.end, transfer_s, epoch)
             after = last
@@ -236,10 +255,14 @@
 
 
 def _decode_page(response: Response, offset: int) -> LogPage:
-    """Decode the end, the first kept offset, then records with their lengths."""
+    """Decode a page of records, the first of which is at ``offset``.
+
+    The body contains the offset at which the stream ends, the first retained offset,
+    and then records, each preceded by its length.
+    """
     body = response.body
     if len(body) < _PAGE_HEAD.size:
-        raise LogUnavailableError("the store's answer is cut short")
+        raise LogUnavailableError("the store's answer is truncated")
     end, first = _PAGE_HEAD.unpack_from(body)
     records: list[LogRecord] = []
     position = _PAGE_HEAD.size
@@ -247,7 +270,7 @@
         (length,) = _LENGTH.unpack_from(body, position)
         position += _LENGTH.size
         if position + length > len(body):
-            raise LogUnavailableError("a record in the store's answer is cut short")
+            raise LogUnavailableError("a record in the store's answer is truncated")
         record = body[position : position + length]
         records.append(LogRecord(offset, 0.0, _decode_keyed_value(record)))
         position += length
@@ -256,20 +279,21 @@
 
 
 def _epoch_of(response: Response) -> int:
-    """Return the epoch that an answer tells; 0 for a store that tells none.
+    """Return the store's epoch from an answer's header; 0 if the header is missing.
 
-    :raises LogUnavailableError: it can't be read.
+    :raises LogUnavailableError: the header is invalid.
     """
     text = response.head.get(_EPOCH_HEADER, "0")
     if not (text.isascii() and text.isdigit()) or int(text) > _MAX_EPOCH:
-        raise LogUnavailableError("the store's epoch can't be read", why=text[:40])
+        raise LogUnavailableError("the store's epoch is invalid", why=text[:40])
     return int(text)
 
 
 def _decode_keyed_value(record: bytes) -> KeyedValue:
-    """Decode a key's length, the key and the value.
+    """Decode a record: the length of the key in one byte, the key, and the value.
 
-    A key that isn't text is kept recognizable: it is of no use, and its reader says so.
+    Invalid bytes in a key are replaced. Such a key isn't usable, but the reader of the
+    record can name it when it reports the record.
     """
     key_length = record[0] if record else 0
     key = record[1 : 1 + key_length].decode("utf-8", "replace")
@@ -281,21 +305,26 @@
         return msgspec.json.decode(body, type=type_)
     except msgspec.DecodeError as error:
         raise LogUnavailableError(
-            "the store's answer can't be read", why=str(error)
+            "the store's answer is invalid", why=str(error)
         ) from error
 
 
 class GroupLease:
-    """A lease made of a group: who is dealt the first partition holds it.
+    """A lease based on a group: the member with the first partition holds the lease.
+
+    The members with the first three partitions, the middle one and the last one are the
+    candidates for the leases of duties. These are three to five members, whether the
+    store assigns partitions round-robin or in ranges.
 
-    The first three partitions, the middle and the last one name the candidates for
-    other duties: three to five members, whether partitions are dealt in turn or in
-    ranges.
+    Partitions are assigned evenly, so that a member's share shows how many members
+    there are (:class:`PartitionAssignment`). The group's generation increases with
+    every change of its members. It falls when the store is restored from an older copy,
+    so the fencing token combines the store's epoch with the generation.
 
-    Partitions are dealt out evenly, so that a member's share tells how many
-    members there are (:class:`PartitionAssignment`). The group's generation rises with
-    every change of its members. It falls when the store comes back from an older copy,
-    so that the fencing token is made of the store's epoch and the generation.
+    :param duty: name of the duty, which is a part of the names of group and topics.
+    :param partitions: number of partitions of each topic.
+    :param min_partitions: the group uses enough topics for this many partitions, as far
+        as the store allows.
     """
 
     _generation_base = 0
@@ -321,9 +350,10 @@
         }
 
     async def renew(self, holder: str, duration_s: float) -> LeaseGrant:
-        """Ask for the lease, or keep it.
+        """Request the lease, or renew it, for ``duration_s``.
 
-        :raises LogUnavailableError: no answer came.
+        :param holder: the caller's member id in the group.
+        :raises LogUnavailableError: no valid answer arrived.
         """
         body = msgspec.json.encode(
             {
@@ -337,11 +367,12 @@
         response = await self._store.call("POST", "/railfold/log-join", body)
         epoch = _epoch_of(response)
         if epoch < self._epoch:
-            raise LogUnavailableError("an answer of the store's older epoch")
+            raise LogUnavailableError("the store's answer has an outdated epoch")
         joined = _decode_json(response.body, _JoinAnswer)
         assigned = {(row[0], row[1]) for row in joined.parts}
-        # This answer is to a generation of another history: what it deals is taken
-        # once it was asked for with the present one.
+        # After a restore of the store, the generation in this request is from the lost
+        # history. The assignment counts only once a request with the new generation has
+        # been answered.
         same_history = epoch == self._epoch or self._generation == 0
         self._epoch = epoch
         self._generation = joined.generation if same_history else 0
@@ -352,19 +383,19 @@
         return LeaseGrant(is_holder, token, assignment, epoch, is_candidate)
 
     async def release(self, holder: str) -> None:
-        """Give the lease back.
+        """Release the lease by leaving the group.
 
-        :raises LogUnavailableError: no answer came.
+        :raises LogUnavailableError: no valid answer arrived.
         """
         body = msgspec.json.encode({"group": self._group, "member": holder})
         await self._store.call("POST", "/railfold/log-leave", body)
 
 
 class DutyLease(GroupLease):
-    """The lease of a duty, among its candidates.
+    """The lease of a duty, for which only candidates ask.
 
-    Its tokens lie above those of a group of all members, under which the same duty may
-    have been done.
+    Its fencing tokens are higher than those of the group of all members within the same
+    epoch, since the same duty may have been performed under a token of that group.
     """
 
     _generation_base = 2**35
--- a/src/railfold/_internal/settings/models.py
+++ b/src/railfold/_internal/settings/models.py
@@ -1,8 +1,8 @@
-"""Settings of a process, from its TOML file.
+"""Settings of a process, read from its TOML file.
 
-Settings name addresses, places, timeouts and bounds of one process. What
-operators steer together (workspaces, pipelines, services) is configuration
-and comes from the platform's log.
+Settings contain the addresses, location, timeouts and limits of one process. What
+applies to all processes (workspaces, pipelines, services) is the configuration, which
+operators publish to the platform's log.
 """
 
 from __future__ import annotations
@@ -41,14 +41,14 @@
 
 
 class StatsdSettings(_Section):
-    """Where metrics go."""
+    """The StatsD server that receives the metrics."""
 
     address: AddressField
     interval_s: Seconds = 10.0
 
 
 class LinkSettings(_Section):
-    """Bounds of links between railfold processes."""
+    """Limits of links between railfold processes."""
 
     max_frame_bytes: int = Field(default=16 * 1024 * 1024, ge=65536)
     max_queued_bytes: int = Field(default=64 * 1024 * 1024, ge=65536)
@@ -63,7 +63,7 @@
 
 
 class PlatformSettings(_Section):
-    """The platform's services."""
+    """The platform's services, and how the entry uses their streams."""
 
     log_url: Url
     hosts_url: Url
@@ -79,7 +79,7 @@
 
 
 class CallerLimits(_Section):
-    """Bounds of what callers may send."""
+    """Limits on callers' requests."""
 
     max_body_bytes: int = Field(default=1024 * 1024, ge=1024)
     max_header_bytes: int = Field(default=16 * 1024, ge=1024)
@@ -90,7 +90,7 @@
 
 
 class RoutingSettings(_Section):
-    """Timeouts and bounds of routing and recovery."""
+    """Timeouts and limits of routing and recovery."""
 
     max_attempts: int = Field(default=6, ge=1, le=100)
     retry_share: float = Field(default=0.2, ge=0, le=10)
@@ -109,10 +109,11 @@
 
 
 class DrainSettings(_Section):
-    """How a planned stop goes.
+    """Timing of a planned stop.
 
-    ``notice_s`` is the time that the balancer is given to see that the process
-    isn't ready, before it stops accepting.
+    ``notice_s`` is the time for the load balancer to notice that the process isn't
+    ready, before the process stops accepting connections. ``timeout_s`` limits the
+    whole drain.
     """
 
     notice_s: Annotated[float, Field(ge=0, le=600)] = 5.0
@@ -143,7 +144,7 @@
 
 
 class EngineBackendSettings(_Section):
-    """A model engine beside the agent."""
+    """A model engine on the agent's host."""
 
     kind: Literal["engine"]
     url: Url
@@ -155,9 +156,10 @@
 
 
 class OrderSettings(_Section):
-    """How the agent gives orders to its engine.
+    """Orders of the agent to its engine.
 
-    ``loads_per_s`` is what the weight store allows all hosts together.
+    ``loads_per_s`` is the rate of loads that the weight store allows for all hosts
+    together.
     """
 
     lease_s: Seconds = 5.0
@@ -166,7 +168,7 @@
 
 
 class ServiceBackendSettings(_Section):
-    """A plain service beside the agent."""
+    """A plain service on the agent's host."""
 
     kind: Literal["service"]
     service: Name
@@ -202,9 +204,9 @@
 
 
 def load_settings(path: Path) -> EntrySettings | AgentSettings:
-    """Return the validated settings in a TOML file.
+    """Load and validate a settings file.
 
-    :raises SettingsError: with every fault found.
+    :raises SettingsError: the file can't be read or is invalid; lists all faults.
     """
     try:
         data = tomllib.loads(path.read_text(encoding="utf-8"))
--- a/src/railfold/_internal/store/claim_records.py
+++ b/src/railfold/_internal/store/claim_records.py
@@ -1,4 +1,4 @@
-"""Claim records as they stand in the log's claims stream."""
+"""Format of claim records in the claims stream of the log."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 def encode_claim(write_id: str, record: ClaimRecord) -> object:
-    """Return a record's JSON value."""
+    """Return the body of a log record as plain data for JSON."""
     key = record.key
     stored: StoredClaimRecord
     match record:
@@ -76,9 +76,9 @@
 
 
 def decode_claim(body: object) -> tuple[str, ClaimRecord]:
-    """Return the write id and the record in a log record's body.
+    """Return the write id and the claim record in a log record's body.
 
-    :raises msgspec.ValidationError: it isn't a claim record.
+    :raises msgspec.ValidationError: the body isn't a claim record.
     """
     stored = msgspec.convert(body, StoredClaimRecord)
     key = ClaimKey(stored.workspace, stored.key)
--- a/src/railfold/_internal/store/follower.py
+++ b/src/railfold/_internal/store/follower.py
@@ -1,8 +1,8 @@
-"""Following a log stream, and appending with the effect read back.
+"""Read a log stream continuously, and append records with confirmation by reading back.
 
-:class:`StreamFollower` is a child that reads a stream for ever. Appends through
-:class:`SettlingAppender` count as done only when the follower has met their
-write id in the stream, so that a lost answer does no harm.
+:class:`StreamFollower` is a supervised child that reads a stream until it is cancelled.
+An append through :class:`SettlingAppender` counts as done only when its write id has
+been read in the stream, so that a lost answer leaves no doubt about its effect.
 """
 
 from __future__ import annotations
@@ -28,49 +28,55 @@
 __all__ = ["SettlingAppender", "StreamFollower", "StreamReader"]
 
 
-# How long a follower waits for another one's success before it tries itself.
+# How long a follower waits for another one's reads to succeed before it retries.
 _UNREACHABLE_RETRY_S = 2.0
 
-# An answer that takes longer than this from its head to its end has filled the link
-# or came while the event loop was held up: streams of requests wait as long.
+# A longer time from the head of an answer to its last byte means that the answer has
+# saturated the link, or that the event loop was blocked. Clients' streams are delayed
+# by the same time.
 _LONG_TRANSFER_S = 0.05
 
-# An outage that goes on is logged again after this time, then after twice as long
-# each time.
+# A continuing outage is logged again after this time, and then each time its duration
+# has doubled.
 _FIRST_REMINDER_S = 2.0
 
 
 class StreamReader(Protocol):
-    """What is done with a followed stream."""
+    """Processes the records of a followed stream."""
 
     def next_offset(self) -> int:
         """Return the offset to read from.
 
-        Negative to get, from a log that keeps the newest record of each key,
-        those records.
+        A negative offset requests the newest record of each key, from a log that keeps
+        those.
         """
 
     def record(self, record: LogRecord) -> None:
-        """Take one record, in order."""
+        """Process the next record of the stream."""
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
         """Called after each successful read that reached the stream's end.
 
-        :param sent_s: loop time at which that read was sent: all that was in
-            the stream then has been given.
+        :param next_offset: offset at which the stream ends.
+        :param sent_s: loop time at which the read was sent; all records that were in
+            the stream at this time have been passed to :meth:`record`.
         """
 
     def expired(self, first_offset: int) -> int:
-        """Records were lost to retention; return the offset to go on from."""
+        """Called when records have expired; return the offset to continue from.
+
+        :param first_offset: offset of the first retained record.
+        """
 
 
 class ReadableLog(Protocol):
     """A log whose streams can be read."""
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
-        """Return records from ``offset`` on, waiting for one if there is none.
+        """Return records from ``offset`` on.
 
-        :raises RecordsExpiredError: ``offset`` is before the first kept record.
+        :param wait_s: for how long to wait for a record if there is none.
+        :raises RecordsExpiredError: ``offset`` is before the first retained record.
         :raises LogUnavailableError: the log can't be read now.
         """
 
@@ -80,9 +86,10 @@
     """How often a stream is read.
 
     :param wait_s: how long one read waits for a record.
-    :param min_interval_s: least time between two reads, so that a busy stream
-        is read in batches.
-    :param max_backoff_s: most time between two tries while the log is out.
+    :param min_interval_s: minimum time between two reads, so that a busy stream is read
+        in batches.
+    :param max_backoff_s: maximum time between two retries while the log is
+        unavailable.
     """
 
     wait_s: float
@@ -91,21 +98,22 @@
 
 
 class StreamFollower:
-    """Child that follows one stream.
+    """Supervised child that follows one stream.
 
-    The pace may be changed at any time; it holds from the next read on.
+    ``pace`` may be changed at any time; a change takes effect with the next read.
 
     :param on_lost: called when reads begin to fail.
-    :param on_regained: called when a read succeeds after failures, before its
-        records are given to the reader.
-    :param reachable: set while another follower's reads of the same log succeed;
-        after a failure this one waits for it, so that an outage isn't probed by
-        all.
-    :param on_epoch: called with the log's epoch when it is known and whenever it has
-        changed, before records of it are given to the reader.
-    :param keeps_newest: the log keeps the newest record of each key. A follower that
-        one read doesn't bring to the end takes those: what it missed may be many times
-        larger, and grow faster than a slow link carries it.
+    :param on_regained: called when a read succeeds after failures, before its records
+        are passed to the reader.
+    :param reachable: set while another follower's reads of the same log succeed. After
+        a failure this follower waits for it, so that not all followers probe the log
+        during an outage.
+    :param on_epoch: called with the log's epoch after the first read and whenever it
+        has changed, before records of that epoch are passed to the reader.
+    :param keeps_newest: whether the log keeps the newest record of each key. If one
+        read doesn't reach the end of the stream, the follower skips to those records:
+        the records in between may be many times larger, and may grow faster than a
+        slow link transfers them.
     """
 
     def __init__(
@@ -148,7 +156,7 @@
         return self._reading
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Follow until cancelled."""
+        """Follow the stream until cancelled."""
         ready.set()
         failures = 0
         while True:
@@ -181,7 +189,8 @@
         self._set_reading(True, None)
         self._report_transfer(page.transfer_s)
         if not is_same_history and offset >= 0:
-            # Offsets were given out again: what stands there may be other records.
+            # The restored log assigns offsets again, so the records of this page may
+            # not follow those that were read before.
             self._resume_offset = self._reader.expired(page.first_offset)
             return
         self._is_behind = bool(page.records) and not page.reaches_end(offset)
@@ -191,7 +200,7 @@
             return
         for record in page.records:
             if record.offset < offset:
-                continue  # The service may repeat records.
+                continue  # The log service may repeat records.
             self._reader.record(record)
         if not page.records or page.reaches_end(offset):
             self._reader.caught_up(page.next_offset, sent_s)
@@ -204,31 +213,38 @@
         except asyncio.CancelledError:
             task = asyncio.current_task()
             if task is not None and task.cancelling():
-                raise  # Not the read alone: this child ends.
-            raise LogUnavailableError("a read that waited was given up") from None
+                raise  # The whole child is cancelled, not only the read.
+            raise LogUnavailableError(
+                "the read was cancelled while it waited for records"
+            ) from None
         finally:
             self._waiting_read = None
 
     def cancel_waiting_read(self) -> None:
-        """The log doesn't answer others: a read that waits isn't waited for."""
+        """Cancel a read that waits for records; it counts as a failed read.
+
+        For callers that have found the log unavailable by other means.
+        """
         waiting_read, self._waiting_read = self._waiting_read, None
         if waiting_read is not None:
             waiting_read.cancel()
 
     def _check_epoch(self, epoch: int) -> bool:
-        """Return whether an answer is of the history that was read before.
+        """Return whether the log hasn't been restored since the previous read.
 
-        :raises LogUnavailableError: it is of an older one.
+        :raises LogUnavailableError: the answer is of an older epoch.
         """
         previous_epoch, self._epoch = self._epoch, epoch
         if previous_epoch == epoch:
             return True
         if previous_epoch is not None and epoch < previous_epoch:
             self._epoch = previous_epoch
-            raise LogUnavailableError("an answer of the log's older epoch")
+            raise LogUnavailableError("the log's answer has an outdated epoch")
         if previous_epoch is not None:
             self._metrics.count(f"log.{self._stream}.went_back")
-            logging.warning("stream %s: the log went back", self._stream)
+            logging.warning(
+                "stream %s: the log was restored from an older copy", self._stream
+            )
         if self._on_epoch is not None:
             self._on_epoch(epoch)
         return previous_epoch is None
@@ -268,23 +284,25 @@
             self._outage_began_s = None
             self._metrics.gauge(f"log.{self._stream}.out_s", 0.0)
             logging.info(
-                "stream %s: the log answers after %.1f s", self._stream, outage_s
+                "stream %s: the log is available again after %.1f s",
+                self._stream,
+                outage_s,
             )
             if self._on_regained is not None:
                 self._on_regained()
             return
-        logging.warning("stream %s: the log is out: %s", self._stream, error)
+        logging.warning("stream %s: the log is unavailable: %s", self._stream, error)
         if self._on_lost is not None and error is not None:
             self._on_lost(error)
 
     def _outage_s(self) -> float:
-        """Return for how long reads have failed."""
+        """Return for how long reads have failed; 0 if they succeed."""
         if self._outage_began_s is None:
             return 0.0
         return asyncio.get_running_loop().time() - self._outage_began_s
 
     def _report_outage(self, failures: int, error: LogUnavailableError) -> None:
-        """Tell from time to time that reads still fail, and why."""
+        """Report the duration of an outage, and log it at increasing intervals."""
         if self._outage_began_s is None:
             self._outage_began_s = asyncio.get_running_loop().time()
             self._next_reminder_s = _FIRST_REMINDER_S
@@ -294,7 +312,7 @@
             return
         self._next_reminder_s *= 2.0
         logging.warning(
-            "stream %s: the log has been out for %.1f s, %d failed reads in a row: %s",
+            "stream %s: the log has been unavailable for %.1f s, %d failures: %s",
             self._stream,
             outage_s,
             failures,
@@ -309,16 +327,17 @@
         """Append records in one call; return their offsets.
 
         :raises LogUnavailableError: the records were not appended.
-        :raises WriteUnsettledError: they may have been; read back to know.
+        :raises WriteUnsettledError: the records may have been appended; reading the
+            stream shows whether they were.
         """
 
 
 class SettlingAppender:
-    """Child that batches appends; each is settled by reading it back.
+    """Supervised child that appends in batches and confirms appends by reading back.
 
     The reader of the same stream must call :meth:`settle` with each write id.
 
-    :param linger_s: how long a batch gathers.
+    :param linger_s: how long to collect records for a batch.
     """
 
     def __init__(
@@ -343,10 +362,11 @@
             await self._send(batch)
 
     async def append(self, write_id: str, body: Any, timeout_s: float) -> None:
-        """Append a record and return once it was read back.
+        """Append a record and return once it has been read back.
 
-        :raises LogUnavailableError: it surely wasn't appended.
-        :raises WriteUnsettledError: its effect wasn't known in time.
+        :raises LogUnavailableError: the record was certainly not appended.
+        :raises WriteUnsettledError: it wasn't read back in time, and may have been
+            appended or may still be.
         """
         future = asyncio.get_running_loop().create_future()
         self._settled[write_id] = future
@@ -357,18 +377,18 @@
         except TimeoutError as error:
             raise WriteUnsettledError(
                 "an append wasn't read back in time",
-                hint="its effect is known once the log can be read again",
+                hint="whether it was appended is known once the log can be read again",
             ) from error
         finally:
             self._settled.pop(write_id, None)
 
     def append_nowait(self, write_id: str, body: Any) -> None:
-        """Append a record without waiting for it; it may be lost."""
+        """Queue a record to append without waiting for the result; it may be lost."""
         self._queue.append((write_id, body))
         self._wake.set()
 
     def settle(self, write_id: str) -> None:
-        """The record with this write id stands in the stream."""
+        """Confirm the append with this write id, which was read in the stream."""
         future = self._settled.get(write_id)
         if future is not None and not future.done():
             future.set_result(None)
--- a/src/railfold/_internal/store/hosts.py
+++ b/src/railfold/_internal/store/hosts.py
@@ -1,7 +1,7 @@
 """Client of the platform's list of live and leaving hosts.
 
-The list lags and may be out; the last copy stays in use. This is the one
-module that knows the service's protocol.
+The list is delayed and may be unavailable; the last copy then stays in use. Only this
+module depends on the service's protocol.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 
 class HostListPoller:
-    """Child that reads the list at intervals."""
+    """Supervised child that passes the list to ``on_list`` at intervals."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         self._backoff = Backoff(max_s=interval_s)
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Poll until cancelled."""
+        """Poll the list until cancelled."""
         ready.set()
         failures = 0
         while True:
--- a/src/railfold/_internal/store/http.py
+++ b/src/railfold/_internal/store/http.py
@@ -1,4 +1,4 @@
-"""The HTTP clients that all outside interfaces share."""
+"""HTTP clients for calls to the platform's services and to backends."""
 
 from __future__ import annotations
 
@@ -21,9 +21,8 @@
 def new_http_client() -> AsyncHTTPClient:
     """Return a new client, built on curl, with connections kept alive.
 
-    Only for calls that may be repeated: curl sends a request again by itself
-    when a connection that it kept alive breaks before the first byte of an
-    answer, whatever the request's method.
+    Only for idempotent calls: if a persistent connection breaks before the first byte
+    of an answer, curl retries the request by itself, whatever the request's method.
     """
     AsyncHTTPClient.configure("tornado.curl_httpclient.CurlAsyncHTTPClient")
     return AsyncHTTPClient(force_instance=True, max_clients=_MAX_CLIENTS)
@@ -32,8 +31,8 @@
 def new_single_use_client() -> AsyncHTTPClient:
     """Return a new client that opens a connection for each call.
 
-    For calls that must not be repeated: curl never sends a request again on a
-    connection that was opened for it.
+    For calls that aren't idempotent: curl doesn't retry a request on a connection that
+    was opened for it.
     """
     AsyncHTTPClient.configure("tornado.curl_httpclient.CurlAsyncHTTPClient")
     return AsyncHTTPClient(
@@ -49,5 +48,5 @@
 
 
 def was_never_connected(error: Exception) -> bool:
-    """Return whether a failed call surely sent nothing."""
+    """Return whether a call failed before it could send anything."""
     return isinstance(error, CurlError) and error.errno == pycurl.E_COULDNT_CONNECT
--- a/src/railfold/_internal/store/log.py
+++ b/src/railfold/_internal/store/log.py
@@ -1,7 +1,7 @@
 """Client of the platform's append-only log service.
 
-This is the one module that knows the service's protocol: JSON over HTTP, a
-stream of records with offsets, reads that may wait for new records.
+Only this module depends on the service's protocol: JSON over HTTP, streams of records
+with offsets, and reads that may wait for new records.
 """
 
 from __future__ import annotations
@@ -38,10 +38,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LogClient:
-    """Reads and appends; never repeats an append by itself.
+    """Reads streams and appends to them; never retries an append by itself.
 
-    :param http: client for reads.
-    :param append_http: client for appends, which doesn't repeat them either.
+    :param http: client for reads, which may retry them.
+    :param append_http: client for appends, which must not retry them.
     """
 
     url: str
@@ -53,7 +53,8 @@
         """Append records in one call; return their offsets.
 
         :raises LogUnavailableError: the records were not appended.
-        :raises WriteUnsettledError: they may have been; read back to know.
+        :raises WriteUnsettledError: the records may have been appended; reading the
+            stream shows whether they were.
         """
         body = msgspec.json.encode({"records": list(bodies)})
         try:
@@ -74,9 +75,10 @@
             ) from error
 
     async def read(self, stream: str, offset: int, wait_s: float) -> LogPage:
-        """Return records from ``offset`` on, waiting for one if there is none.
+        """Return records from ``offset`` on.
 
-        :raises RecordsExpiredError: ``offset`` is before the first kept record.
+        :param wait_s: for how long to wait for a record if there is none.
+        :raises RecordsExpiredError: ``offset`` is before the first retained record.
         :raises LogUnavailableError: the log can't be read now.
         """
         query = urlencode({"from": offset, "limit": _READ_LIMIT, "wait_s": wait_s})
@@ -112,5 +114,5 @@
     return WriteUnsettledError(
         "the log's answer to an append was lost",
         why=str(error),
-        hint="its effect is known once the log can be read again",
+        hint="whether it was appended is known once the log can be read again",
     )
--- a/src/railfold/_internal/store/records.py
+++ b/src/railfold/_internal/store/records.py
@@ -1,4 +1,4 @@
-"""Records of a log, as every client of one returns them."""
+"""Records of a log, in the form that all log clients return."""
 
 from __future__ import annotations
 
@@ -8,12 +8,13 @@
 
 __all__ = ["NEWEST_OF_EACH_KEY", "LogPage", "LogRecord"]
 
-# The offset that asks for the newest record of each key, in place of a part of the log.
+# As the offset of a read, requests the newest record of each key instead of consecutive
+# records.
 NEWEST_OF_EACH_KEY = -1
 
 
 class LogRecord(msgspec.Struct, frozen=True):
-    """One record as the service gives it."""
+    """One record of a stream, and the Unix time of its append."""
 
     offset: int
     appended_s: float
@@ -21,10 +22,12 @@
 
 
 class LogPage(msgspec.Struct, frozen=True):
-    """Records from one read; ``next_offset`` is the stream's end.
+    """The records from one read.
 
-    ``transfer_s`` is how long the answer took from its head to its last byte.
-    ``epoch`` rises whenever the log comes back from an older copy.
+    :param first_offset: offset of the first retained record of the stream.
+    :param next_offset: offset at which the stream ends.
+    :param transfer_s: time from the arrival of the answer's head to its last byte.
+    :param epoch: increases whenever the log is restored from an older copy.
     """
 
     records: list[LogRecord]
@@ -34,8 +37,8 @@
     epoch: int = 0
 
     def reaches_end(self, offset: int) -> bool:
-        """Return whether a read from ``offset`` on got all there is."""
+        """Return whether a read from ``offset`` on has reached the stream's end."""
         if offset < 0:
-            return True  # The newest record of each key.
+            return True  # A read of the newest record of each key is always complete.
         last_offset = self.records[-1].offset if self.records else offset - 1
         return last_offset + 1 >= self.next_offset
--- a/tests/functional/test_configuration.py
+++ b/tests/functional/test_configuration.py
@@ -1,4 +1,8 @@
-"""Configuration changes through races, lost answers, outages and retention."""
+"""Configuration changes during races, lost answers, outages and expiry of log records.
+
+Guards against a change that is lost, applied twice or reported wrongly to its operator,
+and against processes that end up with different or older versions.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +29,7 @@
 
 @pytest.fixture
 def small_cluster() -> Iterator[Cluster]:
-    """Two entries that write checkpoints often, and one agent."""
+    """A cluster of one agent and two entries that write checkpoints often."""
     with Cluster([HOST], entries=2, entry_overrides=CHECKPOINTS) as cluster:
         yield cluster
 
@@ -128,7 +132,7 @@
     small_cluster: Cluster,
 ) -> None:
     before = stream_end(small_cluster)
-    # Reads succeed, appends are lost before they have any effect.
+    # In this mode reads succeed, and appends are lost before they take effect.
     small_cluster.fault("lose_append")
     run = start_publish(small_cluster, "line-records")
     output, errors = run.communicate(timeout=60)
@@ -175,7 +179,8 @@
         f"{small_cluster.platform_url}/control/truncate",
         {"stream": "configuration", "first_offset": 5},
     )
-    # Without the agent, nothing but the checkpoint can lead over the gap.
+    # Without the agent, which could send a snapshot, only the checkpoint can close the
+    # gap.
     small_cluster.processes[f"agent-{HOST.host}"].kill()
     paused.thaw()
     small_cluster.wait_until(
--- a/tests/unit/test_platform_configuration.py
+++ b/tests/unit/test_platform_configuration.py
@@ -1,4 +1,8 @@
-"""Configurations that name what can't be reckoned with are refused by their type."""
+"""Invalid configurations of the platform are refused with one type of error.
+
+Guards against a configuration that fails with another exception, such as a division by
+a rate of zero or an empty list of models, and thereby ends the feed that reads it.
+"""
 
 from __future__ import annotations
 
--- a/tests/unit/test_platform_settings.py
+++ b/tests/unit/test_platform_settings.py
@@ -1,4 +1,8 @@
-"""The platform's settings file is checked, and read again when it changes."""
+"""The platform's settings file is validated, and reloaded when it changes.
+
+Guards against an entry that runs with wrong limits or addresses: a field that is
+ignored or misread, an invalid file that is accepted, or a change that isn't noticed.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +47,7 @@
 
 @pytest.fixture
 def path(tmp_path: Path) -> Path:
-    """A settings file without faults."""
+    """A valid settings file."""
     file = tmp_path / "boot.toml"
     file.write_text(TEXT)
     return file
@@ -135,7 +139,7 @@
     if by_signal:
         os.kill(os.getpid(), signal.SIGHUP)
     async with asyncio.timeout(5.0):
-        while not applied:  # noqa: ASYNC110 - the watcher tells nobody else.
+        while not applied:  # noqa: ASYNC110 - the watcher sets no event.
             await asyncio.sleep(0.01)
     assert applied[-1].credential_lease_s == 12.0
     write_settings(path, "faulty")
--- a/tests/unit/test_replica.py
+++ b/tests/unit/test_replica.py
@@ -1,4 +1,9 @@
-"""A process's configuration never goes back, whatever its peers say."""
+"""A process's configuration never returns to an older version, whatever peers send.
+
+Guards against outdated or damaged snapshots and checkpoints that replace a newer state,
+against changes that are folded although an earlier one is missing, and against a
+replica that stays outdated.
+"""
 
 from __future__ import annotations
 
@@ -27,7 +32,7 @@
 
 
 class FakePeer:
-    """Plays a link's name and remembers what is sent."""
+    """A link and its peer at once; records the messages that are sent to it."""
 
     name = "peer"
 
@@ -55,7 +60,7 @@
 def deliver_frame(
     replica: ConfigurationReplica, peer: FakePeer, *messages, version: int = 0
 ):  # type: ignore[no-untyped-def]
-    """Give a frame to a replica."""
+    """Pass a frame with these messages to a replica."""
     replica.handle_frame(peer, Frame(version, list(messages)))  # type: ignore[arg-type]
 
 
--- a/tests/unit/test_request_headers.py
+++ b/tests/unit/test_request_headers.py
@@ -1,7 +1,8 @@
 """Numbers that clients send in headers.
 
-``isdigit`` holds for signs such as a superscript two, which ``int`` refuses: the
-request ended in an exception instead of an answer. So did one of 5,000 digits.
+Guards against requests that end in an exception instead of an answer. ``isdigit`` is
+true for characters such as a superscript two, which ``int`` refuses; ``int`` also
+refuses a number of 5,000 digits.
 """
 
 from __future__ import annotations
--- a/tests/unit/test_server_statements.py
+++ b/tests/unit/test_server_statements.py
@@ -1,7 +1,8 @@
-"""Each name that servers or the platform send is read, or its reason stands.
+"""Headers and fields from servers and the platform are read, or listed with a reason.
 
-Rate limits, Retry-After and leaving each went unread until servers got what they had
-said that they don't want.
+Guards against a statement of a server that no code reads, such as a rate limit, a
+Retry-After or an announcement of leaving: entries would then send the server requests
+that it has asked not to get. The documented table must match the decoders.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 
 
 def documented_names(section: str, *, read: bool) -> set[str]:
-    """Return the names of a section of the table that are read, or that aren't."""
+    """Return the names in a section of the table that are documented as (not) read."""
     text = TABLE.read_text().split(f"## {section}\n")[1].split("\n## ")[0]
     rows = [_ROW.fullmatch(line) for line in text.splitlines()]
     found = [row for row in rows if row is not None]
@@ -36,7 +37,7 @@
 
 
 def standard_headers_read() -> set[str]:
-    """Return the names of standard headers that the sources look up in answers."""
+    """Return the names of the standard headers that the sources read from answers."""
     texts = [
         path.read_text()
         for folder in ("forwarding", "platform")
