--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -29,13 +29,13 @@
 from railfold._internal.forwarding.listeners import Listeners
 from railfold._internal.forwarding.messages import Header
 from railfold._internal.forwarding.peers.peering import Peering
-from railfold._internal.forwarding.peers.proof_keeper import ProofKeeper
+from railfold._internal.forwarding.peers.proof_refresher import ProofRefresher
 from railfold._internal.forwarding.reload import SettingsWatcher
+from railfold._internal.forwarding.requests.capacity_queue import CapacityQueue
 from railfold._internal.forwarding.requests.destinations import DestinationChooser
 from railfold._internal.forwarding.requests.driver import RequestDriver
 from railfold._internal.forwarding.requests.front import ClientExchange, ClientServer
 from railfold._internal.forwarding.requests.refusals import Refusals
-from railfold._internal.forwarding.requests.room_queue import RoomQueue
 from railfold._internal.forwarding.requests.routed_request import RoutedRequest
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.servers.engine_calls import EngineCalls
@@ -86,7 +86,7 @@
 
 # How long one read waits for a newer configuration; it is answered as soon as there is
 # one. Separate reads prove that the known configuration is in force (see
-# :class:`ProofKeeper`). If these reads had to prove it too, they would have to end
+# :class:`ProofRefresher`). If these reads had to prove it too, they would have to end
 # after 1.85 s, and would make up half of an entry's calls to the store.
 _CONFIGURATION_READ_WAIT_S = 10.0
 
@@ -166,7 +166,7 @@
         )
         self.destinations = DestinationChooser(self.router)
         self._refusals = Refusals(self.router)
-        self._room_queue = RoomQueue(self.router)
+        self._room_queue = CapacityQueue(self.router)
         fleet = FleetSize(
             settings.retry_window_s, MEMBER_LEASE_S, initial_members_until_s
         )
@@ -206,7 +206,7 @@
             adapter.decode_configuration,
             self._on_configuration,
         )
-        self._proofs = ProofKeeper(
+        self._proofs = ProofRefresher(
             settings.name,
             self.router,
             adapter.new_log(),
@@ -226,13 +226,13 @@
             self.router,
             self._leadership,
             self._store_reachable,
-            on_known=self._on_quarantine_read,
+            on_quarantine_known=self._on_quarantine_read,
             fleet_limits=self._fleet_limits,
             on_epoch=self._on_epoch,
             proofs=self._proofs,
-            on_leadership_stopped=self._leadership_controller.holder_stopped,
+            on_leadership_released=self._leadership_controller.holder_stopped,
         )
-        calls.on_connection_refused = self._peering.quarantine.server_refused
+        calls.on_connection_refused = self._peering.quarantine.server_refused_connection
         self._prober.on_healthy = self._peering.quarantine.server_answered
         self._memory_quota = MemoryQuota(
             int(settings.memory_bytes * _CLIENT_MEMORY_SHARE)
@@ -332,12 +332,12 @@
             known
             and not self._draining
             and self.router.lease.valid(now_s)
-            and not self._proofs.lapses_alone(now_s)
+            and not self._proofs.is_expiring_alone(now_s)
         )
 
     def _update_readiness(self, now_s: float) -> None:
         """Send clients to other entries while only this one can't check credentials."""
-        unproven = self._proofs.lapses_alone(now_s)
+        unproven = self._proofs.is_expiring_alone(now_s)
         if unproven != (self._unproven_since_s is not None):
             self._unproven_since_s = now_s if unproven else None
             self.metrics.count("readiness.lapses" if unproven else "readiness.regained")
@@ -355,7 +355,7 @@
     @property
     def recognizes_requests(self) -> bool:
         """Whether repeated requests are recognized by their content."""
-        return self._peering.quarantine.ready
+        return self._peering.quarantine.has_key
 
     def _on_settings(self, settings: ForwardingSettings) -> None:
         """Apply new limits; addresses, failure domain and region need a restart."""
@@ -398,10 +398,10 @@
     def _on_member_renewed(self, grant: LeaseGrant, sent_s: float) -> None:
         self._candidacy.record_renewal(grant, sent_s)
         if grant.assignment is not None:
-            self._fleet_limits.dealt(grant.assignment, sent_s)
+            self._fleet_limits.assignment_received(grant.assignment, sent_s)
 
     def _on_leadership_stopped(self, member: str) -> None:
-        self._peering.tell_leadership_stopped(member)
+        self._peering.announce_leadership_released(member)
 
     def _on_registrations_regained(self) -> None:
         self.router.directory.store_recovered(self._loop.time())
@@ -506,7 +506,7 @@
         now_s = self._loop.time()
         self.metrics.count("process.resumed")
         self.router.pool.prune(now_s)
-        self._fleet_limits.divide()
+        self._fleet_limits.update_limits()
         leading = self._leadership.current_token(now_s) is not None
         in_flight = len(self.router.active)
         event = ProcessResumed(round(suspended_s * 1000, 1), in_flight, leading)
@@ -523,7 +523,7 @@
             self.metrics.timing("loop.late", now_s - due_s)
             self.router.directory.expire(now_s)
             self.router.pool.prune(now_s)
-            self._fleet_limits.divide()
+            self._fleet_limits.update_limits()
             known = {entry.server_id for entry in self.router.directory}
             self.router.activity.retain_hosts(known)
             self.router.avoidance.forget(known)
@@ -549,7 +549,7 @@
         if self._settings.first_start and starting:
             # There are no clients yet that wait for the first placement.
             return default_pace(self._settings.drain_notice_s)
-        if self.router.chain_missing():
+        if self.router.has_incomplete_domain():
             return missing_chain_pace()
         return default_pace(self._settings.drain_notice_s)
 
--- a/src/railfold/_internal/forwarding/requests/chain_balancer.py
+++ b/src/railfold/_internal/forwarding/requests/chain_balancer.py
@@ -1,4 +1,4 @@
-"""Choosing chains over engines of unlike speeds by the load that is known of them."""
+"""Chooses chains over engines of different speeds by their known load."""
 
 from __future__ import annotations
 
@@ -31,38 +31,38 @@
 
 __all__ = ["ChainBalancer", "ChosenChain"]
 
-# What a chain that begins in another failure domain costs more: enough to keep even
-# load at home, little enough to leave a domain that is a tenth fuller.
-_AWAY_COST = 0.1
+# Additional cost of a chain that begins in another failure domain. At even load,
+# requests stay in the entry's own domain; they leave it when it is a tenth fuller.
+_OTHER_DOMAIN_COST = 0.1
 
-# What a new connection to the first engine costs.
-_CONNECTING_COST = 0.05
+# Additional cost of a chain whose first engine needs a new connection.
+_NEW_CONNECTION_COST = 0.05
 
-# What a chain costs more whose pauses, or waits, are twice what they should be.
+# Additional cost of a chain whose pauses or waits are twice as long as they should be.
 _SLOWNESS_COST = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class ChosenChain:
-    """A chain, and what the request is predicted to get on it."""
+    """A chain with the latency that is predicted for the request on it."""
 
     found: FoundChain
     prediction: ChainPrediction
 
     @property
     def crossings(self) -> int:
-        """How often it goes from one failure domain to another."""
+        """How often the chain crosses from one failure domain to another."""
         return len(crossings(self.found.domains))
 
 
 class ChainBalancer:
-    """Spreads requests over parallel chains of unlike speeds."""
+    """Spreads requests over parallel chains of different speeds."""
 
     def __init__(self, router: Router) -> None:
         self._router = router
 
     def applies(self, model: EngineModel, replicas: Iterable[Replica]) -> bool:
-        """Return whether it is wanted, and engines differ in speed."""
+        """Return whether prediction is enabled and the engines differ in speed."""
         if not self._router.predicts_chains:
             return False
         layer_ms = {round(r.step_ms / len(r.stage.layers), 3) for r in replicas}
@@ -74,20 +74,26 @@
         model: EngineModel,
         replicas: Sequence[Replica],
         needs: RequestNeeds,
-        bearable_s: float,
-        doubtful: Collection[str],
+        acceptable_wait_s: float,
+        possibly_departed: Collection[str],
     ) -> ChosenChain | None:
-        """Return the chain that a request takes; none if there is none.
+        """Return the chain that a request takes, ``None`` if there is none.
 
-        :param replicas: those that a chain may use now.
-        :param bearable_s: the wait for a first event from which on a chain is slow.
-        :param doubtful: servers that are used only if there is no chain without them.
+        :param replicas: the replicas that a chain may use now.
+        :param acceptable_wait_s: chains whose wait for a first event is longer than
+            this count as slow.
+        :param possibly_departed: servers that are used only if there is no chain
+            without them.
         """
-        candidates = self._candidates(service, model, replicas, needs, bearable_s)
-        sure = [c for c in candidates if c.replica.stage.host not in doubtful]
+        candidates = self._candidates(
+            service, model, replicas, needs, acceptable_wait_s
+        )
+        confirmed = [
+            c for c in candidates if c.replica.stage.host not in possibly_departed
+        ]
         home = self._router.failure_domain
-        chains = self._search(sure, model, needs, home)
-        if not chains and len(sure) < len(candidates):
+        chains = self._search(confirmed, model, needs, home)
+        if not chains and len(confirmed) < len(candidates):
             chains = self._search(candidates, model, needs, home)
         if not chains:
             return None
@@ -99,32 +105,37 @@
         index = choose_rated_chain(rated, self._router.entries, self._router.rng)
         return ChosenChain(chains[index], predictions[index])
 
-    def borrow(
+    def reroute_across_domains(
         self,
         service: str,
         model: EngineModel,
         replicas: Sequence[Replica],
         needs: RequestNeeds,
         home: str,
-        held_by: Collection[str],
+        current_hosts: Collection[str],
     ) -> Chain | None:
-        """Return a chain for a stream that runs at home, where layers are missing.
+        """Return a chain over several failure domains for a running stream.
+
+        It is used when the stream's own failure domain no longer covers all layers.
+        Returns ``None`` if there is no such chain.
 
-        :param replicas: those that a chain may use now.
-        :param held_by: servers that have room for it, since it runs there.
+        :param replicas: the replicas that a chain may use now.
+        :param home: failure domain in which the stream runs.
+        :param current_hosts: servers that run the stream now and therefore have
+            capacity for it.
         """
         candidates = [
             replace(
-                found, rejection_risk=0.0, scarcity_per_layer=0.0, has_capacity=True
+                candidate, rejection_risk=0.0, scarcity_per_layer=0.0, has_capacity=True
             )
-            if found.replica.stage.host in held_by
-            else found
-            for found in self._candidates(service, model, replicas, needs, math.inf)
+            if candidate.replica.stage.host in current_hosts
+            else candidate
+            for candidate in self._candidates(service, model, replicas, needs, math.inf)
         ]
-        found = self._search(candidates, model, needs, home)
-        if not found:
+        chains = self._search(candidates, model, needs, home)
+        if not chains:
             return None
-        chosen = ChosenChain(found[0], _predict(found[0], model, needs))
+        chosen = ChosenChain(chains[0], _predict(chains[0], model, needs))
         self.count_crossings(chosen, model, needs)
         return chosen.found.chain
 
@@ -135,18 +146,24 @@
         needs: RequestNeeds,
         home: str,
     ) -> list[FoundChain]:
-        """Return good chains; those that borrow have room for the request."""
+        """Return chains, the cheapest first.
+
+        Chains over several failure domains are predicted to have capacity for the
+        request.
+        """
         now_s = asyncio.get_running_loop().time()
 
-        def crossing_cost(one: str, other: str) -> float:
-            return self._router.pipes.crossing_cost(one, other, model, needs, now_s)
+        def crossing_cost(domain: str, other_domain: str) -> float:
+            return self._router.pipes.crossing_cost(
+                domain, other_domain, model, needs, now_s
+            )
 
         return search_all_chains(candidates, model.layer_count, home, crossing_cost)
 
     def count_crossings(
         self, chosen: ChosenChain, model: EngineModel, needs: RequestNeeds
     ) -> None:
-        """Count what a request that takes the chain sends between failure domains."""
+        """Count the traffic between failure domains of a request that takes a chain."""
         now_s = asyncio.get_running_loop().time()
         pairs = crossings(chosen.found.domains)
         if pairs:
@@ -163,9 +180,9 @@
         model: EngineModel,
         replicas: Iterable[Replica],
         needs: RequestNeeds,
-        bearable_s: float,
+        acceptable_wait_s: float,
     ) -> list[StageCandidate]:
-        """Return replicas with their costs."""
+        """Return the replicas of registered servers with their costs."""
         router = self._router
         now_s = asyncio.get_running_loop().time()
         arriving_rps = router.arriving_rps(service)
@@ -179,28 +196,35 @@
                 accelerator.slowed(entry.slowness),
                 len(replica.stage.layers),
                 replica.capacity,
-                router.own_reckoning(replica.stage.host),
+                router.extrapolated_own_load(replica.stage.host),
+            )
+            unseen_share = unseen_occupancy(state, model, router.entries, arriving_rps)
+            candidate = rate_candidate(
+                replica, state, model, needs, unseen_share, router.rng
             )
-            spread = unseen_occupancy(state, model, router.entries, arriving_rps)
-            found = rate_candidate(replica, state, model, needs, spread, router.rng)
             if replica.stage.layers.first == 0:
-                extra = self._first_stage_cost(replica, now_s, bearable_s)
-                found = replace(found, rejection_risk=found.rejection_risk + extra)
-            candidates.append(found)
+                first_stage_cost = self._first_stage_cost(
+                    replica, now_s, acceptable_wait_s
+                )
+                candidate = replace(
+                    candidate,
+                    rejection_risk=candidate.rejection_risk + first_stage_cost,
+                )
+            candidates.append(candidate)
         return candidates
 
     def _first_stage_cost(
-        self, replica: Replica, now_s: float, bearable_s: float
+        self, replica: Replica, now_s: float, acceptable_wait_s: float
     ) -> float:
-        """Return what it costs more to begin a chain there."""
+        """Return the additional cost of a chain that begins at a replica."""
         router = self._router
         host = replica.stage.host
-        slowness = router.activity.slowness(host, now_s, bearable_s)
+        slowness = router.activity.slowness(host, now_s, acceptable_wait_s)
         cost = _SLOWNESS_COST * (slowness - 1.0)
         if replica.failure_domain != router.failure_domain:
-            cost += _AWAY_COST
+            cost += _OTHER_DOMAIN_COST
         if not router.pool.has_idle(host, now_s):
-            cost += _CONNECTING_COST
+            cost += _NEW_CONNECTION_COST
         return cost
 
 
@@ -218,10 +242,12 @@
     model: EngineModel,
     needs: RequestNeeds,
 ) -> RatedChain:
-    room = min(found.capacity_tokens / model.mean_tokens, model.max_sequences)
+    capacity_requests = min(
+        found.capacity_tokens / model.mean_tokens, model.max_sequences
+    )
     return RatedChain(
         found.cost,
-        room / found.duration_s,
+        capacity_requests / found.duration_s,
         found.has_capacity,
         meets_objectives=prediction.first_event_s <= needs.objective_s
         and prediction.pause_s <= needs.allowed_pause_s,
--- a/src/railfold/_internal/forwarding/requests/destinations.py
+++ b/src/railfold/_internal/forwarding/requests/destinations.py
@@ -1,4 +1,4 @@
-"""Choosing where a request goes, by what is known now."""
+"""Chooses the server or chain for a request by the current state of the servers."""
 
 from __future__ import annotations
 
@@ -32,25 +32,25 @@
 )
 from railfold._internal.forwarding.messages import RequestSize
 from railfold._internal.forwarding.requests.chain_planner import (
-    LOCAL_FACTOR,
+    LOCAL_DOMAIN_COST_FACTOR,
     ChainPlanner,
-    last_one_error,
+    last_server_error,
 )
 from railfold._internal.forwarding.requests.destination import Destination
 from railfold._internal.forwarding.router import Router
 
 __all__ = ["DestinationChooser"]
 
-# A chain whose first events take a larger share of the route's objective than this
-# counts as slow: on an idle chain of the first sites they take a tenth of it, after
-# the longest prompts a third.
-_BEARABLE_SHARE = 0.33
+# A chain counts as slow if its first events take a larger share of the route's
+# objective than this. On an idle chain they take a tenth of it, and a third after the
+# longest prompts.
+_ACCEPTABLE_WAIT_SHARE = 0.33
 
-_NO_SIZE = RequestSize()
+_UNKNOWN_SIZE = RequestSize()
 
 
 class DestinationChooser:
-    """Chooses servers and chains among those that are eligible."""
+    """Chooses a destination among the eligible servers and chains."""
 
     def __init__(self, router: Router) -> None:
         self._router = router
@@ -60,51 +60,56 @@
         self,
         route: Route,
         exclude: frozenset[str],
-        size: RequestSize = _NO_SIZE,
+        size: RequestSize = _UNKNOWN_SIZE,
         *,
-        is_new: bool = False,
-        is_suspect: bool = False,
+        is_first_search: bool = False,
+        is_risky: bool = False,
         max_wait_s: float = 0.0,
-        waits_for_room: bool = False,
+        may_wait_for_capacity: bool = False,
     ) -> Destination:
-        """Return where a request of a route goes now.
-
-        A server with a limit is left out while no permit is to be had. If no other one
-        can serve, the request goes there if it can wait for the next permit.
-
-        :param exclude: backend servers that it must not be sent to.
-        :param size: of a request to a model.
-        :param is_new: whether a place is looked for the first time.
-        :param is_suspect: whether it may end its server: it doesn't get the last one.
-        :param max_wait_s: how long it may wait for a permit.
-        :raises RoomShortError: only room is missing.
-        :raises RequestError: there is no such place.
+        """Return the destination of a request now.
+
+        A server with a rate limit is skipped while it has no permit. If no other server
+        can serve the request, it is chosen if the request can wait for the next permit.
+
+        :param route: route of the request.
+        :param exclude: backend servers that the request must not be sent to.
+        :param size: size of a request to a model.
+        :param is_first_search: whether this is the first search for this request, which
+            counts as its arrival.
+        :param is_risky: whether the request may crash its server, so that it must not
+            be sent to the last one.
+        :param max_wait_s: how long the request may wait for a permit.
+        :param may_wait_for_capacity: whether the request may wait for capacity instead
+            of being sent to a full server.
+        :raises RoomShortError: only capacity is missing.
+        :raises RequestError: there is no destination for another reason.
         """
         spec = self._service(route)
-        if is_new:
+        if is_first_search:
             self._router.arrivals.arrived(spec.name, asyncio.get_running_loop().time())
         strict = EligibilityTerms()
         try:
-            return self._choose_at(
-                spec, route, exclude, size, strict, is_suspect=is_suspect
+            return self._choose_on_terms(
+                spec, route, exclude, size, strict, is_risky=is_risky
             )
         except NoCapacityError as error:
-            bars = list(strict.reasons.values())
-            if waits_for_room:
-                bars = [bar for bar in bars if not isinstance(bar, Full)]
-            if not any(map(_may_relax, bars)):
-                raise _room_short(error, strict) from error
+            reasons = list(strict.reasons.values())
+            if may_wait_for_capacity:
+                reasons = [reason for reason in reasons if not isinstance(reason, Full)]
+            if not any(map(_is_relaxable, reasons)):
+                raise _capacity_error(error, strict) from error
         relaxed = EligibilityTerms(max_wait_s=max_wait_s, relaxed=True)
         try:
-            found = self._choose_at(
-                spec, route, exclude, size, relaxed, is_suspect=is_suspect
+            destination = self._choose_on_terms(
+                spec, route, exclude, size, relaxed, is_risky=is_risky
             )
         except NoCapacityError as error:
             refusal = self._refusal(spec, route, exclude, size, relaxed)
             if refusal is None:
-                refusal = _room_short(error, relaxed)
+                refusal = _capacity_error(error, relaxed)
             raise refusal from error
-        return replace(found, max_wait_s=max_wait_s)
+        return replace(destination, max_wait_s=max_wait_s)
 
     def _refusal(
         self,
@@ -114,31 +119,41 @@
         size: RequestSize,
         terms: EligibilityTerms,
     ) -> RequestError | None:
-        """Return why a request is refused that only lacks the end of some bars.
+        """Return the refusal of a request that must wait until temporary reasons end.
 
-        :param terms: with the bars that it met.
+        Returns ``None`` if there is no destination even without these reasons.
+
+        :param terms: holds the reasons why servers were ineligible.
         """
-        unbarred = EligibilityTerms(relaxed=True, ignores_temporary=True)
+        ignoring_temporary = EligibilityTerms(relaxed=True, ignores_temporary=True)
         try:
-            place = self._choose_at(
-                spec, route, exclude, size, unbarred, is_suspect=False
+            destination = self._choose_on_terms(
+                spec, route, exclude, size, ignoring_temporary, is_risky=False
             )
         except NoCapacityError:
             return None
         now_s = asyncio.get_running_loop().time()
-        ending = {
+        temporary = {
             s: b for s, b in terms.reasons.items() if isinstance(b, TemporaryReason)
         }
-        met_s = [ending[s].until_s for s in place.server_ids if s in ending]
-        if not met_s:
+        ends_s = [
+            temporary[s].until_s for s in destination.server_ids if s in temporary
+        ]
+        if not ends_s:
             return None
-        backoffs = {s: b for s, b in ending.items() if not isinstance(b, RateLimited)}
+        backoffs = {
+            s: b for s, b in temporary.items() if not isinstance(b, RateLimited)
+        }
         if not backoffs:
-            return self._router.limits.refusal_error(ending, max(met_s) - now_s)
-        first_s = min(max(met_s), *(bar.until_s for bar in backoffs.values()))
-        return self._router.backoffs.refusal_error(spec.name, backoffs, first_s - now_s)
+            return self._router.limits.refusal_error(temporary, max(ends_s) - now_s)
+        first_end_s = min(
+            max(ends_s), *(reason.until_s for reason in backoffs.values())
+        )
+        return self._router.backoffs.refusal_error(
+            spec.name, backoffs, first_end_s - now_s
+        )
 
-    def _choose_at(
+    def _choose_on_terms(
         self,
         spec: ServiceSpec,
         route: Route,
@@ -146,38 +161,40 @@
         size: RequestSize,
         terms: EligibilityTerms,
         *,
-        is_suspect: bool,
+        is_risky: bool,
     ) -> Destination:
-        """Return a place among the servers that are eligible.
+        """Return a destination among the servers that are eligible on some terms.
 
         :param exclude: servers that the request must not be sent to.
+        :param terms: the reasons why servers are ineligible are added to it.
+        :raises RequestError: there is no destination.
         """
         if spec.model is not None:
-            bearable_s = _BEARABLE_SHARE * route.objective_s
+            acceptable_wait_s = _ACCEPTABLE_WAIT_SHARE * route.objective_s
             needs = self._needs(spec, spec.model, route, size)
             return self._planner.choose(
-                spec, spec.model, needs, exclude, terms, bearable_s, is_suspect
+                spec, spec.model, needs, exclude, terms, acceptable_wait_s, is_risky
             )
         now_s = asyncio.get_running_loop().time()
-        doubtful = self._router.directory.possibly_departed(spec.name)
+        possibly_departed = self._router.directory.possibly_departed(spec.name)
         registered = self._router.directory.replicas(
             spec.name, self._router.region, self._router.load_of
         )
         replicas = [
             r
-            for r in _near_first(registered, self._router.failure_domain)
+            for r in _prefer_domain(registered, self._router.failure_domain)
             if r.stage.host not in exclude
             and self._router.eligibility.allows(
                 r.stage.host, Role.REPLICA, now_s, terms
             )
         ]
-        if all(replica.stage.host in doubtful for replica in replicas):
-            doubtful = frozenset()
-        if is_suspect and len(registered) == 1:
-            raise last_one_error()
+        if all(replica.stage.host in possibly_departed for replica in replicas):
+            possibly_departed = frozenset()
+        if is_risky and len(registered) == 1:
+            raise last_server_error()
         chosen = choose_host(
             replicas,
-            exclude=doubtful,
+            exclude=possibly_departed,
             weights=self._router.weights,
             rng=self._router.rng,
         )
@@ -186,7 +203,10 @@
     def _needs(
         self, spec: ServiceSpec, model: EngineModel, route: Route, size: RequestSize
     ) -> RequestNeeds:
-        """Return what a request asks of a chain; a usual one if it doesn't tell."""
+        """Return size and objectives of a request.
+
+        A size that the request doesn't state is assumed to be the typical one.
+        """
         prompt_tokens = size.prompt_tokens or model.mean_tokens - model.answer_tokens
         table = self._router.table
         return RequestNeeds(
@@ -200,7 +220,10 @@
     def reroute(
         self, chain: Chain, lost: frozenset[str], route: Route, size: RequestSize
     ) -> Chain | None:
-        """Return another chain that begins at the same backend server."""
+        """Return another chain that begins at the same backend server, if there is one.
+
+        :param lost: servers that must not be part of the chain.
+        """
         model = self._router.model_of(chain)
         if model is None:
             return None
@@ -209,6 +232,11 @@
         return self._planner.reroute(chain, lost, model, needs)
 
     def _service(self, route: Route) -> ServiceSpec:
+        """Return a service of a route, sampled by the weights of its services.
+
+        :raises NoCapacityError: there is no configuration yet.
+        :raises UnknownTargetError: the route leads to no configured service.
+        """
         if self._router.table is None:
             raise NoCapacityError("no configuration was read yet")
         weights = [choice.weight for choice in route.services]
@@ -221,20 +249,23 @@
         return spec
 
 
-def _room_short(error: NoCapacityError, terms: EligibilityTerms) -> NoCapacityError:
-    """Return an error that says whether only room is missing, as far as is known."""
-    if not any(isinstance(bar, Paused | Full) for bar in terms.reasons.values()):
+def _capacity_error(error: NoCapacityError, terms: EligibilityTerms) -> NoCapacityError:
+    """Return the error as a :class:`RoomShortError` if only capacity is missing.
+
+    That is assumed if a server was paused or full.
+    """
+    if not any(isinstance(reason, Paused | Full) for reason in terms.reasons.values()):
         return error
     return RoomShortError(error.what, why=error.why, hint=error.hint)
 
 
-def _may_relax(bar: IneligibleReason) -> bool:
-    """Return whether a request may go there after all, if no other server can."""
-    return isinstance(bar, RateLimited | SlowStart | BackingOff | HalfOpen | Full)
+def _is_relaxable(reason: IneligibleReason) -> bool:
+    """Return whether the reason can be ignored if no other server can serve."""
+    return isinstance(reason, RateLimited | SlowStart | BackingOff | HalfOpen | Full)
 
 
-def _near_first(replicas: list[Replica], domain: str) -> list[Replica]:
-    """Return replicas of which those in ``domain`` cost less."""
+def _prefer_domain(replicas: list[Replica], domain: str) -> list[Replica]:
+    """Return the replicas, with a lower cost for those in ``domain``."""
     return [
         Replica(
             r.stage,
@@ -242,7 +273,8 @@
             r.region,
             r.in_flight,
             r.capacity,
-            r.step_ms * (LOCAL_FACTOR if r.failure_domain == domain else 1.0),
+            r.step_ms
+            * (LOCAL_DOMAIN_COST_FACTOR if r.failure_domain == domain else 1.0),
         )
         for r in replicas
     ]
--- a/src/railfold/_internal/forwarding/servers/backoffs.py
+++ b/src/railfold/_internal/forwarding/servers/backoffs.py
@@ -198,7 +198,7 @@
             return
         self._notified_s[service] = now_s
         left_ms = int(1000 * min(_MAX_NOTIFIED_BACKOFF_S, left_s))
-        self._channel.tell_some(BackoffNotice(self._own_name, service, left_ms))
+        self._channel.send_to_sample(BackoffNotice(self._own_name, service, left_ms))
 
     def record_notice(self, message: BackoffNotice) -> None:
         """Record another entry's notice that it can't send to a service."""
--- a/src/railfold/_internal/forwarding/servers/probes.py
+++ b/src/railfold/_internal/forwarding/servers/probes.py
@@ -207,7 +207,9 @@
         other engines, its streams are moved at once. They don't wait for the probes,
         since they have to start again on another chain anyway.
         """
-        reroute_now = silence.stalled and not self._router.replaceable(silence.suspects)
+        reroute_now = silence.stalled and not self._router.are_mostly_replaceable(
+            silence.suspects
+        )
         if self.probe_backoff.allow_probe(chain.hosts[0], self._loop.time()):
             self._spawn(self._probe_suspects(chain, silence, request_id, reroute_now))
         if reroute_now:
--- a/tests/forwarding/test_incarnations.py
+++ b/tests/forwarding/test_incarnations.py
@@ -21,9 +21,9 @@
 from tests.lib.forwarding import (
     Deployment,
     begin_stream,
-    events_of,
-    rest_of,
-    runs,
+    read_reply,
+    run_count,
+    stream_body,
     until,
 )
 
@@ -54,9 +54,9 @@
 ) -> None:
     connection, engine = await begin_stream(deployment_with_start_times)
     await engine.restart(SECOND_START)
-    reply = await rest_of(connection)
-    assert reply.body == events_of(60)
-    assert reply.whole
+    reply = await read_reply(connection)
+    assert reply.body == stream_body(60)
+    assert reply.complete
 
 
 @pytest.mark.parametrize("kind", ["engines", "plain"])
@@ -97,7 +97,7 @@
     request_task = asyncio.create_task(
         deployment_with_start_times.ask("/slip/1", "r-1")
     )
-    await until(lambda: runs(deployment_with_start_times, "r-1") == 1)
+    await until(lambda: run_count(deployment_with_start_times, "r-1") == 1)
     (server,) = [s for s in deployment_with_start_times.plain if s.runs["r-1"]]
     started_s = asyncio.get_running_loop().time()
     # As after a power failure of the host, the old connection isn't closed.
@@ -108,7 +108,7 @@
     assert asyncio.get_running_loop().time() - started_s < 2.5
     assert reply.status == 502
     assert "Retry-After" not in reply.headers
-    assert runs(deployment_with_start_times, "r-1") == 1
+    assert run_count(deployment_with_start_times, "r-1") == 1
 
 
 async def test_the_slowness_of_a_new_incarnation_is_not_recorded_for_the_old_one(
--- a/tests/forwarding/test_suspended_hosts.py
+++ b/tests/forwarding/test_suspended_hosts.py
@@ -55,7 +55,7 @@
     """
 
     async def run() -> None:
-        deployment = Deployment(placed=placed)
+        deployment = Deployment(layers_placed=placed)
         await deployment.start()
         try:
             await scenario(deployment)
