--- a/src/railfold/_internal/store/follower.py
+++ b/src/railfold/_internal/store/follower.py
@@ -312,7 +312,7 @@
             return
         self._next_reminder_s *= 2.0
         logging.warning(
-            "stream %s: the log has been unavailable for %.1f s, %d failures: %s",
+            "stream %s: log unavailable for %.1f s, %d consecutive failures: %s",
             self._stream,
             outage_s,
             failures,
