--- a/src/railfold/_internal/agent/links.py
+++ b/src/railfold/_internal/agent/links.py
@@ -99,7 +99,7 @@
 
     def frame_received(self, link: Link, frame: Frame) -> None:
         """Pass a frame to the configuration replica and the backend; answer probes."""
-        self._replica.frame(link, frame)
+        self._replica.handle_frame(link, frame)
         for message in frame.messages:
             match message:
                 case Probe():
--- a/src/railfold/_internal/platform/answer_headers.py
+++ b/src/railfold/_internal/platform/answer_headers.py
@@ -1,7 +1,7 @@
-"""Names of the platform's own headers in answers, and who reads them.
+"""The platform's own headers in answers of backend servers.
 
-A name that isn't listed is new on the platform: it may state a bound that entries have
-to keep, so that it is told rather than passed over.
+A header that isn't listed here is new on the platform. It may state a limit that
+entries must respect, so entries report it rather than ignore it.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 
 from railfold._internal.forwarding.messages import Header
 
-__all__ = ["READ", "UNREAD", "unlisted"]
+__all__ = ["IGNORED_HEADERS", "READ_HEADERS", "unlisted_headers"]
 
-# Of backend servers' answers; read where requests and health checks are translated.
-READ = frozenset(
+# Read by the dialect, which translates answers to requests and health checks.
+READ_HEADERS = frozenset(
     {
         "at-server",
         "railfold-attempt-id",
@@ -24,17 +24,21 @@
     }
 )
 
-# Passed on to clients, and not needed here: who answers a health check is told by the
-# check's address and start; which weights ran is part of the answer.
-UNREAD = frozenset({"railfold-instance-id", "railfold-weight-versions"})
+# Passed on to clients, but not needed here: the address and the start time in a health
+# check identify the server, and the version of the weights only matters to the client.
+IGNORED_HEADERS = frozenset({"railfold-instance-id", "railfold-weight-versions"})
 
-_LISTED = READ | UNREAD
+_LISTED_HEADERS = READ_HEADERS | IGNORED_HEADERS
 
-# How the platform's own names begin.
-_PREFIXES = ("railfold-", "server-", "at-")
+# Prefixes of the platform's own header names.
+_PLATFORM_PREFIXES = ("railfold-", "server-", "at-")
 
 
-def unlisted(headers: Iterable[Header]) -> list[str]:
-    """Return the names of the platform's own headers that aren't listed here."""
+def unlisted_headers(headers: Iterable[Header]) -> list[str]:
+    """Return the lower-case names of platform headers that aren't listed here."""
     names = (name.lower() for name, _ in headers)
-    return [n for n in names if n.startswith(_PREFIXES) and n not in _LISTED]
+    return [
+        n
+        for n in names
+        if n.startswith(_PLATFORM_PREFIXES) and n not in _LISTED_HEADERS
+    ]
--- a/src/railfold/_internal/platform/engines.py
+++ b/src/railfold/_internal/platform/engines.py
@@ -1,4 +1,4 @@
-"""Backend servers' registrations and reports, and orders to engines."""
+"""Decoding of registrations and engine reports, and encoding of orders to engines."""
 
 from __future__ import annotations
 
@@ -25,26 +25,27 @@
 
 _REPORT_PATH = "/railfold/report"
 _ORDER_PATH = "/railfold/order"
-_JSON = ("Content-Type", "application/json")
+_JSON_HEADER = ("Content-Type", "application/json")
 
-# Others may write registrations too. A live server's takes some 400 bytes; more than
-# this is not one, and is not worth the time to read it.
-_MOST_BYTES = 16 * 1024
+# Other clients of the store may write to the stream of registrations too. A server's
+# registration has about 400 bytes; a record above this limit isn't decoded, to save the
+# time.
+_MAX_REGISTRATION_BYTES = 16 * 1024
 
-# Ids and addresses go into headers of every request, as they are.
-_HEADER_TEXT = re.compile(r"[!-~]{1,128}")
+# Ids and addresses are copied unescaped into the headers of every request.
+_HEADER_SAFE_TEXT = re.compile(r"[!-~]{1,128}")
 
-# Far beyond any model and server there is, and small enough to count through. They
-# keep a figure that means nothing from becoming work or memory inside.
-_MOST_LAYERS = 4096
-_MOST_SLOTS = 1_000_000
-_SLOWEST = 10_000.0
+# Limits far above any real model and server, and low enough to iterate over. They keep
+# an invalid number from using up processor time or memory.
+_MAX_LAYERS = 4096
+_MAX_SLOTS = 1_000_000
+_MAX_SLOWNESS = 10_000.0
 
 _Name = Annotated[str, Meta(min_length=1, max_length=256)]
 _Version = Annotated[str, Meta(max_length=64)]
 _Count = Annotated[int, Meta(ge=0, le=2**53)]
 _StartedAt = Annotated[int, Meta(ge=1, le=2**53)]
-_LayerNumber = Annotated[int, Meta(ge=0, le=_MOST_LAYERS)]
+_LayerNumber = Annotated[int, Meta(ge=0, le=_MAX_LAYERS)]
 
 
 class _Model(msgspec.Struct, frozen=True):
@@ -53,9 +54,10 @@
 
 
 class _Layers(msgspec.Struct, frozen=True):
-    """``from`` is the first layer, ``target_version`` the one after the last.
+    """Layers from ``from`` up to, but not including, ``target_version``.
 
-    The second name serves several calls; it holds no version here.
+    The platform uses the second field name for several purposes; it isn't a version
+    here.
     """
 
     first: _LayerNumber | None = msgspec.field(default=None, name="from")
@@ -63,19 +65,19 @@
     version: int | None = None
 
 
-class _Entry(msgspec.Struct, frozen=True):
-    """A registration; its id is the record's key.
+class _RegistrationRecord(msgspec.Struct, frozen=True):
+    """A backend server's registration; its id is the record's key.
 
-    ``kind`` is the accelerator's. ``cold_left_ms``, ``stage`` and ``seq`` aren't used,
-    but a record in which they are of another type is none of a backend server.
-    ``born`` is the Unix time of the server's start, in milliseconds; older platforms
-    don't tell it.
+    ``kind`` is the kind of accelerator. ``cold_left_ms``, ``stage`` and ``seq`` are
+    only validated, because a record in which they have another type isn't a backend
+    server's. ``born`` is the Unix time of the server's start, in milliseconds; older
+    versions of the platform don't include it.
     """
 
     service: _Name
     address: str
     zone: _Name
-    slots: Annotated[int, Meta(ge=1, le=_MOST_SLOTS)]
+    slots: Annotated[int, Meta(ge=1, le=_MAX_SLOTS)]
     state: Literal["ready", "draining"]
     models: list[_Model] = []
     layers: _Layers | None = None
@@ -87,34 +89,34 @@
     born: _StartedAt | UnsetType = UNSET
 
 
-class _Stalled(msgspec.Struct, frozen=True):
-    """A request (``id``) that stands still, and whom it waits for."""
+class _StalledRequest(msgspec.Struct, frozen=True):
+    """A stalled request; ``address`` is the backend server that it waits for."""
 
     address: str = ""
 
 
 class _Report(msgspec.Struct, frozen=True):
-    """An engine's state; ``seq`` counts the orders that it has begun.
+    """An engine's state; ``seq`` is the number of orders that it has accepted.
 
-    ``pace`` is how many times longer than usual its steps take.
+    ``pace`` is the duration of its steps relative to the usual one.
     """
 
     seq: _Count = 0
-    pace: Annotated[float, Meta(ge=0.0, le=_SLOWEST)] = 1.0
+    pace: Annotated[float, Meta(ge=0.0, le=_MAX_SLOWNESS)] = 1.0
     busy: bool = False
     layers: _Layers | None = None
-    stalled: list[_Stalled] = []
+    stalled: list[_StalledRequest] = []
     born: _StartedAt | UnsetType = UNSET
 
 
 class _Incarnation(msgspec.Struct, frozen=True):
-    """What any message of a server tells of the server itself."""
+    """The start time that a server includes in any of its messages."""
 
     born: _StartedAt | UnsetType = UNSET
 
 
 class _PlaceOrder(msgspec.Struct, frozen=True):
-    """``target_version`` is the layer after the last one to hold."""
+    """An order to load layers; ``target_version`` is the end, which is exclusive."""
 
     first: int = msgspec.field(name="from")
     target_version: int
@@ -130,65 +132,65 @@
     operation: str = "repath"
 
 
-_ENTRY_DECODER = msgspec.json.Decoder(_Entry)
+_REGISTRATION_DECODER = msgspec.json.Decoder(_RegistrationRecord)
 _REPORT_DECODER = msgspec.json.Decoder(_Report)
 _INCARNATION_DECODER = msgspec.json.Decoder(_Incarnation)
 
 
 def decode_registration(key: str, value: bytes) -> Registration:
-    """Return a backend server's registration.
+    """Decode a backend server's registration record with this key.
 
-    :raises EngineError: it can't be read, or says what no backend server can mean.
+    :raises EngineError: the record is invalid.
     """
-    if not _HEADER_TEXT.fullmatch(key):
-        raise EngineError("a registration's id can't be used", why=repr(key[:40]))
-    if len(value) > _MOST_BYTES:
+    if not _HEADER_SAFE_TEXT.fullmatch(key):
+        raise EngineError("a registration's id is invalid", why=repr(key[:40]))
+    if len(value) > _MAX_REGISTRATION_BYTES:
         raise EngineError("a registration is too large", why=f"{len(value)} bytes")
     try:
-        entry = _ENTRY_DECODER.decode(value)
-        return _registration(key, entry)
-    except ValueError as error:  # Also a decoder's.
+        record = _REGISTRATION_DECODER.decode(value)
+        return _registration(key, record)
+    except ValueError as error:  # Includes msgspec.DecodeError.
         raise EngineError("a registration can't be read", why=str(error)) from error
 
 
-def _registration(key: str, entry: _Entry) -> Registration:
-    """Translate an entry.
+def _registration(key: str, record: _RegistrationRecord) -> Registration:
+    """Translate a registration record.
 
-    :raises ValueError: its address or layers mean nothing.
+    :raises ValueError: its address or its layers are invalid.
     """
-    address = parse_address(entry.address)
-    if address.port == 0 or not _HEADER_TEXT.fullmatch(entry.address):
-        raise ValueError(f"{entry.address!r} can't be connected to")
+    address = parse_address(record.address)
+    if address.port == 0 or not _HEADER_SAFE_TEXT.fullmatch(record.address):
+        raise ValueError(f"{record.address!r} isn't a valid address of a server")
     return Registration(
         registered_id=key,
-        service=entry.service,
+        service=record.service,
         address=str(address),
-        failure_domain=entry.zone,
-        slots=entry.slots,
-        draining=entry.state == "draining",
-        model=entry.models[0].name if entry.models else "",
-        layers=_layers(entry.layers),
-        accelerator=entry.kind or "",
-        started_at_ms=_started_at_ms(entry.born),
-        version=_version(entry),
+        failure_domain=record.zone,
+        slots=record.slots,
+        draining=record.state == "draining",
+        model=record.models[0].name if record.models else "",
+        layers=_layer_range(record.layers),
+        accelerator=record.kind or "",
+        started_at_ms=_started_at_ms(record.born),
+        version=_software_version(record),
     )
 
 
-def _version(entry: _Entry) -> str:
-    """Return what tells software and weights apart from others."""
-    weights = f" weights {entry.models[0].version}" if entry.models else ""
-    return f"{entry.version}{weights}"
+def _software_version(record: _RegistrationRecord) -> str:
+    """Return a text that identifies the versions of the software and the weights."""
+    weights = f" weights {record.models[0].version}" if record.models else ""
+    return f"{record.version}{weights}"
 
 
 def decode_report(body: bytes) -> EngineReport:
-    """Return an engine's report.
+    """Decode the body of an engine's report.
 
-    :raises EngineError: it can't be read, or says what no engine can mean.
+    :raises EngineError: the body is invalid.
     """
     try:
         report = _REPORT_DECODER.decode(body)
-        layers = _layers(report.layers)
-    except ValueError as error:  # Also a decoder's.
+        layers = _layer_range(report.layers)
+    except ValueError as error:  # Includes msgspec.DecodeError.
         raise EngineError("a report can't be read", why=str(error)) from error
     return EngineReport(
         order_count=report.seq,
@@ -201,18 +203,21 @@
 
 
 def decode_started_at_ms(body: bytes) -> int | None:
-    """Return when the server that sent a message started, if the message tells."""
+    """Return the start time of the server that sent ``body``, if it is included.
+
+    The time is a Unix time in milliseconds.
+    """
     try:
         return _started_at_ms(_INCARNATION_DECODER.decode(body).born)
     except msgspec.DecodeError:
-        # A plain service's health answer may be any text.
+        # The body of a plain service's health check may be any text.
         return None
 
 
-def _layers(layers: _Layers | None) -> LayerRange | None:
-    """Translate layers; none is held if the range is empty.
+def _layer_range(layers: _Layers | None) -> LayerRange | None:
+    """Return the range of layers; ``None`` if it is missing or empty.
 
-    :raises ValueError: one end is missing, or they are the wrong way round.
+    :raises ValueError: only one end is given, or the end is before the start.
     """
     if layers is None:
         return None
@@ -220,7 +225,7 @@
     if first is None and end is None:
         return None
     if first is None or end is None or end < first:
-        raise ValueError("layers without two ends in order")
+        raise ValueError("the layers need a start and an end that isn't before it")
     return LayerRange(first, end - 1) if end > first else None
 
 
@@ -229,32 +234,38 @@
 
 
 def report_call() -> EngineCall:
-    """Return the call that asks an engine for its report."""
+    """Return the call that requests an engine's report."""
     return EngineCall("GET", _REPORT_PATH, (("Host", "engine"),))
 
 
-def place_call(layers: LayerRange, fencing: int, order_count: int) -> EngineCall:
-    """Return the order to hold these layers and no others."""
+def place_call(layers: LayerRange, fencing_token: int, order_count: int) -> EngineCall:
+    """Return the call that orders an engine to hold exactly these layers.
+
+    :param fencing_token: token of the lease under which the order is given.
+    :param order_count: number of accepted orders in the engine's latest report.
+    """
     order = _PlaceOrder(
         first=layers.first,
         target_version=layers.last + 1,
-        fence_token=fencing,
+        fence_token=fencing_token,
         expected_rev=order_count,
     )
-    return _order(msgspec.json.encode(order))
+    return _order_call(msgspec.json.encode(order))
 
 
 def reroute_call(request_id: str, chain: Chain) -> EngineCall:
-    """Return the order to go on with a request over another chain."""
-    return _order(msgspec.json.encode(_RerouteOrder(request_id, chain_text(chain))))
+    """Return the call that moves a running request to another chain."""
+    return _order_call(
+        msgspec.json.encode(_RerouteOrder(request_id, chain_text(chain)))
+    )
 
 
-def _order(body: bytes) -> EngineCall:
-    return EngineCall("POST", _ORDER_PATH, (("Host", "engine"), _JSON), body)
+def _order_call(body: bytes) -> EngineCall:
+    return EngineCall("POST", _ORDER_PATH, (("Host", "engine"), _JSON_HEADER), body)
 
 
 def chain_text(chain: Chain) -> str:
-    """Return a chain as engines read it: the end of a range is exclusive."""
+    """Return a chain in the engines' format; the end of a range is exclusive."""
     return ",".join(
         f"{stage.address}={stage.layers.first}-{stage.layers.last + 1}"
         for stage in chain.stages
--- a/src/railfold/_internal/platform/settings.py
+++ b/src/railfold/_internal/platform/settings.py
@@ -1,7 +1,7 @@
-"""The settings file that the platform lays beside each process.
+"""The settings file that the platform provides for each process.
 
-The path stands in the environment; the format is the platform's. Fields that
-this process doesn't use are passed over.
+An environment variable contains its path, and the platform defines its format. Fields
+that this process doesn't use are ignored.
 """
 
 from __future__ import annotations
@@ -25,8 +25,8 @@
 
 SETTINGS_VARIABLE = "RAILFOLD_NODE_FILE"
 
-# As many as make a key of 128 bits in base64.
-_LEAST_KEY_CHARACTERS = 22
+# Length of a key of 128 bits in base64.
+_MIN_KEY_CHARACTERS = 22
 
 _MB = 1024 * 1024
 
@@ -36,9 +36,9 @@
 
 
 class _Listen(msgspec.Struct, frozen=True):
-    """Addresses that the platform sends something to.
+    """Addresses on which the process listens.
 
-    ``front`` is where clients come, ``ready`` where the balancer asks.
+    ``front`` serves clients, ``ready`` the load balancer's readiness probes.
     """
 
     front: str
@@ -46,14 +46,14 @@
 
 
 class _Bounds(msgspec.Struct, frozen=True):
-    """Bounds of the rules that are in force.
-
-    ``drain_ms``: how long after a backend server has registered that it leaves new work
-    may still reach it.
-    ``revoke_ms``: how long after its removal a credential may still be used.
-    ``budget_ratio`` and ``budget_slack``: what all entries may send beyond the
-    first send of each request, as a share and a number, in any window of
-    ``budget_window_s``.
+    """Limits that the platform sets for entries.
+
+    ``grace_s``: time between the signal to stop and the kill.
+    ``drain_ms``: how long a backend server that has registered as leaving may still be
+    sent new requests.
+    ``revoke_ms``: how long a credential may still be used after its removal.
+    ``budget_ratio`` and ``budget_slack``: limit of the retries of all entries together
+    in any ``budget_window_s``, as a share of first attempts and a number beyond it.
     """
 
     grace_s: float = 8.0
@@ -65,23 +65,23 @@
 
 
 class _Limits(msgspec.Struct, frozen=True):
-    """What the host has for this process."""
+    """Resources of the host that this process may use."""
 
     memory_mb: Annotated[float, Meta(gt=0)] = DEFAULT_MEMORY_BYTES / _MB
 
 
 class _Store(msgspec.Struct, frozen=True):
-    """The metadata store; ``parts`` is how many partitions a topic has."""
+    """The metadata store; ``parts`` is the number of partitions of each topic."""
 
     address: str
     parts: int = 1
 
 
-class _Document(msgspec.Struct, frozen=True):
-    """The whole file, as far as it is used.
+class _SettingsFile(msgspec.Struct, frozen=True):
+    """The fields of the file that this process uses.
 
-    ``port_range`` is the first and the last of the ports that are left free for what
-    daemons say to each other. ``peer_key`` and ``chain_choice`` aren't the platform's:
+    ``port_range`` contains the first and the last port that are reserved for messages
+    between processes. ``peer_key`` and ``chain_choice`` aren't defined by the platform;
     operators may add them.
     """
 
@@ -93,14 +93,14 @@
     region: str = ""
     bootstrap: bool = False
     port_range: Annotated[list[_Port], Meta(min_length=2, max_length=2)] | None = None
-    peer_key: Annotated[str, Meta(min_length=_LEAST_KEY_CHARACTERS)] | None = None
+    peer_key: Annotated[str, Meta(min_length=_MIN_KEY_CHARACTERS)] | None = None
     chain_choice: Literal["cheapest", "predicted"] = "cheapest"
     bounds: dict[str, Any] = msgspec.field(default_factory=dict)
     limits: dict[str, Any] = msgspec.field(default_factory=dict)
 
 
 class PlatformSettings(msgspec.Struct, frozen=True):
-    """What the file says, decoded."""
+    """The decoded settings file."""
 
     forwarding: ForwardingSettings
     store: Address
@@ -108,9 +108,9 @@
 
 
 def settings_path() -> Path:
-    """Return the settings file's path.
+    """Return the path of the settings file from the environment.
 
-    :raises SettingsError: the environment names none.
+    :raises SettingsError: the environment variable isn't set.
     """
     path = os.environ.get(SETTINGS_VARIABLE)
     if not path:
@@ -121,11 +121,11 @@
 def load_platform_settings(
     path: Path, metrics_port: int | None = None
 ) -> PlatformSettings:
-    """Return the settings in a file.
+    """Load a settings file.
 
-    :param metrics_port: where metrics are served on the process's own address;
-        the deploy file tells it, since the platform reads it there too.
-    :raises SettingsError: with every fault found.
+    :param metrics_port: port that serves metrics on the process's own address. It isn't
+        in the settings file but in the deploy file, which the platform reads too.
+    :raises SettingsError: the file can't be read or is invalid; lists all faults.
     """
     try:
         data = tomllib.loads(path.read_text(encoding="utf-8"))
@@ -133,11 +133,11 @@
         raise SettingsError(str(path), [f"can't be read: {error.strerror}"]) from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise SettingsError(str(path), [f"isn't valid TOML: {error}"]) from error
-    return _Decoder(path, metrics_port).decode(data)
+    return _SettingsDecoder(path, metrics_port).decode(data)
 
 
-class _Decoder:
-    """Decodes one file and gathers its faults."""
+class _SettingsDecoder:
+    """Decodes one file and collects its faults."""
 
     def __init__(self, path: Path, metrics_port: int | None) -> None:
         self._path = path
@@ -145,25 +145,31 @@
         self._faults: list[str] = []
 
     def decode(self, data: dict[str, Any]) -> PlatformSettings:
-        document = self._convert("", data, _Document)
+        document = self._convert("", data, _SettingsFile)
         listen = self._convert("listen.", data.get("listen", {}), _Listen)
         bounds = self._convert("bounds.", data.get("bounds", {}), _Bounds)
         limits = self._convert("limits.", data.get("limits", {}), _Limits)
         store = self._convert("platform.", data.get("platform", {}), _Store)
-        clients = self._address("listen.front", listen.front if listen else None)
-        ready = self._address("listen.ready", listen.ready if listen else None)
-        address = self._address("platform.address", store.address if store else None)
+        client_address = self._parse_address(
+            "listen.front", listen.front if listen else None
+        )
+        readiness_address = self._parse_address(
+            "listen.ready", listen.ready if listen else None
+        )
+        store_address = self._parse_address(
+            "platform.address", store.address if store else None
+        )
         if not (document and bounds and limits and store):
             raise SettingsError(str(self._path), self._faults)
-        if not (clients and ready and address):
+        if not (client_address and readiness_address and store_address):
             raise SettingsError(str(self._path), self._faults)
         forwarding = ForwardingSettings(
             name=document.node,
             failure_domain=document.zone,
             region=document.region,
-            client_address=clients,
-            readiness_address=ready,
-            metrics_address=self._metrics(document.ip),
+            client_address=client_address,
+            readiness_address=readiness_address,
+            metrics_address=self._metrics_address(document.ip),
             credential_lease_s=bounds.revoke_ms / 1000.0,
             grace_s=bounds.grace_s,
             drain_notice_s=bounds.drain_ms / 1000.0,
@@ -171,32 +177,32 @@
             retry_slack=bounds.budget_slack,
             retry_window_s=bounds.budget_window_s,
             first_start=document.bootstrap,
-            peer_address=self._peers(document),
+            peer_address=self._peer_address(document),
             peer_key=document.peer_key.encode() if document.peer_key else None,
             memory_bytes=int(limits.memory_mb * _MB),
             predicts_chains=document.chain_choice == "predicted",
         )
-        return PlatformSettings(forwarding, address, store.parts)
+        return PlatformSettings(forwarding, store_address, store.parts)
 
-    def _metrics(self, ip: str) -> Address | None:
+    def _metrics_address(self, ip: str) -> Address | None:
         if self._metrics_port is None:
             return None
-        return self._address("ip", f"{ip}:{self._metrics_port}")
+        return self._parse_address("ip", f"{ip}:{self._metrics_port}")
 
-    def _peers(self, document: _Document) -> Address | None:
-        """Return where other entries' messages are taken: at the range's last port."""
+    def _peer_address(self, document: _SettingsFile) -> Address | None:
+        """Return the address for other entries' messages: the range's last port."""
         if document.port_range is None:
             return None
-        return self._address("ip", f"{document.ip}:{document.port_range[-1]}")
+        return self._parse_address("ip", f"{document.ip}:{document.port_range[-1]}")
 
-    def _convert(self, prefix: str, data: Any, form: type[T]) -> T | None:
+    def _convert(self, prefix: str, data: Any, struct: type[T]) -> T | None:
         try:
-            return msgspec.convert(data, form)
+            return msgspec.convert(data, struct)
         except msgspec.ValidationError as error:
             self._faults.append(f"{prefix or 'file: '}{error}")
             return None
 
-    def _address(self, name: str, text: str | None) -> Address | None:
+    def _parse_address(self, name: str, text: str | None) -> Address | None:
         if text is None:
             return None
         try:
