--- a/src/railfold/_internal/cli/main.py
+++ b/src/railfold/_internal/cli/main.py
@@ -47,11 +47,11 @@
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
         """Import and return a command, or nothing if there is none."""
-        module = _COMMAND_MODULES.get(cmd_name)
-        if module is None:
+        module_name = _COMMAND_MODULES.get(cmd_name)
+        if module_name is None:
             return None
-        commands = importlib.import_module(f"railfold._internal.commands.{module}")
-        command: click.Command = getattr(commands, cmd_name)
+        module = importlib.import_module(f"railfold._internal.commands.{module_name}")
+        command: click.Command = getattr(module, cmd_name)
         return command
 
 
--- a/src/railfold/_internal/cli/options.py
+++ b/src/railfold/_internal/cli/options.py
@@ -22,7 +22,7 @@
     "as_json",
     "entry_option",
     "log_option",
-    "open_log",
+    "open_configuration_log",
     "operator_option",
     "print_json",
     "read_body",
@@ -68,7 +68,7 @@
     return asyncio.run(coroutine)
 
 
-def open_log(log_url: str) -> ConfigurationLog:
+def open_configuration_log(log_url: str) -> ConfigurationLog:
     """Return the configuration stream of the log at ``log_url``."""
     log = LogClient(log_url, new_http_client(), new_single_use_client(), _LOG_TIMEOUT_S)
     return ConfigurationLog(log, "configuration")
--- a/src/railfold/_internal/commands/agent.py
+++ b/src/railfold/_internal/commands/agent.py
@@ -18,7 +18,7 @@
 @click.argument("settings", type=click.Path(path_type=Path))
 def agent(settings: Path) -> None:
     """Run an agent with the SETTINGS file."""
-    loaded = load_settings(settings)
-    if not isinstance(loaded, AgentSettings):
+    loaded_settings = load_settings(settings)
+    if not isinstance(loaded_settings, AgentSettings):
         raise SettingsError(str(settings), ["role: must be 'agent' for this command"])
-    clock.run(run_agent(loaded))
+    clock.run(run_agent(loaded_settings))
--- a/src/railfold/_internal/commands/check.py
+++ b/src/railfold/_internal/commands/check.py
@@ -15,5 +15,5 @@
 @click.argument("settings", type=click.Path(path_type=Path))
 def check(settings: Path) -> None:
     """Check the SETTINGS file and list every fault in it."""
-    loaded = load_settings(settings)
-    click.echo(f"{settings}: valid settings of role {loaded.role}")
+    loaded_settings = load_settings(settings)
+    click.echo(f"{settings}: valid settings of role {loaded_settings.role}")
--- a/src/railfold/_internal/commands/entry.py
+++ b/src/railfold/_internal/commands/entry.py
@@ -18,7 +18,7 @@
 @click.argument("settings", type=click.Path(path_type=Path))
 def entry(settings: Path) -> None:
     """Run an entry with the SETTINGS file."""
-    loaded = load_settings(settings)
-    if not isinstance(loaded, EntrySettings):
+    loaded_settings = load_settings(settings)
+    if not isinstance(loaded_settings, EntrySettings):
         raise SettingsError(str(settings), ["role: must be 'entry' for this command"])
-    clock.run(run_entry(loaded))
+    clock.run(run_entry(loaded_settings))
--- a/src/railfold/_internal/commands/forward.py
+++ b/src/railfold/_internal/commands/forward.py
@@ -51,20 +51,20 @@
     source = SettingsSource(
         path, lambda path: load_platform_settings(path, metrics_port).forwarding
     )
-    loaded = load_platform_settings(path, metrics_port)
-    listeners = open_listeners(loaded.forwarding)
+    platform_settings = load_platform_settings(path, metrics_port)
+    listeners = open_listeners(platform_settings.forwarding)
 
     # Not before the sockets listen: this is most of a start's time.
     from railfold._internal import clock
 
-    clock.run(_run(source, loaded, listeners))
+    clock.run(_run(source, platform_settings, listeners))
 
 
 async def _run(
-    source: SettingsSource, loaded: PlatformSettings, listeners: Listeners
+    source: SettingsSource, platform_settings: PlatformSettings, listeners: Listeners
 ) -> None:
     from railfold._internal.forwarding.process import run_forwarding_entry
     from railfold._internal.platform.adapter import UsersPlatform
 
-    adapter = UsersPlatform(loaded.store, loaded.store_partitions)
-    await run_forwarding_entry(loaded.forwarding, adapter, source, listeners)
+    adapter = UsersPlatform(platform_settings.store, platform_settings.store_partitions)
+    await run_forwarding_entry(platform_settings.forwarding, adapter, source, listeners)
--- a/src/railfold/_internal/commands/held.py
+++ b/src/railfold/_internal/commands/held.py
@@ -22,7 +22,7 @@
 __all__ = ["held", "lift"]
 
 
-class _Held(msgspec.Struct, frozen=True):
+class _HeldContent(msgspec.Struct, frozen=True):
     """One content that is held back, as it is shown."""
 
     content: str
@@ -43,14 +43,14 @@
     SETTINGS is the platform's settings file of any entry; by default the one that the
     environment names.
     """
-    found = run(_read(_platform(settings)))
+    held_contents = run(_read_held_contents(_load_platform(settings)))
     if json_output:
-        print_json(msgspec.to_builtins(found))
+        print_json(msgspec.to_builtins(held_contents))
         return
-    if not found:
+    if not held_contents:
         click.echo("nothing is held back")
-    for item in found:
-        click.echo(_text(item))
+    for item in held_contents:
+        click.echo(_format_held_content(item))
 
 
 @click.command()
@@ -58,44 +58,44 @@
 @settings_argument
 def lift(content: str, settings: Path | None) -> None:
     """Let requests of CONTENT, as 'railfold held' shows it, run again everywhere."""
-    run(_lift(_platform(settings), content))
+    run(_delete_hold_record(_load_platform(settings), content))
     click.echo(f"{content}: lifted")
 
 
-def _platform(settings: Path | None) -> UsersPlatform:
+def _load_platform(settings: Path | None) -> UsersPlatform:
     loaded = load_platform_settings(settings or settings_path())
     return UsersPlatform(loaded.store, loaded.store_partitions)
 
 
-async def _read(platform: UsersPlatform) -> list[_Held]:
+async def _read_held_contents(platform: UsersPlatform) -> list[_HeldContent]:
     page = await platform.new_log().read(
         platform.quarantine_stream, NEWEST_OF_EACH_KEY, 0.0
     )
-    found = []
+    held_contents = []
     for record in page.records:
         item = record.body
         if item.key == PEER_KEY_RECORD or not item.value:
             continue
         try:
-            found.append(_Held(item.key, decode_hold(item.value)))
+            held_contents.append(_HeldContent(item.key, decode_hold(item.value)))
         except PeerMessageError as error:
             click.echo(f"{item.key}: {error}", err=True)
-    return found
+    return held_contents
 
 
-async def _lift(platform: UsersPlatform, content: str) -> None:
+async def _delete_hold_record(platform: UsersPlatform, content: str) -> None:
     """Take a content's record away; entries read that at once.
 
     :raises RequestNotHeldError: there is none.
     """
-    if content not in {item.content for item in await _read(platform)}:
+    if content not in {item.content for item in await _read_held_contents(platform)}:
         raise RequestNotHeldError(
             f"content {content} isn't held back", hint="see 'railfold held'"
         )
     await platform.new_log().put(platform.quarantine_stream, content, b"")
 
 
-def _text(item: _Held) -> str:
+def _format_held_content(item: _HeldContent) -> str:
     record = item.record
     age_s = max(0.0, clock.unix_time_s() - record.held_at_unix_ms / 1000.0)
     servers = ", ".join(crash.server_id for crash in record.crashes)
--- a/src/railfold/_internal/commands/publish.py
+++ b/src/railfold/_internal/commands/publish.py
@@ -11,7 +11,7 @@
 from railfold._internal.cli.options import (
     as_json,
     log_option,
-    open_log,
+    open_configuration_log,
     operator_option,
     print_json,
     read_body,
@@ -32,13 +32,13 @@
 
 
 def _publish(log_url: str, change: Change, timeout_s: float, json_output: bool) -> None:
-    async def run_it() -> AuditEntry:
-        return await open_log(log_url).publish(change, timeout_s)
+    async def publish_change() -> AuditEntry:
+        return await open_configuration_log(log_url).publish(change, timeout_s)
 
-    _report(run(run_it()), json_output)
+    _print_outcome(run(publish_change()), json_output)
 
 
-def _report(entry: AuditEntry, json_output: bool) -> None:
+def _print_outcome(entry: AuditEntry, json_output: bool) -> None:
     if json_output:
         print_json(msgspec.to_builtins(entry))
     raise_for_verdict(entry)
@@ -101,7 +101,7 @@
 def settle(write_id: str, log_url: str, timeout_s: float, json_output: bool) -> None:
     """Tell what became of the change with WRITE_ID."""
 
-    async def run_it() -> AuditEntry:
-        return await open_log(log_url).settle(write_id, timeout_s)
+    async def find_outcome() -> AuditEntry:
+        return await open_configuration_log(log_url).settle(write_id, timeout_s)
 
-    _report(run(run_it()), json_output)
+    _print_outcome(run(find_outcome()), json_output)
--- a/src/railfold/_internal/commands/show.py
+++ b/src/railfold/_internal/commands/show.py
@@ -14,7 +14,7 @@
 from railfold._internal.cli.options import (
     as_json,
     log_option,
-    open_log,
+    open_configuration_log,
     print_json,
     read_body,
     run,
@@ -24,11 +24,11 @@
 __all__ = ["audit", "diff", "show"]
 
 
-def _read(log_url: str) -> Configuration:
-    async def run_it() -> Configuration:
-        return await open_log(log_url).read_all()
+def _read_configuration(log_url: str) -> Configuration:
+    async def read_configuration() -> Configuration:
+        return await open_configuration_log(log_url).read_all()
 
-    return run(run_it())
+    return run(read_configuration())
 
 
 @click.command()
@@ -37,7 +37,7 @@
 @log_option
 def show(kind: str | None, name: str | None, log_url: str) -> None:
     """Show the configuration, or the objects of KIND, or the object NAME."""
-    state = _read(log_url).to_state()
+    state = _read_configuration(log_url).to_state()
     state["objects"] = [
         item
         for item in state["objects"]
@@ -57,12 +57,12 @@
     Exits with 1 if it differs.
     """
     body = read_body(file)
-    stored = _read(log_url).objects.get(ObjectId(kind, name))
+    stored = _read_configuration(log_url).objects.get(ObjectId(kind, name))
     version = stored.version if stored else 0
     lines = list(
         difflib.unified_diff(
-            _lines(stored.body if stored else None),
-            _lines(body),
+            _format_body(stored.body if stored else None),
+            _format_body(body),
             f"{kind}/{name} version {version}",
             str(file),
             lineterm="",
@@ -74,7 +74,7 @@
         raise SystemExit(1)
 
 
-def _lines(body: dict[str, Any] | None) -> list[str]:
+def _format_body(body: dict[str, Any] | None) -> list[str]:
     if body is None:
         return []
     return json.dumps(body, indent=2, sort_keys=True).splitlines()
@@ -86,11 +86,11 @@
 @as_json
 def audit(last: int, log_url: str, json_output: bool) -> None:
     """Show who changed what, when, and what became of it."""
-    entries = list(_read(log_url).audit)[-last:]
+    audit_entries = list(_read_configuration(log_url).audit)[-last:]
     if json_output:
-        print_json([msgspec.to_builtins(entry) for entry in entries])
+        print_json([msgspec.to_builtins(entry) for entry in audit_entries])
         return
-    for entry in entries:
+    for entry in audit_entries:
         when = datetime.fromtimestamp(entry.appended_s, UTC)
         click.echo(
             f"{when:%Y-%m-%dT%H:%M:%SZ} offset {entry.offset} {entry.operator}"
--- a/src/railfold/_internal/commands/status.py
+++ b/src/railfold/_internal/commands/status.py
@@ -19,18 +19,18 @@
 __all__ = ["drain", "explain", "routes", "status", "wait"]
 
 
-def _fetch(url: str, path: str) -> Any:
-    async def run_it() -> Any:
+def _fetch_json(url: str, path: str) -> Any:
+    async def fetch_json() -> Any:
         return await processes.fetch(new_http_client(), url, path)
 
-    return run(run_it())
+    return run(fetch_json())
 
 
 @click.command()
 @entry_option
 def status(url: str) -> None:
     """Show a process's status as JSON."""
-    print_json(_fetch(url, "/v1/status"))
+    print_json(_fetch_json(url, "/v1/status"))
 
 
 @click.command()
@@ -38,15 +38,17 @@
 @as_json
 def routes(url: str, json_output: bool) -> None:
     """Show the agents that an entry knows, and whether it routes to them."""
-    agents = _fetch(url, "/v1/status")["agents"]
+    agents = _fetch_json(url, "/v1/status")["agents"]
     if json_output:
         print_json(agents)
         return
     for agent in agents:
-        what = ", ".join(agent["loaded"] + agent["services"]) or "nothing loaded"
+        capabilities = (
+            ", ".join(agent["loaded"] + agent["services"]) or "nothing loaded"
+        )
         click.echo(
             f"{agent['host']:<20} {agent['state']:<12} {agent['failure_domain']:<12}"
-            f" {agent['load']:>4}/{agent['capacity']:<4} {what}"
+            f" {agent['load']:>4}/{agent['capacity']:<4} {capabilities}"
         )
 
 
@@ -57,15 +59,17 @@
 def explain(pipeline: str, url: str, json_output: bool) -> None:
     """Say why an entry would send a request of PIPELINE where."""
 
-    async def run_it() -> Any:
+    async def explain_routing() -> Any:
         return await processes.explain(new_http_client(), url, pipeline)
 
-    answer = run(run_it())
+    explanation = run(explain_routing())
     if json_output:
-        print_json(answer)
+        print_json(explanation)
         return
-    click.echo("chain: " + (" > ".join(answer["chain"]) or answer["no_chain"]))
-    for host in answer["hosts"]:
+    click.echo(
+        "chain: " + (" > ".join(explanation["chain"]) or explanation["no_chain"])
+    )
+    for host in explanation["hosts"]:
         click.echo(f"{host['host']:<20} {host['layers']:<10} {host['verdict']}")
 
 
@@ -74,10 +78,10 @@
 def drain(url: str) -> None:
     """Make a process take no new work and finish what it has."""
 
-    async def run_it() -> None:
+    async def start_drain() -> None:
         await processes.drain(new_http_client(), url)
 
-    run(run_it())
+    run(start_drain())
     click.echo(f"{url}: draining")
 
 
@@ -94,8 +98,10 @@
 def wait(version: int, urls: tuple[str, ...], timeout_s: float) -> None:
     """Wait until VERSION is in force at the entries and their agents."""
 
-    async def run_it() -> None:
-        await processes.wait_in_force(new_http_client(), list(urls), version, timeout_s)
+    async def wait_for_version() -> None:
+        await processes.wait_until_in_force(
+            new_http_client(), list(urls), version, timeout_s
+        )
 
-    run(run_it())
+    run(wait_for_version())
     click.echo(f"version {version} is in force")
--- a/src/railfold/_internal/commands/trace.py
+++ b/src/railfold/_internal/commands/trace.py
@@ -26,30 +26,36 @@
     Lines that tell of the process's surroundings are indented.
     """
     texts = (text for log in logs for text in log.read_text("utf-8").splitlines())
-    found = trace_request(read_lines(texts), request_id)
-    if not found.own:
+    traced_request = trace_request(read_lines(texts), request_id)
+    if not traced_request.request_lines:
         raise RequestNotLoggedError(
             f"no line is about request {request_id}",
             hint="routine lines are left out under load; failures never are",
         )
     if as_json:
-        click.echo(msgspec.json.encode(found.lines))
+        click.echo(msgspec.json.encode(traced_request.lines))
         return
-    start_s = found.own[0].time_s
-    for line in found.lines:
-        click.echo(_text(line, start_s, indented=line not in found.own))
+    start_s = traced_request.request_lines[0].time_s
+    for line in traced_request.lines:
+        click.echo(
+            _format_line(
+                line, start_s, indented=line not in traced_request.request_lines
+            )
+        )
 
 
-def _text(line: LogLine, start_s: float, *, indented: bool) -> str:
-    at_ms = round((line.time_s - start_s) * 1000)
-    margin = "    " if indented else ""
-    return f"{at_ms:>8} ms  {line.host}  {margin}{_event_text(line.event)}"
+def _format_line(line: LogLine, start_s: float, *, indented: bool) -> str:
+    offset_ms = round((line.time_s - start_s) * 1000)
+    indent = "    " if indented else ""
+    return f"{offset_ms:>8} ms  {line.host}  {indent}{_format_event(line.event)}"
 
 
-def _event_text(event: Event) -> str:
+def _format_event(event: Event) -> str:
     fields = msgspec.to_builtins(event)
     name = fields.pop("type")
-    shown = {
+    shown_fields = {
         k: v for k, v in fields.items() if v not in ("", None) and k != "request_id"
     }
-    return f"{name} " + " ".join(f"{key}={value!r}" for key, value in shown.items())
+    return f"{name} " + " ".join(
+        f"{key}={value!r}" for key, value in shown_fields.items()
+    )
--- a/src/railfold/_internal/commands/validate.py
+++ b/src/railfold/_internal/commands/validate.py
@@ -6,7 +6,12 @@
 
 import click
 
-from railfold._internal.cli.options import log_option, open_log, read_body, run
+from railfold._internal.cli.options import (
+    log_option,
+    open_configuration_log,
+    read_body,
+    run,
+)
 from railfold._internal.decisions.configuration import ObjectId
 
 __all__ = ["validate"]
@@ -21,9 +26,9 @@
     """Check FILE as the object NAME of KIND against the configuration in force."""
     body = read_body(file)
 
-    async def run_it() -> None:
-        configuration = await open_log(log_url).read_all()
+    async def check_body() -> None:
+        configuration = await open_configuration_log(log_url).read_all()
         configuration.check(ObjectId(kind, name), body)
 
-    run(run_it())
+    run(check_body())
     click.echo(f"{kind}/{name}: valid")
--- a/src/railfold/_internal/forwarding/peers/load_exchange.py
+++ b/src/railfold/_internal/forwarding/peers/load_exchange.py
@@ -41,7 +41,7 @@
     LoadSumNotice,
 )
 from railfold._internal.forwarding.router import Router
-from railfold._internal.observability.events import LoadNewsChanged
+from railfold._internal.observability.events import LoadCoverageChanged
 
 __all__ = ["LoadExchange", "LoadMessage"]
 
@@ -398,7 +398,7 @@
             return
         self._knows_others = knows_others
         state = "known" if knows_others else "lost"
-        event = LoadNewsChanged(
+        event = LoadCoverageChanged(
             state, known_entries, self._router.entries, round(age_s * 1000, 1)
         )
         self._router.log.write(event)
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -63,16 +63,19 @@
 from railfold._internal.observability.decision_log import DecisionLog
 from railfold._internal.observability.events import (
     DependencyLost,
-    DependencyRegained,
+    DependencyRecovered,
     ProcessResumed,
     ProcessStarted,
     ProcessStopping,
     ReadinessChanged,
-    StoreWentBack,
+    StoreRolledBack,
 )
 from railfold._internal.observability.metrics import Metrics
 from railfold._internal.observability.server import HttpServerChild
-from railfold._internal.observability.small_server import SmallAnswer, SmallAnswers
+from railfold._internal.observability.simple_server import (
+    SimpleResponse,
+    SimpleServerDelegate,
+)
 from railfold._internal.store.follower import FollowerPace, StreamFollower
 from railfold._internal.supervision.process import run_process
 from railfold._internal.supervision.supervisor import ChildSpec, Supervisor
@@ -244,7 +247,7 @@
             listeners.clients if listeners else None,
         )
         self._readiness = HttpServerChild(
-            SmallAnswers(self._readiness_answer),
+            SimpleServerDelegate(self._readiness_answer),
             settings.readiness_address,
             listener=listeners.readiness if listeners else None,
         )
@@ -280,7 +283,7 @@
             children.insert(0, ChildSpec("settings", watcher.run))
         if settings.metrics_address is not None:
             server = HttpServerChild(
-                SmallAnswers(self._metrics_page), settings.metrics_address
+                SimpleServerDelegate(self._metrics_page), settings.metrics_address
             )
             children.append(ChildSpec("metrics", server.run))
         return Supervisor("forwarding", children)
@@ -314,15 +317,17 @@
             on_epoch=self._on_epoch,
         )
 
-    def _readiness_answer(self, path: str) -> SmallAnswer:
-        return SmallAnswer(_OK if self.ready() else _SERVICE_UNAVAILABLE)
+    def _readiness_answer(self, path: str) -> SimpleResponse:
+        return SimpleResponse(_OK if self.ready() else _SERVICE_UNAVAILABLE)
 
-    def _metrics_page(self, path: str) -> SmallAnswer:
+    def _metrics_page(self, path: str) -> SimpleResponse:
         # Imported at the first request for metrics, so that a process that restarts
         # after a crash only imports what it needs for serving clients.
         from railfold._internal.observability import prometheus
 
-        return SmallAnswer(_OK, prometheus.render(self.metrics), prometheus.FORMAT)
+        return SimpleResponse(
+            _OK, prometheus.render(self.metrics), prometheus.CONTENT_TYPE
+        )
 
     def ready(self) -> bool:
         """Return whether the load balancer may send new clients."""
@@ -393,7 +398,7 @@
 
     def _on_store_regained(self) -> None:
         self._store_reachable.set()
-        self.log.write(DependencyRegained("store"))
+        self.log.write(DependencyRecovered("store"))
 
     def _on_member_renewed(self, grant: LeaseGrant, sent_s: float) -> None:
         self._candidacy.record_renewal(grant, sent_s)
@@ -417,7 +422,7 @@
             return
         now_s = self._loop.time()
         self.metrics.count("store.went_back")
-        self.log.write(StoreWentBack(epoch))
+        self.log.write(StoreRolledBack(epoch))
         self.router.lease.ignore_sent_before(now_s + LOG_RECOVERY_S)
         self.router.directory.store_recovered(now_s)
         self._leadership.revoke()
--- a/src/railfold/_internal/forwarding/requests/front.py
+++ b/src/railfold/_internal/forwarding/requests/front.py
@@ -314,9 +314,9 @@
             self,
             address,
             listener=listener,
-            begin=self.can_answer,
-            begin_by_s=_MAX_STARTUP_WAIT_S,
-            prepare=self._apply_limits,
+            start_event=self.can_answer,
+            start_timeout_s=_MAX_STARTUP_WAIT_S,
+            configure_server=self._apply_limits,
         )
         self._limits = ClientLimits()
 
--- a/src/railfold/_internal/forwarding/router.py
+++ b/src/railfold/_internal/forwarding/router.py
@@ -70,7 +70,7 @@
 from railfold._internal.forwarding.servers.pool import ConnectionPool
 from railfold._internal.forwarding.servers.rate_limits import RateLimits
 from railfold._internal.observability.decision_log import DecisionLog
-from railfold._internal.observability.events import PipeShareCut
+from railfold._internal.observability.events import PipeShareReduced
 from railfold._internal.observability.metrics import Metrics
 
 __all__ = ["ActiveRequest", "Router"]
@@ -432,7 +432,9 @@
             if self.pipes.record_first_event(one, other, late_s, objective_s, now_s):
                 self.metrics.count("pipes.cut")
                 share = round(self.pipes.quota_share(one, other), 3)
-                self.log.write(PipeShareCut(one, other, share, round(late_s * 1000)))
+                self.log.write(
+                    PipeShareReduced(one, other, share, round(late_s * 1000))
+                )
 
     def registered_id(self, server_id: str) -> str:
         """Return the id that an incarnation is registered under."""
--- a/src/railfold/_internal/observability/decision_log.py
+++ b/src/railfold/_internal/observability/decision_log.py
@@ -19,14 +19,14 @@
 __all__ = ["DecisionLog"]
 
 # About two seconds of lines of an entry under the load that it is designed for.
-_BUFFER_BYTES = 512 * 1024
+_MAX_BUFFERED_BYTES = 512 * 1024
 
 # Lines of requests that went well, a second; the rest are counted only. Lines
 # of requests that did not are never left out.
-_ROUTINE_LINES_PER_S = 40.0
+_MAX_ROUTINE_LINES_PER_S = 40.0
 
-_FLUSH_S = 0.1
-_WRITE_BYTES = 64 * 1024
+_FLUSH_INTERVAL_S = 0.1
+_MAX_WRITE_BYTES = 64 * 1024
 
 
 class DecisionLog:
@@ -38,18 +38,18 @@
         self._lines: deque[bytes] = deque()
         self._buffered_bytes = 0
         self._encoder = msgspec.json.Encoder()
-        self._dropped = 0
-        self._skipped = 0
-        self._allowance = _ROUTINE_LINES_PER_S
-        self._allowance_at_s = clock.now_s()
+        self._dropped_lines = 0
+        self._skipped_routine_lines = 0
+        self._routine_credit = _MAX_ROUTINE_LINES_PER_S
+        self._credit_updated_at_s = clock.now_s()
 
     def write(self, event: Event) -> None:
         """Log an event."""
         line = self._encoder.encode(
             LogLine(round(clock.unix_time_s(), 3), self._host, event)
         )
-        if self._buffered_bytes + len(line) > _BUFFER_BYTES:
-            self._dropped += 1
+        if self._buffered_bytes + len(line) > _MAX_BUFFERED_BYTES:
+            self._dropped_lines += 1
             return
         self._lines.append(line + b"\n")
         self._buffered_bytes += len(line) + 1
@@ -57,13 +57,15 @@
     def write_routine(self, event: Event) -> None:
         """Log an event that explains no failure, unless there are many."""
         now_s = clock.now_s()
-        earned = (now_s - self._allowance_at_s) * _ROUTINE_LINES_PER_S
-        self._allowance = min(_ROUTINE_LINES_PER_S, self._allowance + earned)
-        self._allowance_at_s = now_s
-        if self._allowance < 1.0:
-            self._skipped += 1
+        earned_credit = (now_s - self._credit_updated_at_s) * _MAX_ROUTINE_LINES_PER_S
+        self._routine_credit = min(
+            _MAX_ROUTINE_LINES_PER_S, self._routine_credit + earned_credit
+        )
+        self._credit_updated_at_s = now_s
+        if self._routine_credit < 1.0:
+            self._skipped_routine_lines += 1
             return
-        self._allowance -= 1.0
+        self._routine_credit -= 1.0
         self.write(event)
 
     async def run(self, ready: asyncio.Event) -> None:
@@ -72,20 +74,23 @@
         ready.set()
         try:
             while True:
-                await asyncio.sleep(_FLUSH_S)
+                await asyncio.sleep(_FLUSH_INTERVAL_S)
                 self.flush()
         finally:
             self.flush()
 
     def flush(self) -> None:
         """Write what the reader takes now."""
-        if (self._dropped or self._skipped) and not self._lines:
-            dropped, skipped = self._dropped, self._skipped
-            self._dropped = self._skipped = 0
-            self.write(LinesDropped(dropped, skipped))
+        if (self._dropped_lines or self._skipped_routine_lines) and not self._lines:
+            dropped_lines, skipped_lines = (
+                self._dropped_lines,
+                self._skipped_routine_lines,
+            )
+            self._dropped_lines = self._skipped_routine_lines = 0
+            self.write(LinesDropped(dropped_lines, skipped_lines))
         while self._lines:
             chunk = bytearray()
-            while self._lines and len(chunk) < _WRITE_BYTES:
+            while self._lines and len(chunk) < _MAX_WRITE_BYTES:
                 chunk += self._lines.popleft()
             try:
                 written = os.write(self._fd, chunk)
--- a/src/railfold/_internal/observability/events.py
+++ b/src/railfold/_internal/observability/events.py
@@ -16,16 +16,16 @@
     "ConfigurationAccepted",
     "ConfigurationBehind",
     "DependencyLost",
-    "DependencyRegained",
+    "DependencyRecovered",
     "EngineChanged",
     "Event",
     "LayersOrdered",
     "LayersPlanned",
     "LeadershipChanged",
     "LinesDropped",
-    "LoadNewsChanged",
+    "LoadCoverageChanged",
     "LogLine",
-    "PipeShareCut",
+    "PipeShareReduced",
     "ProcessResumed",
     "ProcessStarted",
     "ProcessStopping",
@@ -36,7 +36,7 @@
     "ServerBackoffChanged",
     "ServerCrashed",
     "SettingsReloaded",
-    "StoreWentBack",
+    "StoreRolledBack",
     "StreamRerouted",
 ]
 
@@ -77,7 +77,7 @@
     cause: str
 
 
-class DependencyRegained(msgspec.Struct, frozen=True, tag="dependency_regained"):
+class DependencyRecovered(msgspec.Struct, frozen=True, tag="dependency_regained"):
     """It answers again."""
 
     dependency: str
@@ -94,7 +94,7 @@
     proof_age_ms: float
 
 
-class StoreWentBack(msgspec.Struct, frozen=True, tag="store_went_back"):
+class StoreRolledBack(msgspec.Struct, frozen=True, tag="store_went_back"):
     """It came back from an older copy, and lost what it had acknowledged since."""
 
     epoch: int
@@ -125,7 +125,7 @@
     cause: str
 
 
-class LoadNewsChanged(msgspec.Struct, frozen=True, tag="load_news_changed"):
+class LoadCoverageChanged(msgspec.Struct, frozen=True, tag="load_news_changed"):
     """The load of most other entries became known, or isn't known any more.
 
     ``known`` of ``entries`` parts count, the oldest of which is ``age_ms`` old.
@@ -208,7 +208,7 @@
     load_age_ms: float = 0.0
 
 
-class PipeShareCut(msgspec.Struct, frozen=True, tag="pipe_share_cut"):
+class PipeShareReduced(msgspec.Struct, frozen=True, tag="pipe_share_cut"):
     """A first event over two failure domains came late: fewer requests cross.
 
     :param share: of the entry's part of the pipe that it uses from now on.
@@ -378,18 +378,18 @@
     | ProcessResumed
     | SettingsReloaded
     | DependencyLost
-    | DependencyRegained
+    | DependencyRecovered
     | ReadinessChanged
-    | StoreWentBack
+    | StoreRolledBack
     | ConfigurationAccepted
     | ConfigurationBehind
     | EngineChanged
-    | LoadNewsChanged
+    | LoadCoverageChanged
     | LeadershipChanged
     | LayersOrdered
     | LayersPlanned
     | AttemptStarted
-    | PipeShareCut
+    | PipeShareReduced
     | AttemptEnded
     | AttemptKept
     | ChainProbed
--- a/src/railfold/_internal/observability/metrics.py
+++ b/src/railfold/_internal/observability/metrics.py
@@ -13,7 +13,7 @@
 
 __all__ = ["BUCKETS_S", "Histogram", "Metrics"]
 
-_TIMERS_KEPT = 10_000
+_MAX_BUFFERED_TIMERS = 10_000
 
 # Upper bounds: around the objectives of the first sites (0.125 to 0.6 s to the
 # first event, pauses of 0.2 s) and up to the longest time limit.
@@ -40,10 +40,10 @@
     counters: Counter[str] = field(default_factory=Counter)
     gauges: dict[str, float] = field(default_factory=dict)
     timers_ms: deque[tuple[str, float]] = field(
-        default_factory=lambda: deque(maxlen=_TIMERS_KEPT)
+        default_factory=lambda: deque(maxlen=_MAX_BUFFERED_TIMERS)
     )
     histograms: dict[str, Histogram] = field(default_factory=dict)
-    _sent: Counter[str] = field(default_factory=Counter)
+    _reported_counters: Counter[str] = field(default_factory=Counter)
 
     def count(self, name: str, value: int = 1) -> None:
         """Add to a counter."""
@@ -61,7 +61,7 @@
     def counter_increments(self) -> Iterator[tuple[str, int]]:
         """Yield what each counter grew by since the last call."""
         for name, value in self.counters.items():
-            increment = value - self._sent[name]
+            increment = value - self._reported_counters[name]
             if increment:
-                self._sent[name] = value
+                self._reported_counters[name] = value
                 yield name, increment
--- a/src/railfold/_internal/observability/prometheus.py
+++ b/src/railfold/_internal/observability/prometheus.py
@@ -15,9 +15,9 @@
 
 from railfold._internal.observability.metrics import BUCKETS_S, Metrics
 
-__all__ = ["FORMAT", "render"]
+__all__ = ["CONTENT_TYPE", "render"]
 
-FORMAT = CONTENT_TYPE_LATEST
+CONTENT_TYPE = CONTENT_TYPE_LATEST
 
 
 class _MetricsCollector(Collector):
@@ -27,26 +27,31 @@
     def collect(self) -> Iterator[Metric]:
         """Yield counters, gauges and histograms."""
         for name, value in sorted(self._metrics.counters.items()):
-            yield CounterMetricFamily(_name(name), name, value=value)
-        for name, level in sorted(self._metrics.gauges.items()):
-            yield GaugeMetricFamily(_name(name), name, value=level)
+            yield CounterMetricFamily(_metric_name(name), name, value=value)
+        for name, gauge_value in sorted(self._metrics.gauges.items()):
+            yield GaugeMetricFamily(_metric_name(name), name, value=gauge_value)
         for name, histogram in sorted(self._metrics.histograms.items()):
             buckets: list[tuple[str, float]] = []
-            total = 0
-            for bound, count in zip(
+            cumulative_count = 0
+            for upper_bound_s, count in zip(
                 (*BUCKETS_S, float("inf")), histogram.counts, strict=True
             ):
-                total += count
-                buckets.append(("+Inf" if bound == float("inf") else str(bound), total))
+                cumulative_count += count
+                buckets.append(
+                    (
+                        "+Inf" if upper_bound_s == float("inf") else str(upper_bound_s),
+                        cumulative_count,
+                    )
+                )
             yield HistogramMetricFamily(
-                _name(name) + "_seconds",
+                _metric_name(name) + "_seconds",
                 name,
                 buckets=buckets,
                 sum_value=histogram.sum_s,
             )
 
 
-def _name(name: str) -> str:
+def _metric_name(name: str) -> str:
     return "railfold_" + name.replace(".", "_").replace("-", "_")
 
 
--- a/src/railfold/_internal/observability/server.py
+++ b/src/railfold/_internal/observability/server.py
@@ -27,10 +27,10 @@
     :param delegate: an application, or what takes each connection's requests.
     :param listener: a socket that listens on the address already; else one is
         opened.
-    :param begin: connections wait in the kernel's queue until it is set; if it
+    :param start_event: connections wait in the kernel's queue until it is set; if it
         isn't given, none wait.
-    :param begin_by_s: they wait this long at most.
-    :param prepare: called with each server that is made, before it serves.
+    :param start_timeout_s: they wait this long at most.
+    :param configure_server: called with each server that is made, before it serves.
     :param options: given to tornado's server.
     """
 
@@ -40,19 +40,19 @@
         address: Address,
         *,
         listener: socket.socket | None = None,
-        begin: asyncio.Event | None = None,
-        begin_by_s: float | None = None,
-        prepare: Callable[[HTTPServer], None] | None = None,
+        start_event: asyncio.Event | None = None,
+        start_timeout_s: float | None = None,
+        configure_server: Callable[[HTTPServer], None] | None = None,
         **options: Any,
     ) -> None:
         self._delegate = delegate
         self._address = address
         self._listener = listener
-        self._begin = begin
-        self._begin_by_s = begin_by_s
-        self._prepare = prepare
+        self._start_event = start_event
+        self._start_timeout_s = start_timeout_s
+        self._configure_server = configure_server
         self._options = options
-        self._sockets: list[socket.socket] = []
+        self._listening_sockets: list[socket.socket] = []
         self.server: HTTPServer | None = None
 
     async def run(self, ready: asyncio.Event) -> None:
@@ -60,13 +60,13 @@
         # A server that was stopped can't be used again.
         server = HTTPServer(self._delegate, **self._options)
         self.server = server
-        if self._prepare is not None:
-            self._prepare(server)
-        self._sockets = self._listen()
+        if self._configure_server is not None:
+            self._configure_server(server)
+        self._listening_sockets = self._listen()
         ready.set()
         try:
-            await self._wait_to_begin()
-            server.add_sockets(self._sockets)
+            await self._wait_for_start()
+            server.add_sockets(self._listening_sockets)
             await asyncio.Event().wait()
         finally:
             self.stop_listening()
@@ -76,9 +76,9 @@
         """Take no new connections; those that wait are reset unread."""
         if self.server is not None:
             self.server.stop()
-        for listener in self._sockets:
+        for listener in self._listening_sockets:
             listener.close()
-        self._sockets = []
+        self._listening_sockets = []
 
     def _listen(self) -> list[socket.socket]:
         # A child that is started anew has closed the socket it was given.
@@ -87,11 +87,11 @@
             return [listener]
         return bind_sockets(self._address.port, self._address.ip, backlog=_BACKLOG)
 
-    async def _wait_to_begin(self) -> None:
-        if self._begin is None:
+    async def _wait_for_start(self) -> None:
+        if self._start_event is None:
             return
         try:
-            async with asyncio.timeout(self._begin_by_s):
-                await self._begin.wait()
+            async with asyncio.timeout(self._start_timeout_s):
+                await self._start_event.wait()
         except TimeoutError:
             return  # Requests are refused one by one from now on.
--- a/src/railfold/_internal/observability/small_server.py
+++ b/src/railfold/_internal/observability/simple_server.py
@@ -14,13 +14,13 @@
     ResponseStartLine,
 )
 
-__all__ = ["SmallAnswer", "SmallAnswers"]
+__all__ = ["SimpleResponse", "SimpleServerDelegate"]
 
 _REASONS = {200: "OK", 404: "Not Found", 503: "Service Unavailable"}
 
 
 @dataclass(frozen=True, slots=True)
-class SmallAnswer:
+class SimpleResponse:
     """A whole answer."""
 
     status: int
@@ -28,14 +28,14 @@
     content_type: str = "text/plain; charset=utf-8"
 
 
-class _SmallMessage(HTTPMessageDelegate):
+class _SimpleRequestDelegate(HTTPMessageDelegate):
     """Answers one request, whatever its method."""
 
     def __init__(
-        self, connection: HTTPConnection, answer: Callable[[str], SmallAnswer]
+        self, connection: HTTPConnection, respond: Callable[[str], SimpleResponse]
     ) -> None:
         self._connection = connection
-        self._answer = answer
+        self._respond = respond
         self._path = ""
 
     def headers_received(
@@ -47,30 +47,30 @@
 
     def finish(self) -> None:
         """Answer."""
-        answer = self._answer(self._path)
-        line = ResponseStartLine(
-            "HTTP/1.1", answer.status, _REASONS.get(answer.status, "")
+        response = self._respond(self._path)
+        status_line = ResponseStartLine(
+            "HTTP/1.1", response.status, _REASONS.get(response.status, "")
         )
-        fields = HTTPHeaders(
+        headers = HTTPHeaders(
             {
-                "Content-Type": answer.content_type,
-                "Content-Length": str(len(answer.body)),
+                "Content-Type": response.content_type,
+                "Content-Length": str(len(response.body)),
             }
         )
-        written = self._connection.write_headers(line, fields, answer.body)
-        if written.done() and not written.cancelled():
-            written.exception()  # The asker has gone: there is nobody to tell.
+        write = self._connection.write_headers(status_line, headers, response.body)
+        if write.done() and not write.cancelled():
+            write.exception()  # The asker has gone: there is nobody to tell.
         self._connection.finish()
 
 
-class SmallAnswers(HTTPServerConnectionDelegate):
+class SimpleServerDelegate(HTTPServerConnectionDelegate):
     """Answers requests with what ``answer`` returns for their path."""
 
-    def __init__(self, answer: Callable[[str], SmallAnswer]) -> None:
-        self._answer = answer
+    def __init__(self, respond: Callable[[str], SimpleResponse]) -> None:
+        self._respond = respond
 
     def start_request(
         self, server_conn: object, request_conn: HTTPConnection
     ) -> HTTPMessageDelegate:
         """Answer a request."""
-        return _SmallMessage(request_conn, self._answer)
+        return _SimpleRequestDelegate(request_conn, self._respond)
--- a/src/railfold/_internal/operations/processes.py
+++ b/src/railfold/_internal/operations/processes.py
@@ -11,7 +11,7 @@
 
 from railfold._internal.errors import ProcessUnreachableError, VersionNotInForceError
 
-__all__ = ["drain", "explain", "fetch", "wait_in_force"]
+__all__ = ["drain", "explain", "fetch", "wait_until_in_force"]
 
 _TIMEOUT_S = 5.0
 _POLL_S = 0.1
@@ -57,7 +57,7 @@
     return await fetch(http, url, f"/v1/explain?{query}")
 
 
-async def wait_in_force(
+async def wait_until_in_force(
     http: AsyncHTTPClient, urls: list[str], version: int, timeout_s: float
 ) -> None:
     """Return once ``version`` is in force at all entries and their agents.
@@ -67,26 +67,32 @@
     loop = asyncio.get_running_loop()
     deadline_s = loop.time() + timeout_s
     while True:
-        behind = [line for url in urls for line in await _behind(http, url, version)]
-        if not behind:
+        outdated = [
+            description
+            for url in urls
+            for description in await _describe_outdated(http, url, version)
+        ]
+        if not outdated:
             return
         if loop.time() >= deadline_s:
             raise VersionNotInForceError(
                 f"version {version} isn't in force everywhere",
-                why="; ".join(behind),
+                why="; ".join(outdated),
                 hint="look at the processes named with 'railfold status'",
             )
         await asyncio.sleep(_POLL_S)
 
 
-async def _behind(http: AsyncHTTPClient, url: str, version: int) -> list[str]:
+async def _describe_outdated(
+    http: AsyncHTTPClient, url: str, version: int
+) -> list[str]:
     try:
         status = await fetch(http, url, "/v1/status")
     except ProcessUnreachableError as error:
         return [error.what]
-    here = status["configuration_version"]
-    if here < version:
-        return [f"entry {status['name']} is at {here}"]
+    entry_version = status["configuration_version"]
+    if entry_version < version:
+        return [f"entry {status['name']} is at {entry_version}"]
     return [
         f"agent {agent['host']} is at {agent['configuration_version']}"
         for agent in status["agents"]
--- a/src/railfold/_internal/operations/publishing.py
+++ b/src/railfold/_internal/operations/publishing.py
@@ -79,8 +79,8 @@
             try:
                 page = await self._log.read(self._stream, offset, 0.0)
             except RecordsExpiredError:
-                first = await self._log.read(self._stream, -1, 0.0)
-                self._scanner.expired(first.first_offset)
+                first_page = await self._log.read(self._stream, -1, 0.0)
+                self._scanner.expired(first_page.first_offset)
                 continue
             for record in page.records:
                 self._scanner.record(record)
@@ -103,14 +103,14 @@
         """
         configuration = await self.read_all()
         configuration.check(change.target, change.body)
-        stored = configuration.objects.get(change.target)
-        current = stored.version if stored else 0
+        stored_object = configuration.objects.get(change.target)
+        current_version = stored_object.version if stored_object else 0
         record = ChangeRecord(
             write_id=uuid.uuid4().hex,
             operator=change.operator,
             kind=change.target.kind,
             name=change.target.name,
-            base_version=current
+            base_version=current_version
             if change.base_version is None
             else change.base_version,
             body=change.body,
@@ -131,22 +131,22 @@
         while True:
             with contextlib.suppress(LogUnavailableError):
                 await self.read_all()
-            entry = self._find(write_id)
+            entry = self._find_audit_entry(write_id)
             if entry is not None:
                 return entry
             failures += 1
             if loop.time() >= deadline_s:
-                raise _unsettled(write_id)
+                raise _unsettled_error(write_id)
             await asyncio.sleep(self._backoff.delay_s(failures))
 
-    def _find(self, write_id: str) -> AuditEntry | None:
+    def _find_audit_entry(self, write_id: str) -> AuditEntry | None:
         for entry in self.configuration.audit:
             if entry.write_id == write_id:
                 return entry
         return None
 
 
-def _unsettled(write_id: str) -> WriteUnsettledError:
+def _unsettled_error(write_id: str) -> WriteUnsettledError:
     return WriteUnsettledError(
         "it isn't known whether the change was appended",
         why="the log's answer was lost and the change can't be read back yet",
--- a/src/railfold/_internal/operations/request_trace.py
+++ b/src/railfold/_internal/operations/request_trace.py
@@ -15,7 +15,7 @@
     ConfigurationAccepted,
     ConfigurationBehind,
     DependencyLost,
-    DependencyRegained,
+    DependencyRecovered,
     EngineChanged,
     Event,
     LinesDropped,
@@ -38,13 +38,15 @@
 class RequestTrace:
     """A request's lines in order of time, and lines that may explain them."""
 
-    own: tuple[LogLine, ...]
-    context: tuple[LogLine, ...]
+    request_lines: tuple[LogLine, ...]
+    context_lines: tuple[LogLine, ...]
 
     @property
     def lines(self) -> list[LogLine]:
         """All lines in order of time."""
-        return sorted((*self.own, *self.context), key=lambda line: line.time_s)
+        return sorted(
+            (*self.request_lines, *self.context_lines), key=lambda line: line.time_s
+        )
 
 
 def read_lines(texts: Iterable[str]) -> list[LogLine]:
@@ -53,35 +55,35 @@
     What collects the logs may have put something before each line, and other
     output may stand between them: both are passed over.
     """
-    found: list[LogLine] = []
+    log_lines: list[LogLine] = []
     for text in texts:
         start = text.find('{"time_s"')
         if start < 0:
             continue
         try:
-            found.append(_DECODER.decode(text[start:].strip()))
+            log_lines.append(_DECODER.decode(text[start:].strip()))
         except msgspec.DecodeError:
             continue  # Another program's line.
-    return found
+    return log_lines
 
 
 def trace_request(lines: Sequence[LogLine], request_id: str) -> RequestTrace:
     """Return what is said of a request, and what happened around it."""
-    own = [line for line in lines if _request_id(line.event) == request_id]
-    if not own:
+    request_lines = [line for line in lines if _request_id(line.event) == request_id]
+    if not request_lines:
         return RequestTrace((), ())
-    hosts = {line.host for line in own}
-    servers = set().union(*(_servers(line.event) for line in own))
-    first_s = min(line.time_s for line in own) - _CONTEXT_BEFORE_S
-    last_s = max(line.time_s for line in own) + _CONTEXT_AFTER_S
-    context = [
+    hosts = {line.host for line in request_lines}
+    server_ids = set().union(*(_server_ids(line.event) for line in request_lines))
+    context_start_s = min(line.time_s for line in request_lines) - _CONTEXT_BEFORE_S
+    context_end_s = max(line.time_s for line in request_lines) + _CONTEXT_AFTER_S
+    context_lines = [
         line
         for line in lines
         if line.host in hosts
-        and first_s <= line.time_s <= last_s
-        and _explains(line.event, servers)
+        and context_start_s <= line.time_s <= context_end_s
+        and _may_explain(line.event, server_ids)
     ]
-    return RequestTrace(tuple(own), tuple(context))
+    return RequestTrace(tuple(request_lines), tuple(context_lines))
 
 
 def _request_id(event: Event) -> str:
@@ -99,7 +101,7 @@
             return ""
 
 
-def _servers(event: Event) -> set[str]:
+def _server_ids(event: Event) -> set[str]:
     match event:
         case AttemptStarted(server_id=server_id, chain=chain):
             stages = {stage.partition(":")[0] for stage in chain.split()}
@@ -112,15 +114,15 @@
             return set()
 
 
-def _explains(event: Event, servers: set[str]) -> bool:
+def _may_explain(event: Event, server_ids: set[str]) -> bool:
     match event:
         case EngineChanged(server_id=server_id):
-            return server_id in servers
+            return server_id in server_ids
         case (
             ConfigurationAccepted()
             | ConfigurationBehind()
             | DependencyLost()
-            | DependencyRegained()
+            | DependencyRecovered()
             | ProcessStopping()
             | LinesDropped()
         ):
--- a/src/railfold/_internal/supervision/process.py
+++ b/src/railfold/_internal/supervision/process.py
@@ -16,11 +16,11 @@
 _IDLE_POLL_S = 0.05
 
 
-async def wait_until_idle(busy: Callable[[], bool], timeout_s: float) -> None:
+async def wait_until_idle(is_busy: Callable[[], bool], timeout_s: float) -> None:
     """Return once nothing is in flight, or after ``timeout_s``."""
     loop = asyncio.get_running_loop()
     deadline_s = loop.time() + timeout_s
-    while busy() and loop.time() < deadline_s:  # noqa: ASYNC110 - many sources.
+    while is_busy() and loop.time() < deadline_s:  # noqa: ASYNC110 - many sources.
         await asyncio.sleep(_IDLE_POLL_S)
 
 
@@ -33,27 +33,30 @@
     """
     set_up_process_log()
     loop = asyncio.get_running_loop()
-    first, second = asyncio.Event(), asyncio.Event()
+    first_signal, second_signal = asyncio.Event(), asyncio.Event()
 
     def on_signal() -> None:
-        (second if first.is_set() else first).set()
-
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, on_signal)
-    tree = asyncio.create_task(root.run(asyncio.Event()))
-    stop = asyncio.create_task(first.wait())
-    await asyncio.wait({tree, stop}, return_when=asyncio.FIRST_COMPLETED)
-    if not tree.done():
+        (second_signal if first_signal.is_set() else first_signal).set()
+
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, on_signal)
+    root_task = asyncio.create_task(root.run(asyncio.Event()))
+    first_signal_task = asyncio.create_task(first_signal.wait())
+    await asyncio.wait(
+        {root_task, first_signal_task}, return_when=asyncio.FIRST_COMPLETED
+    )
+    if not root_task.done():
         logging.info("stopping: draining")
-        drained = asyncio.ensure_future(drain())
-        hurried = asyncio.create_task(second.wait())
+        drain_task = asyncio.ensure_future(drain())
+        second_signal_task = asyncio.create_task(second_signal.wait())
         await asyncio.wait(
-            {tree, drained, hurried}, return_when=asyncio.FIRST_COMPLETED
+            {root_task, drain_task, second_signal_task},
+            return_when=asyncio.FIRST_COMPLETED,
         )
-        logging.info("stopping: drained" if drained.done() else "stopping: hurried")
-        tree.cancel()
-    stop.cancel()
+        logging.info("stopping: drained" if drain_task.done() else "stopping: hurried")
+        root_task.cancel()
+    first_signal_task.cancel()
     try:
-        await tree
+        await root_task
     except asyncio.CancelledError:
         logging.info("stopped")
--- a/src/railfold/_internal/supervision/supervisor.py
+++ b/src/railfold/_internal/supervision/supervisor.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class _Running:
+class _RunningChild:
     spec: ChildSpec
     task: asyncio.Task[None]
 
@@ -67,8 +67,8 @@
     strategy: Strategy = Strategy.ONE_FOR_ONE
     limit: RestartLimit = field(default_factory=RestartLimit)
     restarts: int = 0
-    _running: list[_Running] = field(default_factory=list)
-    _recent: deque[float] = field(default_factory=deque)
+    _running_children: list[_RunningChild] = field(default_factory=list)
+    _failure_times_s: deque[float] = field(default_factory=deque)
 
     async def run(self, ready: asyncio.Event) -> None:
         """Run all children until cancelled.
@@ -76,18 +76,18 @@
         :raises SupervisorFailedError: the restart limit was passed.
         """
         try:
-            await self._start_from(0)
+            await self._start_children_from(0)
             ready.set()
             while True:
                 await self._wait_for_failure()
         finally:
-            await self._stop_from(0)
+            await self._stop_children_from(0)
 
-    async def _start_from(self, index: int) -> None:
+    async def _start_children_from(self, index: int) -> None:
         for spec in self.children[index:]:
-            await self._start(spec)
+            await self._start_child(spec)
 
-    async def _start(self, spec: ChildSpec) -> None:
+    async def _start_child(self, spec: ChildSpec) -> None:
         while True:
             ready = asyncio.Event()
             task = asyncio.create_task(_run_child(spec, ready), name=spec.name)
@@ -97,57 +97,60 @@
                     {task, ready_task}, return_when=asyncio.FIRST_COMPLETED
                 )
             except asyncio.CancelledError:
-                await _stop(_Running(spec, task))
+                await _stop_child(_RunningChild(spec, task))
                 raise
             finally:
                 ready_task.cancel()
             if ready.is_set():
-                self._running.append(_Running(spec, task))
+                self._running_children.append(_RunningChild(spec, task))
                 return
-            self._count_failure(spec, task)
+            self._record_failure(spec, task)
             await asyncio.sleep(_RESTART_DELAY_S)
 
     async def _wait_for_failure(self) -> None:
-        tasks = {child.task for child in self._running}
+        tasks = {child.task for child in self._running_children}
         await asyncio.wait(tasks, return_when=asyncio.FIRST_COMPLETED)
-        for index, child in enumerate(list(self._running)):
+        for index, child in enumerate(list(self._running_children)):
             if child.task.done():
-                self._count_failure(child.spec, child.task)
+                self._record_failure(child.spec, child.task)
                 await asyncio.sleep(_RESTART_DELAY_S)
-                await self._restart(index)
+                await self._restart_after_failure(index)
                 return
 
-    async def _restart(self, index: int) -> None:
+    async def _restart_after_failure(self, index: int) -> None:
         match self.strategy:
             case Strategy.REST_FOR_ONE:
-                await self._stop_from(index)
-                await self._start_from(index)
+                await self._stop_children_from(index)
+                await self._start_children_from(index)
             case Strategy.ONE_FOR_ONE:
-                spec = self._running.pop(index).spec
-                await self._start(spec)
-                self._running.insert(index, self._running.pop())
+                spec = self._running_children.pop(index).spec
+                await self._start_child(spec)
+                self._running_children.insert(index, self._running_children.pop())
 
-    def _count_failure(self, spec: ChildSpec, task: asyncio.Task[None]) -> None:
+    def _record_failure(self, spec: ChildSpec, task: asyncio.Task[None]) -> None:
         error = task.exception()
         now_s = asyncio.get_running_loop().time()
         self.restarts += 1
-        self._recent.append(now_s)
-        while self._recent and self._recent[0] <= now_s - self.limit.window_s:
-            self._recent.popleft()
+        self._failure_times_s.append(now_s)
+        while (
+            self._failure_times_s
+            and self._failure_times_s[0] <= now_s - self.limit.window_s
+        ):
+            self._failure_times_s.popleft()
         logging.error(
             "%s: child %s failed and is restarted: %r", self.name, spec.name, error
         )
-        if len(self._recent) > self.limit.max_restarts:
+        if len(self._failure_times_s) > self.limit.max_restarts:
             raise SupervisorFailedError(
                 f"supervisor {self.name} gives up",
-                why=f"{len(self._recent)} failures in {self.limit.window_s:g} s,"
-                f" the last of {spec.name}: {error!r}",
+                why=f"{len(self._failure_times_s)} failures in"
+                f" {self.limit.window_s:g} s, the last of {spec.name}: {error!r}",
                 hint="read the log lines before this one; the process ends",
             ) from error
 
-    async def _stop_from(self, index: int) -> None:
-        while len(self._running) > index:
-            await _stop(self._running.pop())
+    async def _stop_children_from(self, index: int) -> None:
+        while len(self._running_children) > index:
+            await _stop_child(self._running_children.pop())
 
 
 _RESTART_DELAY_S = 0.05
@@ -158,7 +161,7 @@
     raise ChildEndedError(f"child {spec.name} ended by itself")
 
 
-async def _stop(child: _Running) -> None:
+async def _stop_child(child: _RunningChild) -> None:
     child.task.cancel()
     done, _ = await asyncio.wait({child.task}, timeout=child.spec.stop_timeout_s)
     if not done:
--- a/tests/functional/test_binary.py
+++ b/tests/functional/test_binary.py
@@ -16,7 +16,7 @@
 
 PROJECT = Path(__file__).parent.parent.parent
 HOST = EngineHost("meter-a1", 0, 11)
-MEMORY_FOLDER = "/dev/shm"
+MEMORY_DIRECTORY = "/dev/shm"
 
 
 @pytest.fixture(scope="module")
@@ -30,33 +30,37 @@
 
 
 @pytest.fixture
-def memory_folder() -> Iterator[str]:
+def memory_directory() -> Iterator[str]:
     """A folder on a file system that is held in memory."""
-    with tempfile.TemporaryDirectory(dir=MEMORY_FOLDER) as folder:
-        yield folder
+    with tempfile.TemporaryDirectory(dir=MEMORY_DIRECTORY) as directory:
+        yield directory
 
 
 @pytest.mark.timeout(300)
 def test_binary_serves_without_children_or_disk(
-    binary: Path, memory_folder: str
+    binary: Path, memory_directory: str
 ) -> None:
-    environment = {"SHIV_ROOT": memory_folder, "PYTHONPATH": ""}
+    environment = {"SHIV_ROOT": memory_directory, "PYTHONPATH": ""}
     with Cluster([HOST], command=[str(binary)], environment=environment) as cluster:
-        caller = StreamCaller(cluster.callers_url(), "unit 1", 20)
-        caller.assert_whole()
+        client = StreamCaller(cluster.callers_url(), "unit 1", 20)
+        client.assert_whole()
         for name in ("entry-0", f"agent-{HOST.host}"):
             process = psutil.Process(cluster.processes[name].popen.pid)
             assert process.children() == []
-            own_log = str(cluster.folder / f"{name}.log")
-            written = [f.path for f in process.open_files() if f.mode != "r"]
-            assert set(written) <= {own_log}
-            assert mapped_from(process, memory_folder)
+            own_log_path = str(cluster.folder / f"{name}.log")
+            written_paths = [
+                open_file.path
+                for open_file in process.open_files()
+                if open_file.mode != "r"
+            ]
+            assert set(written_paths) <= {own_log_path}
+            assert maps_files_from(process, memory_directory)
 
 
-def mapped_from(process: psutil.Process, folder: str) -> bool:
+def maps_files_from(process: psutil.Process, directory: str) -> bool:
     """Return whether the process runs compiled libraries from ``folder``."""
     return any(
-        os.path.commonpath([folder, mapped.path]) == folder
+        os.path.commonpath([directory, mapped.path]) == directory
         for mapped in process.memory_maps()
         if mapped.path.startswith("/")
     )
--- a/tests/unit/test_decision_log.py
+++ b/tests/unit/test_decision_log.py
@@ -17,14 +17,14 @@
 @pytest.fixture
 def pipe() -> Iterator[tuple[int, int]]:
     """A pipe that nobody reads by itself."""
-    out, into = os.pipe()
-    os.set_blocking(into, False)
-    yield out, into
-    os.close(out)
-    os.close(into)
+    read_fd, write_fd = os.pipe()
+    os.set_blocking(write_fd, False)
+    yield read_fd, write_fd
+    os.close(read_fd)
+    os.close(write_fd)
 
 
-def ended(number: int) -> RequestEnded:
+def request_ended(number: int) -> RequestEnded:
     return RequestEnded(
         request_id=f"r-{number}",
         outcome="not_run",
@@ -42,7 +42,7 @@
     )
 
 
-def read_all(fd: int) -> list[dict[str, object]]:
+def read_events(fd: int) -> list[dict[str, object]]:
     os.set_blocking(fd, False)
     data = b""
     try:
@@ -53,24 +53,24 @@
     return [json.loads(line)["event"] for line in data.splitlines() if line]
 
 
-def test_a_reader_that_doesnt_read_holds_nothing_up(pipe: tuple[int, int]) -> None:
+def test_reader_that_stalls_does_not_block_the_writer(pipe: tuple[int, int]) -> None:
     log = DecisionLog("entry-1", pipe[1])
     started_s = time.perf_counter()
     for number in range(20_000):
-        log.write(ended(number))
+        log.write(request_ended(number))
         if number % 100 == 0:
             log.flush()
     assert time.perf_counter() - started_s < 5.0
-    assert log._buffered_bytes <= decision_log._BUFFER_BYTES
+    assert log._buffered_bytes <= decision_log._MAX_BUFFERED_BYTES
 
 
-def test_lines_are_whole_and_in_order_once_it_reads_again(
+def test_lines_are_complete_and_in_order_after_the_reader_resumes(
     pipe: tuple[int, int],
 ) -> None:
     log = DecisionLog("entry-1", pipe[1])
     for number in range(5_000):
-        log.write(ended(number))
-    found: list[dict[str, object]] = []
+        log.write(request_ended(number))
+    logged_events: list[dict[str, object]] = []
     data = b""
     os.set_blocking(pipe[0], False)
     for _ in range(200):
@@ -79,23 +79,27 @@
             data += os.read(pipe[0], 1 << 16)
         except BlockingIOError:
             break
-    found = [json.loads(line)["event"] for line in data.splitlines()]
-    ids = [e["request_id"] for e in found if e["type"] == "request_ended"]
+    logged_events = [json.loads(line)["event"] for line in data.splitlines()]
+    ids = [
+        logged_event["request_id"]
+        for logged_event in logged_events
+        if logged_event["type"] == "request_ended"
+    ]
     assert ids == [f"r-{n}" for n in range(len(ids))]
-    assert found[-1]["type"] == "lines_dropped"
-    assert found[-1]["dropped"] == 5_000 - len(ids)
+    assert logged_events[-1]["type"] == "lines_dropped"
+    assert logged_events[-1]["dropped"] == 5_000 - len(ids)
 
 
-def test_routine_lines_are_bounded_and_others_never_left_out(
+def test_routine_lines_are_limited_and_other_lines_are_never_skipped(
     pipe: tuple[int, int],
 ) -> None:
     log = DecisionLog("entry-1", pipe[1])
     for number in range(500):
-        log.write_routine(ended(number))
+        log.write_routine(request_ended(number))
     log.write(DependencyLost("store", "silent"))
     log.flush()
     log.flush()
-    types = [event["type"] for event in read_all(pipe[0])]
+    types = [event["type"] for event in read_events(pipe[0])]
     assert 30 <= types.count("request_ended") <= 60
     assert types.count("dependency_lost") == 1
     assert types.count("lines_dropped") == 1
--- a/tests/unit/test_metrics.py
+++ b/tests/unit/test_metrics.py
@@ -14,7 +14,7 @@
 pytestmark = pytest.mark.asyncio
 
 
-def received(server: socket.socket) -> set[str]:
+def read_received_lines(server: socket.socket) -> set[str]:
     """Return the lines that have come."""
     lines: set[str] = set()
     while True:
@@ -24,7 +24,7 @@
             return lines
 
 
-async def test_counters_gauges_and_timers_are_sent() -> None:
+async def test_counters_gauges_and_timers_are_sent_at_shutdown() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind(("127.0.0.1", 0))
         server.setblocking(False)
@@ -39,14 +39,14 @@
         metrics.timing("request", 0.25)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        assert received(server) == {
+        assert read_received_lines(server) == {
             "railfold.outcomes.answered:3|c",
             "railfold.in_flight:7|g",
             "railfold.request:250.000000|ms",
         }
 
 
-async def test_increment_is_sent_once() -> None:
+async def test_increment_is_reported_once() -> None:
     metrics = Metrics()
     metrics.count("tokens", 2)
     assert list(metrics.counter_increments()) == [("tokens", 2)]
