--- a/src/railfold/_internal/cli/__init__.py
+++ b/src/railfold/_internal/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line."""
+"""Command-line interface."""
--- a/src/railfold/_internal/cli/main.py
+++ b/src/railfold/_internal/cli/main.py
@@ -13,8 +13,8 @@
 __all__ = ["cli", "main"]
 
 
-# Each command's module, imported when the command is called: a daemon that
-# starts pays only for what it runs.
+# Modules of the commands. A module is imported only when its command is called, so that
+# daemons start fast.
 _COMMAND_MODULES = {
     "agent": "agent",
     "audit": "show",
@@ -39,14 +39,14 @@
 
 
 class _LazyGroup(click.Group):
-    """A group whose commands are imported on use."""
+    """A group that imports the module of a command when the command is used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
         """Return the names of all commands."""
         return sorted(_COMMAND_MODULES)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Import and return a command, or nothing if there is none."""
+        """Import and return a command; None if there is no such command."""
         module_name = _COMMAND_MODULES.get(cmd_name)
         if module_name is None:
             return None
@@ -62,7 +62,7 @@
 
 
 def main() -> None:
-    """Run the program; turn errors into texts and exit codes."""
+    """Run the program; print errors and exit with their codes."""
     try:
         cli(standalone_mode=False)
     except click.exceptions.Abort:
@@ -76,7 +76,7 @@
 
 
 def exit_code(error: RailfoldError) -> int:
-    """Return the exit code of an error; part of the interface."""
+    """Return the exit code of an error; scripts rely on these codes."""
     return EXIT_CODES.get(error.code, 1)
 
 
--- a/src/railfold/_internal/cli/options.py
+++ b/src/railfold/_internal/cli/options.py
@@ -1,4 +1,4 @@
-"""Options and helpers that several commands share."""
+"""Options and functions that several commands share."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
     "--log-url",
     envvar="RAILFOLD_LOG_URL",
     required=True,
-    help="The platform's log service.",
+    help="URL of the platform's log service.",
 )
 entry_option: Decorator = click.option(
     "--url",
@@ -52,18 +52,18 @@
     "--operator",
     default=getpass.getuser,
     show_default="your user name",
-    help="Who makes the change; stands in the audit trail.",
+    help="Who makes the change; recorded in the audit trail.",
 )
 timeout_option: Decorator = click.option(
     "--timeout-s", type=float, default=30.0, show_default=True, help="How long to wait."
 )
 as_json: Decorator = click.option(
-    "--json", "json_output", is_flag=True, help="Print JSON for scripts."
+    "--json", "json_output", is_flag=True, help="Print JSON for use in scripts."
 )
 
 
 def run(coroutine: Coroutine[Any, Any, T]) -> T:
-    """Run a command's coroutine."""
+    """Configure logging, run the coroutine of a command and return its result."""
     set_up_process_log()
     return asyncio.run(coroutine)
 
@@ -75,9 +75,10 @@
 
 
 def read_body(path: Path) -> dict[str, Any]:
-    """Return an object's body from a TOML or JSON file.
+    """Return the body of a configuration object from a TOML or JSON file.
 
-    :raises ConfigurationRefusedError: the file can't be read as either.
+    :raises ConfigurationRefusedError: the file can't be read or parsed, or contains no
+        table.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -85,10 +86,10 @@
     except (OSError, ValueError) as error:
         raise ConfigurationRefusedError(str(path), [str(error)]) from error
     if not isinstance(body, dict):
-        raise ConfigurationRefusedError(str(path), ["it must hold a table"])
+        raise ConfigurationRefusedError(str(path), ["it must contain a table"])
     return body
 
 
 def print_json(value: Any) -> None:
-    """Print a value as JSON."""
+    """Print a value as indented JSON."""
     click.echo(json.dumps(value, indent=2, sort_keys=True))
--- a/src/railfold/_internal/commands/__init__.py
+++ b/src/railfold/_internal/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The program's commands, one module each."""
+"""Commands of the program."""
--- a/src/railfold/_internal/commands/agent.py
+++ b/src/railfold/_internal/commands/agent.py
@@ -1,4 +1,4 @@
-"""``railfold agent``: run an agent."""
+"""``railfold agent``: runs an agent."""
 
 from __future__ import annotations
 
--- a/src/railfold/_internal/commands/check.py
+++ b/src/railfold/_internal/commands/check.py
@@ -1,4 +1,4 @@
-"""``railfold check``: check a settings file."""
+"""``railfold check``: checks a settings file."""
 
 from __future__ import annotations
 
@@ -14,6 +14,6 @@
 @click.command()
 @click.argument("settings", type=click.Path(path_type=Path))
 def check(settings: Path) -> None:
-    """Check the SETTINGS file and list every fault in it."""
+    """Check the SETTINGS file and report all errors in it."""
     loaded_settings = load_settings(settings)
     click.echo(f"{settings}: valid settings of role {loaded_settings.role}")
--- a/src/railfold/_internal/commands/entry.py
+++ b/src/railfold/_internal/commands/entry.py
@@ -1,4 +1,4 @@
-"""``railfold entry``: run an entry."""
+"""``railfold entry``: runs an entry."""
 
 from __future__ import annotations
 
--- a/src/railfold/_internal/commands/forward.py
+++ b/src/railfold/_internal/commands/forward.py
@@ -1,6 +1,6 @@
-"""``railfold forward``: run a forwarding entry on the users' platform.
+"""``railfold forward``: runs a forwarding entry on the users' platform.
 
-The entry itself is imported only after its sockets listen, see
+The modules of the entry are imported only after its sockets listen; see
 :mod:`railfold._internal.forwarding.listeners`.
 """
 
@@ -24,16 +24,16 @@
 
 @click.command()
 @click.option(
-    "--check", is_flag=True, help="Only check the settings; report every fault."
+    "--check", is_flag=True, help="Only check the settings and report all errors."
 )
 @click.option(
-    "--metrics-port", type=click.IntRange(1, 65535), help="Serve metrics there."
+    "--metrics-port", type=click.IntRange(1, 65535), help="Port to serve metrics on."
 )
 @click.argument("settings", required=False, type=click.Path(path_type=Path))
 def forward(settings: Path | None, check: bool, metrics_port: int | None) -> None:
     """Run an entry that sends requests to engines directly.
 
-    SETTINGS is the platform's settings file; by default the one that the
+    SETTINGS is the platform's settings file. It defaults to the file that the
     environment names.
     """
     path = settings or settings_path()
@@ -41,8 +41,9 @@
         load_platform_settings(path, metrics_port)
         click.echo(f"{path}: no faults")
         return
-    # The settings are read after this line; until the entry has a handler, the
-    # signal to read them again would end the process.
+    # Until the entry installs its handler, a SIGHUP, which asks for a reload of the
+    # settings, would end the process. It may be ignored until then, since the settings
+    # are read after this line.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     _serve(path, metrics_port)
 
@@ -54,7 +55,7 @@
     platform_settings = load_platform_settings(path, metrics_port)
     listeners = open_listeners(platform_settings.forwarding)
 
-    # Not before the sockets listen: this is most of a start's time.
+    # Imported after the sockets listen, since imports take most of the startup time.
     from railfold._internal import clock
 
     clock.run(_run(source, platform_settings, listeners))
--- a/src/railfold/_internal/commands/held.py
+++ b/src/railfold/_internal/commands/held.py
@@ -1,4 +1,4 @@
-"""``railfold held`` and ``railfold lift``: requests that are held back."""
+"""``railfold held`` and ``railfold lift``: show and release held-back requests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class _HeldContent(msgspec.Struct, frozen=True):
-    """One content that is held back, as it is shown."""
+    """A held-back content and its record; this is also the form of the JSON output."""
 
     content: str
     record: HoldRecord
@@ -38,10 +38,10 @@
 @settings_argument
 @as_json
 def held(settings: Path | None, json_output: bool) -> None:
-    """Show which requests are held back since backend servers ended under them.
+    """Show which requests are held back because they crashed backend servers.
 
-    SETTINGS is the platform's settings file of any entry; by default the one that the
-    environment names.
+    SETTINGS is the platform's settings file of any entry. It defaults to the file that
+    the environment names.
     """
     held_contents = run(_read_held_contents(_load_platform(settings)))
     if json_output:
@@ -57,7 +57,7 @@
 @click.argument("content")
 @settings_argument
 def lift(content: str, settings: Path | None) -> None:
-    """Let requests of CONTENT, as 'railfold held' shows it, run again everywhere."""
+    """Let requests with CONTENT, as shown by 'railfold held', run again everywhere."""
     run(_delete_hold_record(_load_platform(settings), content))
     click.echo(f"{content}: lifted")
 
@@ -84,9 +84,9 @@
 
 
 async def _delete_hold_record(platform: UsersPlatform, content: str) -> None:
-    """Take a content's record away; entries read that at once.
+    """Delete the record of a held-back content, which releases it at all entries.
 
-    :raises RequestNotHeldError: there is none.
+    :raises RequestNotHeldError: the content has no record.
     """
     if content not in {item.content for item in await _read_held_contents(platform)}:
         raise RequestNotHeldError(
@@ -102,5 +102,5 @@
     return (
         f"{item.content}  route {record.route}  workspace {record.workspace or '-'}"
         f"  held back {age_s:.0f} s ago, {record.holds} in a row\n"
-        f"    ended under it: {servers}"
+        f"    crashed servers: {servers}"
     )
--- a/src/railfold/_internal/commands/publish.py
+++ b/src/railfold/_internal/commands/publish.py
@@ -1,4 +1,4 @@
-"""``railfold publish`` and ``railfold delete``: change the configuration."""
+"""``railfold publish``, ``delete`` and ``settle``: change the configuration."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 base_version_option = click.option(
     "--base-version",
     type=int,
-    help="Version of the object that the change is based on; the present one if"
-    " not given.",
+    help="Version of the object that the change is based on; defaults to the"
+    " current version.",
 )
 
 
@@ -99,7 +99,7 @@
 @timeout_option
 @as_json
 def settle(write_id: str, log_url: str, timeout_s: float, json_output: bool) -> None:
-    """Tell what became of the change with WRITE_ID."""
+    """Show the outcome of the change with WRITE_ID."""
 
     async def find_outcome() -> AuditEntry:
         return await open_configuration_log(log_url).settle(write_id, timeout_s)
--- a/src/railfold/_internal/commands/show.py
+++ b/src/railfold/_internal/commands/show.py
@@ -1,4 +1,4 @@
-"""``railfold show``, ``diff`` and ``audit``: read the configuration."""
+"""``railfold show``, ``diff`` and ``audit``: show the configuration and changes."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 def diff(kind: str, name: str, file: Path, log_url: str) -> None:
     """Show how FILE differs from the object NAME of KIND in force.
 
-    Exits with 1 if it differs.
+    The exit code is 1 if there are differences.
     """
     body = read_body(file)
     stored = _read_configuration(log_url).objects.get(ObjectId(kind, name))
@@ -81,11 +81,13 @@
 
 
 @click.command()
-@click.option("--last", type=int, default=50, show_default=True, help="How many.")
+@click.option(
+    "--last", type=int, default=50, show_default=True, help="How many changes to show."
+)
 @log_option
 @as_json
 def audit(last: int, log_url: str, json_output: bool) -> None:
-    """Show who changed what, when, and what became of it."""
+    """Show the latest changes with their time, operator, object and outcome."""
     audit_entries = list(_read_configuration(log_url).audit)[-last:]
     if json_output:
         print_json([msgspec.to_builtins(entry) for entry in audit_entries])
--- a/src/railfold/_internal/commands/status.py
+++ b/src/railfold/_internal/commands/status.py
@@ -1,4 +1,4 @@
-"""Commands that look at running processes, and drain them."""
+"""Commands that inspect and drain running processes."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 @entry_option
 @as_json
 def routes(url: str, json_output: bool) -> None:
-    """Show the agents that an entry knows, and whether it routes to them."""
+    """Show the agents that an entry knows, with their state and load."""
     agents = _fetch_json(url, "/v1/status")["agents"]
     if json_output:
         print_json(agents)
@@ -57,7 +57,7 @@
 @entry_option
 @as_json
 def explain(pipeline: str, url: str, json_output: bool) -> None:
-    """Say why an entry would send a request of PIPELINE where."""
+    """Show where an entry would send a request of PIPELINE, and why."""
 
     async def explain_routing() -> Any:
         return await processes.explain(new_http_client(), url, pipeline)
@@ -76,7 +76,7 @@
 @click.command()
 @entry_option
 def drain(url: str) -> None:
-    """Make a process take no new work and finish what it has."""
+    """Make a process accept no new work and finish the work in flight."""
 
     async def start_drain() -> None:
         await processes.drain(new_http_client(), url)
@@ -92,7 +92,7 @@
     "urls",
     multiple=True,
     required=True,
-    help="Operator port of an entry; give one for each entry.",
+    help="Operator port of an entry; repeat the option for each entry.",
 )
 @timeout_option
 def wait(version: int, urls: tuple[str, ...], timeout_s: float) -> None:
--- a/src/railfold/_internal/commands/trace.py
+++ b/src/railfold/_internal/commands/trace.py
@@ -1,4 +1,4 @@
-"""``railfold trace``: what the logs say about one request."""
+"""``railfold trace``: shows the log lines about one request."""
 
 from __future__ import annotations
 
@@ -21,16 +21,16 @@
 )
 @click.option("--json", "as_json", is_flag=True, help="Print the lines as JSON.")
 def trace(request_id: str, logs: tuple[Path, ...], as_json: bool) -> None:
-    """Show the lines about REQUEST_ID in LOGS, in order, and what explains them.
+    """Show the lines about REQUEST_ID in LOGS, and lines that may explain them.
 
-    Lines that tell of the process's surroundings are indented.
+    Lines are in order of time. Lines about the context of the request are indented.
     """
     texts = (text for log in logs for text in log.read_text("utf-8").splitlines())
     traced_request = trace_request(read_lines(texts), request_id)
     if not traced_request.request_lines:
         raise RequestNotLoggedError(
-            f"no line is about request {request_id}",
-            hint="routine lines are left out under load; failures never are",
+            f"the logs have no line about request {request_id}",
+            hint="under load, only lines of failed requests are always logged",
         )
     if as_json:
         click.echo(msgspec.json.encode(traced_request.lines))
--- a/src/railfold/_internal/commands/validate.py
+++ b/src/railfold/_internal/commands/validate.py
@@ -1,4 +1,4 @@
-"""``railfold validate``: check a change without publishing it."""
+"""``railfold validate``: checks a change without publishing it."""
 
 from __future__ import annotations
 
--- a/src/railfold/_internal/observability/__init__.py
+++ b/src/railfold/_internal/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Metrics; logs go through absl.logging."""
+"""Decision logs, metrics and the HTTP servers that report a process's state."""
--- a/src/railfold/_internal/observability/decision_log.py
+++ b/src/railfold/_internal/observability/decision_log.py
@@ -1,8 +1,8 @@
-"""Structured log lines on standard output, bounded and never blocking.
+"""Structured log lines on standard output, written without blocking.
 
-Each line is one JSON object: a time, the process, the kind of event and its
-fields. Lines wait in a bounded buffer and leave when the reader takes them; what
-doesn't fit is dropped and counted, and the number told in a later line.
+Each line is a JSON object with the time, the host, and the type and fields of an event.
+Lines wait in a bounded buffer until the reader of the output takes them. Lines that
+don't fit are dropped, and a later line reports how many.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 
 __all__ = ["DecisionLog"]
 
-# About two seconds of lines of an entry under the load that it is designed for.
+# Lines that an entry writes in about two seconds under its design load.
 _MAX_BUFFERED_BYTES = 512 * 1024
 
-# Lines of requests that went well, a second; the rest are counted only. Lines
-# of requests that did not are never left out.
+# Limit for lines of successful requests; further ones are only counted. Lines of failed
+# requests have no limit.
 _MAX_ROUTINE_LINES_PER_S = 40.0
 
 _FLUSH_INTERVAL_S = 0.1
@@ -30,7 +30,10 @@
 
 
 class DecisionLog:
-    """Writes events to a file descriptor."""
+    """Writes events to a file descriptor.
+
+    :param host: the name of the host, which each line contains.
+    """
 
     def __init__(self, host: str, fd: int = 1) -> None:
         self._host = host
@@ -44,7 +47,7 @@
         self._credit_updated_at_s = clock.now_s()
 
     def write(self, event: Event) -> None:
-        """Log an event."""
+        """Add a line for an event to the buffer, or count it as dropped."""
         line = self._encoder.encode(
             LogLine(round(clock.unix_time_s(), 3), self._host, event)
         )
@@ -55,7 +58,7 @@
         self._buffered_bytes += len(line) + 1
 
     def write_routine(self, event: Event) -> None:
-        """Log an event that explains no failure, unless there are many."""
+        """Log an event that explains no failure, within the limit for such lines."""
         now_s = clock.now_s()
         earned_credit = (now_s - self._credit_updated_at_s) * _MAX_ROUTINE_LINES_PER_S
         self._routine_credit = min(
@@ -69,7 +72,7 @@
         self.write(event)
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Write lines out until cancelled, and once more then."""
+        """Write buffered lines at intervals until cancelled, and once more then."""
         os.set_blocking(self._fd, False)
         ready.set()
         try:
@@ -80,7 +83,11 @@
             self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
+        """Write as many buffered lines as the reader takes without blocking.
+
+        If none are buffered, first adds a line with the numbers of lines that were
+        dropped or skipped.
+        """
         if (self._dropped_lines or self._skipped_routine_lines) and not self._lines:
             dropped_lines, skipped_lines = (
                 self._dropped_lines,
@@ -97,7 +104,7 @@
             except BlockingIOError:
                 written = 0
             except OSError:
-                # The reader is gone: there is nobody to tell.
+                # The reader closed its end, so that the lines can't be delivered.
                 self._buffered_bytes = 0
                 self._lines.clear()
                 return
--- a/src/railfold/_internal/observability/events.py
+++ b/src/railfold/_internal/observability/events.py
@@ -1,7 +1,7 @@
 """Events that a forwarding entry logs, and their fields.
 
-One class an event, so that names and fields are the same everywhere. Durations
-and ages carry their unit; ``request_id`` is the id that the client sent.
+Each event has one class, so that its name and fields are the same everywhere. Names of
+durations and ages end in their unit; ``request_id`` is the id that the client sent.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 class ProcessStarted(msgspec.Struct, frozen=True, tag="process_started"):
-    """The process listens."""
+    """The process has started to listen."""
 
     role: str
     version: str
@@ -50,14 +50,17 @@
 
 
 class ProcessStopping(msgspec.Struct, frozen=True, tag="process_stopping"):
-    """The process was told to stop, or goes."""
+    """The process was asked to stop, or is about to exit."""
 
     reason: str
     in_flight: int
 
 
 class ProcessResumed(msgspec.Struct, frozen=True, tag="process_resumed"):
-    """The host was suspended, and goes on."""
+    """The host was suspended for a time and has resumed.
+
+    :param leading: whether this process places layers.
+    """
 
     suspended_ms: float
     in_flight: int
@@ -65,7 +68,7 @@
 
 
 class SettingsReloaded(msgspec.Struct, frozen=True, tag="settings_reloaded"):
-    """The settings file was read again."""
+    """The settings file was reloaded."""
 
     outcome: str
 
@@ -78,15 +81,15 @@
 
 
 class DependencyRecovered(msgspec.Struct, frozen=True, tag="dependency_regained"):
-    """It answers again."""
+    """A service that the process depends on answers again."""
 
     dependency: str
 
 
 class ReadinessChanged(msgspec.Struct, frozen=True, tag="readiness_changed"):
-    """It begins or ceases to ask for new clients while it isn't told to stop.
+    """The process became ready or unready for new clients without being asked to stop.
 
-    :param proof_age_ms: how old the last proof is that its configuration is in force.
+    :param proof_age_ms: age of the last proof that its configuration is in force.
     """
 
     ready: bool
@@ -95,7 +98,7 @@
 
 
 class StoreRolledBack(msgspec.Struct, frozen=True, tag="store_went_back"):
-    """It came back from an older copy, and lost what it had acknowledged since."""
+    """The store was restored from an older copy and lost acknowledged records."""
 
     epoch: int
 
@@ -114,8 +117,9 @@
 class ConfigurationBehind(msgspec.Struct, frozen=True, tag="configuration_behind"):
     """Another process has had a newer configuration for some time.
 
-    :param proof_age_ms: since it was last proved that ``version`` is in force; nothing
-        once that is too long ago to rely on.
+    :param newest: the newest version that another process has reported.
+    :param proof_age_ms: age of the last proof that ``version`` is in force; None if it
+        is too old to rely on.
     """
 
     version: int
@@ -126,9 +130,12 @@
 
 
 class LoadCoverageChanged(msgspec.Struct, frozen=True, tag="load_news_changed"):
-    """The load of most other entries became known, or isn't known any more.
+    """The load of most other entries became known, or is no longer known.
 
-    ``known`` of ``entries`` parts count, the oldest of which is ``age_ms`` old.
+    :param state: known or lost.
+    :param known: the number of entries whose load is known.
+    :param entries: the number of all entries.
+    :param age_ms: age of the oldest load that counts as known.
     """
 
     state: str
@@ -138,7 +145,7 @@
 
 
 class EngineChanged(msgspec.Struct, frozen=True, tag="engine_changed"):
-    """What the process believes of a backend server changed."""
+    """The state of a backend server, as this process sees it, changed."""
 
     server_id: str
     state: str
@@ -147,7 +154,10 @@
 
 
 class LeadershipChanged(msgspec.Struct, frozen=True, tag="leadership_changed"):
-    """The process took over, or gave up, the placement of layers."""
+    """The process acquired or gave up leadership of the placement of layers.
+
+    :param fencing: the fencing token of its lease.
+    """
 
     leading: bool
     fencing: int
@@ -155,14 +165,15 @@
 
 
 class LayersPlanned(msgspec.Struct, frozen=True, tag="layers_planned"):
-    """Layers of a failure domain are to move.
-
-    :param served_rps: requests a second that it is reckoned to serve as it stands.
-    :param planned_rps: the same once the changes are carried out.
-    :param needed_rps: how many are wanted of it.
-    :param told_by: how many other entries told what arrives there.
-    :param chains: what it then serves, by chain.
-    :param changes: the layers that each engine is to hold.
+    """A plan moves layers between the engines of a failure domain.
+
+    :param served_rps: estimated capacity of the domain, in requests a second, with the
+        present placement.
+    :param planned_rps: estimated capacity after the changes.
+    :param needed_rps: the rate of requests that the domain needs to serve.
+    :param told_by: the number of other entries that reported their arrivals.
+    :param chains: the chains that serve requests after the changes.
+    :param changes: the layers that each engine has to load, by engine.
     """
 
     failure_domain: str
@@ -175,7 +186,12 @@
 
 
 class LayersOrdered(msgspec.Struct, frozen=True, tag="layers_ordered"):
-    """An engine was ordered to hold layers."""
+    """An engine was ordered to load layers.
+
+    :param layers: the layers of the order.
+    :param held: the layers that the engine has when it is ordered.
+    :param fencing: the fencing token of the order.
+    """
 
     server_id: str
     layers: str
@@ -187,9 +203,10 @@
 class AttemptStarted(msgspec.Struct, frozen=True, tag="attempt_started"):
     """A request was sent to a backend server.
 
-    :param crossings: how often its chain goes from one failure domain to another.
-    :param room_share: memory that was left at the fullest engine of its chain, as a
-        share of it, by the load of ``known_share`` of the entries.
+    :param resume_after: id of the event after which the stream resumes, if any.
+    :param crossings: how often the chain crosses from one failure domain to another.
+    :param room_share: free share of the memory of the fullest engine in the chain.
+    :param known_share: the share of entries whose load ``room_share`` includes.
     """
 
     request_id: str
@@ -209,9 +226,12 @@
 
 
 class PipeShareReduced(msgspec.Struct, frozen=True, tag="pipe_share_cut"):
-    """A first event over two failure domains came late: fewer requests cross.
+    """A first event over a pipe came late, so the entry uses less of its quota.
+
+    A pipe is the network link between two failure domains.
 
-    :param share: of the entry's part of the pipe that it uses from now on.
+    :param share: the share of its quota that the entry uses from now on.
+    :param late_ms: how much later than predicted the first event came.
     """
 
     one_domain: str
@@ -221,7 +241,10 @@
 
 
 class AttemptEnded(msgspec.Struct, frozen=True, tag="attempt_ended"):
-    """An attempt ended without the answer that was wanted."""
+    """An attempt ended without a complete answer.
+
+    :param silent_ms: time since the last event of the attempt.
+    """
 
     request_id: str
     attempt: int
@@ -232,7 +255,10 @@
 
 
 class AttemptKept(msgspec.Struct, frozen=True, tag="attempt_kept"):
-    """Its engine is given up, but nothing else can finish the answer now."""
+    """An attempt continues at a suspected backend server.
+
+    No other server can complete the answer now.
+    """
 
     request_id: str
     attempt: int
@@ -243,9 +269,14 @@
 
 
 class ChainProbed(msgspec.Struct, frozen=True, tag="chain_probed"):
-    """The backend servers of a silent chain were asked whether they live.
-
-    ``took_ms`` beyond the time-out tells that this process itself was held up.
+    """The backend servers of a silent chain were probed.
+
+    :param took_ms: duration of the probe; if it exceeds the timeout, this process
+        itself was delayed.
+    :param asked: the number of servers that were probed.
+    :param answered: the number of servers that answered as healthy.
+    :param unlisted: servers that aren't registered.
+    :param lost: servers that are considered lost.
     """
 
     request_id: str
@@ -258,7 +289,7 @@
 
 
 class StreamRerouted(msgspec.Struct, frozen=True, tag="stream_rerouted"):
-    """A running stream was ordered to go on over another chain."""
+    """A backend server was asked to continue a stream over another chain."""
 
     request_id: str
     chain: str
@@ -266,11 +297,12 @@
 
 
 class ServerCrashed(msgspec.Struct, frozen=True, tag="server_crashed"):
-    """A backend server ended while requests had just begun there.
+    """A backend server crashed shortly after requests started there.
 
-    :param begun: how many of this entry's had.
-    :param contents: digests of theirs.
-    :param known_after_ms: from the end of their connections until it was sure.
+    :param begun: how many requests of this entry had just started.
+    :param contents: digests of the contents of these requests.
+    :param known_after_ms: time from the end of their connections until the crash was
+        certain.
     """
 
     server_id: str
@@ -280,14 +312,14 @@
 
 
 class QuarantineChanged(msgspec.Struct, frozen=True, tag="quarantine_changed"):
-    """What is believed of requests with the same path, caller and body changed.
+    """The quarantine state of requests with the same path, caller and body changed.
 
-    :param content: the digest of the three.
+    :param content: the digest of path, caller and body.
     :param state: suspected, held back, on trial, cleared or lifted.
-    :param servers: the backend servers that ended under them.
-    :param newest_ms: how long ago the last of those ended.
-    :param source: whether this entry saw what changed it, or another.
-    :param retry_in_ms: when one of them may be tried again.
+    :param servers: the backend servers that crashed while they ran these requests.
+    :param newest_ms: time since the last of these crashes.
+    :param source: whether this entry or another one observed the cause.
+    :param retry_in_ms: time until one of the requests may be tried again.
     """
 
     content: str
@@ -302,13 +334,13 @@
 
 
 class RateLimitChanged(msgspec.Struct, frozen=True, tag="rate_limit_changed"):
-    """What is known of the rate that a backend server takes from all entries changed.
+    """The known rate limit that a backend server advertises for all entries changed.
 
     :param state: named, ended, lapsed or unreadable.
-    :param per_s: requests a second that it takes; nothing if it names no limit.
-    :param source: whether this entry heard it from the server, or from another entry.
-    :param entries: how many entries there are, as far as this one knows.
-    :param own_per_s: what this entry may hand out of it to itself and others.
+    :param per_s: requests a second that the server accepts; None without a limit.
+    :param source: whether the server itself or another entry reported the limit.
+    :param entries: the number of entries that this entry knows of.
+    :param own_per_s: the rate of permits that this entry may issue.
     """
 
     server_id: str
@@ -321,13 +353,13 @@
 
 
 class ServerBackoffChanged(msgspec.Struct, frozen=True, tag="server_backoff_changed"):
-    """A backend server asked this entry to send nothing for a time, or what followed.
+    """A backoff that a backend server asked this entry for started or ended.
 
-    :param state: started, ended, or recovered once it has served a request since.
-    :param source: what the server answered, or the clock.
-    :param backoff_s: how long it asked for; at its end, how long it lasted.
-    :param requests: answers that asked for it.
-    :param sends: requests that this entry sent there meanwhile.
+    :param state: started, ended, or recovered after the server served a request again.
+    :param source: the answer that asked for the backoff, or the clock.
+    :param backoff_s: the requested duration; at the end of the backoff, the actual one.
+    :param requests: the number of answers that asked for the backoff.
+    :param sends: the number of requests that this entry sent during the backoff.
     """
 
     server_id: str
@@ -342,9 +374,9 @@
 class RequestEnded(msgspec.Struct, frozen=True, tag="request_ended"):
     """A request got its final answer.
 
-    :param priority: its rank, 0 first.
-    :param waited_ms: for how long it waited for room at engines.
-    :param predicted_wait_ms: what was reckoned when it began to wait.
+    :param priority: rank of the request; 0 is served first.
+    :param waited_ms: how long the request waited for capacity of engines.
+    :param predicted_wait_ms: the wait that was predicted when it started.
     """
 
     request_id: str
@@ -366,7 +398,11 @@
 
 
 class LinesDropped(msgspec.Struct, frozen=True, tag="lines_dropped"):
-    """Lines that were left out: the buffer was full, or they were routine."""
+    """Lines were left out of the log.
+
+    :param dropped: lines that didn't fit into the buffer.
+    :param routine_skipped: lines over the limit for successful requests.
+    """
 
     dropped: int
     routine_skipped: int
@@ -404,9 +440,10 @@
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """One line of a log: when, on which host, and what.
+    """One line of a log.
 
-    ``time_s`` is the host's own time of day, which may differ from others'.
+    :param time_s: Unix time by the clock of the host, which may differ from the clocks
+        of other hosts.
     """
 
     time_s: float
--- a/src/railfold/_internal/observability/http.py
+++ b/src/railfold/_internal/observability/http.py
@@ -1,4 +1,4 @@
-"""Small HTTP handlers that both roles' operator ports share."""
+"""HTTP handlers that the operator ports of entries and agents share."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 
 
 class JsonHandler(RequestHandler):
-    """Answers GET with what ``source`` returns, as JSON."""
+    """Answers GET with the return value of ``source`` as JSON."""
 
     def initialize(self, source: Callable[[], Any]) -> None:
-        """Set the source."""
+        """Set the function that returns the value."""
         self._source = source
 
     def get(self) -> None:
-        """Answer."""
+        """Answer with the value."""
         self.set_header("Content-Type", "application/json")
         self.finish(msgspec.json.encode(self._source()))
 
 
 class HealthHandler(RequestHandler):
-    """Answers 200 while the loop turns."""
+    """Answers 200 as long as the event loop runs."""
 
     def get(self) -> None:
-        """Answer."""
+        """Answer that the process is alive."""
         self.finish("ok\n")
 
 
 class ReadyHandler(RequestHandler):
-    """Answers 200 if ready, else 503 and what is missing."""
+    """Answers 200 if the process is ready, else 503 with the missing conditions."""
 
     def initialize(self, missing: Callable[[], list[str]]) -> None:
-        """Set the function that says what is missing."""
+        """Set the function that returns the missing conditions, empty if ready."""
         self._missing = missing
 
     def get(self) -> None:
-        """Answer."""
+        """Answer whether the process is ready."""
         missing = self._missing()
         if missing:
             self.set_status(_SERVICE_UNAVAILABLE)
@@ -53,14 +53,14 @@
 
 
 class DrainHandler(RequestHandler):
-    """Begins a drain on POST."""
+    """Starts a drain on POST."""
 
     def initialize(self, drain: Callable[[], None]) -> None:
-        """Set what begins the drain."""
+        """Set the function that starts the drain."""
         self._drain = drain
 
     def post(self) -> None:
-        """Begin, or do nothing if it has begun."""
+        """Start the drain; has no effect on one that has started."""
         self._drain()
         self.set_status(_ACCEPTED)
         self.finish({"draining": True})
--- a/src/railfold/_internal/observability/metrics.py
+++ b/src/railfold/_internal/observability/metrics.py
@@ -1,7 +1,7 @@
 """Counters, gauges and timers of one process.
 
-Values gather in memory and leave in one batch, so that counting costs no
-system call on the request path. ``docs/operations/metrics.md`` lists them.
+Values are collected in memory and sent in batches, so that recording a value on the
+request path needs no system call. ``docs/operations/metrics.md`` lists the metrics.
 """
 
 from __future__ import annotations
@@ -15,14 +15,15 @@
 
 _MAX_BUFFERED_TIMERS = 10_000
 
-# Upper bounds: around the objectives of the first sites (0.125 to 0.6 s to the
-# first event, pauses of 0.2 s) and up to the longest time limit.
+# Upper bounds of the buckets. They are dense around the sites' objectives (first event
+# within 0.125 to 0.6 s, pauses up to 0.2 s) and reach up to the longest time
+# limit.
 BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.35, 0.5, 0.75, 1.0, 2.0, 5.0, 20.0)
 
 
 @dataclass(slots=True)
 class Histogram:
-    """Durations by bucket; the last bucket has no upper bound."""
+    """Counts of durations by bucket; the last bucket has no upper bound."""
 
     counts: list[int] = field(default_factory=lambda: [0] * (len(BUCKETS_S) + 1))
     sum_s: float = 0.0
@@ -35,7 +36,10 @@
 
 @dataclass(slots=True)
 class Metrics:
-    """One process's metrics."""
+    """Metrics of one process.
+
+    ``timers_ms`` keeps the newest durations until they are sent to a statsd server.
+    """
 
     counters: Counter[str] = field(default_factory=Counter)
     gauges: dict[str, float] = field(default_factory=dict)
@@ -50,16 +54,16 @@
         self.counters[name] += value
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a gauge."""
+        """Set a gauge to a value."""
         self.gauges[name] = value
 
     def timing(self, name: str, duration_s: float) -> None:
-        """Record a duration."""
+        """Record a duration in its histogram and for statsd."""
         self.histograms.setdefault(name, Histogram()).observe(duration_s)
         self.timers_ms.append((name, duration_s * 1000.0))
 
     def counter_increments(self) -> Iterator[tuple[str, int]]:
-        """Yield what each counter grew by since the last call."""
+        """Yield the increment since the last call of each counter that changed."""
         for name, value in self.counters.items():
             increment = value - self._reported_counters[name]
             if increment:
--- a/src/railfold/_internal/observability/process_log.py
+++ b/src/railfold/_internal/observability/process_log.py
@@ -1,4 +1,4 @@
-"""What a process writes to standard error, beside its decision log."""
+"""Log on standard error, which a process writes in addition to its decision log."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 
 def set_up_process_log() -> None:
-    """Let absl write log lines from INFO on."""
-    # Options are click's; without this absl would warn of its own unparsed flags.
+    """Configure absl to write log lines of level INFO and above."""
+    # click parses the command line, so absl would warn that its flags are unparsed.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.set_verbosity(logging.INFO)
--- a/src/railfold/_internal/observability/prometheus.py
+++ b/src/railfold/_internal/observability/prometheus.py
@@ -1,4 +1,4 @@
-"""A process's metrics in the text form that Prometheus reads."""
+"""Metrics of a process in the Prometheus text format."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 def render(metrics: Metrics) -> bytes:
-    """Return all metrics."""
+    """Return all metrics in the Prometheus text format."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_MetricsCollector(metrics))
     return generate_latest(registry)
--- a/src/railfold/_internal/observability/server.py
+++ b/src/railfold/_internal/observability/server.py
@@ -1,4 +1,4 @@
-"""Child that serves HTTP on one address."""
+"""Supervised child that serves HTTP on one address."""
 
 from __future__ import annotations
 
@@ -22,16 +22,17 @@
 
 
 class HttpServerChild:
-    """Serves until cancelled.
+    """Serves HTTP on an address until cancelled.
 
-    :param delegate: an application, or what takes each connection's requests.
-    :param listener: a socket that listens on the address already; else one is
-        opened.
-    :param start_event: connections wait in the kernel's queue until it is set; if it
-        isn't given, none wait.
-    :param start_timeout_s: they wait this long at most.
-    :param configure_server: called with each server that is made, before it serves.
-    :param options: given to tornado's server.
+    :param delegate: an application, or a delegate that handles the requests of each
+        connection.
+    :param listener: a socket that listens on the address already; if not given, the
+        child opens one.
+    :param start_event: connections wait in the kernel's queue until this event is set;
+        if not given, they are accepted at once.
+    :param start_timeout_s: longest wait for ``start_event``; no limit if not given.
+    :param configure_server: called with each new server before it serves.
+    :param options: keyword arguments for tornado's server.
     """
 
     def __init__(
@@ -56,8 +57,8 @@
         self.server: HTTPServer | None = None
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Listen and serve."""
-        # A server that was stopped can't be used again.
+        """Listen on the address and serve until cancelled."""
+        # tornado's servers can't be used again after they were stopped.
         server = HTTPServer(self._delegate, **self._options)
         self.server = server
         if self._configure_server is not None:
@@ -73,7 +74,7 @@
             await server.close_all_connections()
 
     def stop_listening(self) -> None:
-        """Take no new connections; those that wait are reset unread."""
+        """Accept no new connections; the kernel resets those that wait in its queue."""
         if self.server is not None:
             self.server.stop()
         for listener in self._listening_sockets:
@@ -81,7 +82,7 @@
         self._listening_sockets = []
 
     def _listen(self) -> list[socket.socket]:
-        # A child that is started anew has closed the socket it was given.
+        # A child that is restarted has already closed the socket that it was given.
         listener, self._listener = self._listener, None
         if listener is not None:
             return [listener]
@@ -94,4 +95,4 @@
             async with asyncio.timeout(self._start_timeout_s):
                 await self._start_event.wait()
         except TimeoutError:
-            return  # Requests are refused one by one from now on.
+            return  # Accept connections, so that each request gets a refusal.
--- a/src/railfold/_internal/observability/simple_server.py
+++ b/src/railfold/_internal/observability/simple_server.py
@@ -1,4 +1,4 @@
-"""Small answers over HTTP: readiness, metrics."""
+"""Minimal HTTP server delegate, for readiness checks and metrics."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SimpleResponse:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     body: bytes = b""
@@ -29,7 +29,7 @@
 
 
 class _SimpleRequestDelegate(HTTPMessageDelegate):
-    """Answers one request, whatever its method."""
+    """Answers one request with any method."""
 
     def __init__(
         self, connection: HTTPConnection, respond: Callable[[str], SimpleResponse]
@@ -41,30 +41,32 @@
     def headers_received(
         self, start_line: RequestStartLine | ResponseStartLine, headers: HTTPHeaders
     ) -> None:
-        """Take the path."""
+        """Store the path of the request."""
         assert isinstance(start_line, RequestStartLine)
         self._path = start_line.path
 
     def finish(self) -> None:
-        """Answer."""
+        """Write the response."""
         response = self._respond(self._path)
         status_line = ResponseStartLine(
             "HTTP/1.1", response.status, _REASONS.get(response.status, "")
         )
-        headers = HTTPHeaders(
+        response_headers = HTTPHeaders(
             {
                 "Content-Type": response.content_type,
                 "Content-Length": str(len(response.body)),
             }
         )
-        write = self._connection.write_headers(status_line, headers, response.body)
+        write = self._connection.write_headers(
+            status_line, response_headers, response.body
+        )
         if write.done() and not write.cancelled():
-            write.exception()  # The asker has gone: there is nobody to tell.
+            write.exception()  # The client closed the connection; ignore it.
         self._connection.finish()
 
 
 class SimpleServerDelegate(HTTPServerConnectionDelegate):
-    """Answers requests with what ``answer`` returns for their path."""
+    """Answers each request with the response that ``respond`` returns for its path."""
 
     def __init__(self, respond: Callable[[str], SimpleResponse]) -> None:
         self._respond = respond
@@ -72,5 +74,5 @@
     def start_request(
         self, server_conn: object, request_conn: HTTPConnection
     ) -> HTTPMessageDelegate:
-        """Answer a request."""
+        """Return the delegate that answers a request."""
         return _SimpleRequestDelegate(request_conn, self._respond)
--- a/src/railfold/_internal/observability/statsd_sender.py
+++ b/src/railfold/_internal/observability/statsd_sender.py
@@ -1,4 +1,4 @@
-"""Sending a process's metrics to a statsd server at intervals."""
+"""Sender of a process's metrics to a statsd server."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class MetricsSender:
-    """Child that sends the metrics to a statsd server at intervals."""
+    """Supervised child that sends metrics to a statsd server at intervals."""
 
     def __init__(self, metrics: Metrics, address: Address, interval_s: float) -> None:
         self._metrics = metrics
@@ -21,7 +21,7 @@
         self._interval_s = interval_s
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Send until cancelled, and once more then."""
+        """Send metrics at intervals until cancelled, and once more then."""
         client = statsd.StatsClient(
             self._address.ip,
             self._address.port,
--- a/src/railfold/_internal/operations/__init__.py
+++ b/src/railfold/_internal/operations/__init__.py
@@ -1,1 +1,1 @@
-"""What operators do: publish configuration, look at processes, drain them."""
+"""Operators' tasks: publish configuration, inspect and drain processes."""
--- a/src/railfold/_internal/operations/processes.py
+++ b/src/railfold/_internal/operations/processes.py
@@ -1,4 +1,4 @@
-"""Looking at running processes through their operator ports."""
+"""Inspection and drain of running processes through their operator ports."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 async def fetch(http: AsyncHTTPClient, url: str, path: str) -> Any:
-    """Return the JSON at an operator port's ``path``.
+    """Return the decoded JSON at a path of an operator port.
 
     :raises ProcessUnreachableError: the process doesn't answer.
     """
@@ -34,7 +34,7 @@
 
 
 async def drain(http: AsyncHTTPClient, url: str) -> None:
-    """Begin a drain.
+    """Start the drain of a process.
 
     :raises ProcessUnreachableError: the process doesn't answer.
     """
@@ -49,7 +49,7 @@
 
 
 async def explain(http: AsyncHTTPClient, url: str, pipeline: str) -> Any:
-    """Return why an entry would send a request where.
+    """Return where an entry would send a request of a pipeline, and why.
 
     :raises ProcessUnreachableError: the entry doesn't answer.
     """
@@ -60,9 +60,11 @@
 async def wait_until_in_force(
     http: AsyncHTTPClient, urls: list[str], version: int, timeout_s: float
 ) -> None:
-    """Return once ``version`` is in force at all entries and their agents.
+    """Wait until a configuration version is in force at all entries and their agents.
 
-    :raises VersionNotInForceError: it wasn't in time; says where.
+    :param urls: operator ports of the entries.
+    :raises VersionNotInForceError: some of them have an older version after
+        ``timeout_s``; the error lists them.
     """
     loop = asyncio.get_running_loop()
     deadline_s = loop.time() + timeout_s
@@ -78,7 +80,7 @@
             raise VersionNotInForceError(
                 f"version {version} isn't in force everywhere",
                 why="; ".join(outdated),
-                hint="look at the processes named with 'railfold status'",
+                hint="check the listed processes with 'railfold status'",
             )
         await asyncio.sleep(_POLL_S)
 
@@ -86,6 +88,10 @@
 async def _describe_outdated(
     http: AsyncHTTPClient, url: str, version: int
 ) -> list[str]:
+    """Return a text for each process with an older or unknown version.
+
+    Checks an entry and, if the entry has the version, its agents.
+    """
     try:
         status = await fetch(http, url, "/v1/status")
     except ProcessUnreachableError as error:
--- a/src/railfold/_internal/operations/publishing.py
+++ b/src/railfold/_internal/operations/publishing.py
@@ -1,8 +1,8 @@
-"""Publishing configuration changes, and reading them back.
+"""Publication of configuration changes, and reads of the configuration.
 
-A change counts as accepted only after it was read back at its offset and
-folded. When the answer to an append is lost, the change is looked for by its
-write id; it is never sent again blindly.
+A change counts as accepted only after it was read back at its offset and applied. If
+the answer to an append is lost, the log is searched for the write id of the change. A
+change is never appended again while the outcome of the first append is unknown.
 """
 
 from __future__ import annotations
@@ -42,9 +42,9 @@
 class Change:
     """A change to publish.
 
-    :param base_version: the object's version it is based on; None takes the
-        present one.
-    :param body: the object's new body; None deletes it.
+    :param base_version: the version of the object that the change is based on; None
+        stands for the current version.
+    :param body: the new body of the object; None deletes the object.
     """
 
     target: ObjectId
@@ -54,7 +54,7 @@
 
 
 class ConfigurationLog:
-    """The configuration stream, as an operator's command uses it."""
+    """The configuration stream, for use by an operator's command."""
 
     def __init__(self, log: LogClient, stream: str) -> None:
         self._log = log
@@ -66,13 +66,14 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration as far as it was read."""
+        """The configuration up to the last record that was read."""
         return self._replica.configuration
 
     async def read_all(self) -> Configuration:
         """Read the stream to its end and return the configuration.
 
-        :raises LogUnavailableError: the log can't be read.
+        :raises LogUnavailableError: the log can't be read, or records have expired that
+            no checkpoint covers.
         """
         while True:
             offset = self._scanner.next_offset()
@@ -95,11 +96,11 @@
             return self.configuration
 
     async def publish(self, change: Change, timeout_s: float) -> AuditEntry:
-        """Publish a change and return what became of it.
+        """Publish a change and return its audit entry, with the verdict.
 
-        :raises ConfigurationRefusedError: it is invalid; nothing was appended.
-        :raises LogUnavailableError: the log refused it; nothing was appended.
-        :raises WriteUnsettledError: its effect isn't known.
+        :raises ConfigurationRefusedError: the change is invalid; nothing was appended.
+        :raises LogUnavailableError: the log refused the change; nothing was appended.
+        :raises WriteUnsettledError: it isn't known whether the change was appended.
         """
         configuration = await self.read_all()
         configuration.check(change.target, change.body)
@@ -115,15 +116,17 @@
             else change.base_version,
             body=change.body,
         )
-        with contextlib.suppress(WriteUnsettledError):  # Reading back tells.
+        with contextlib.suppress(WriteUnsettledError):  # settle() finds out.
             await self._log.append(self._stream, [msgspec.to_builtins(record)])
         return await self.settle(record.write_id, timeout_s)
 
     async def settle(self, write_id: str, timeout_s: float) -> AuditEntry:
-        """Return what became of the change with ``write_id``.
+        """Return the audit entry of the change with ``write_id``.
 
-        :raises WriteUnsettledError: it isn't in the log, or the log can't be
-            read, until ``timeout_s`` has passed.
+        Reads the log with retries until ``timeout_s`` has passed.
+
+        :raises WriteUnsettledError: the change wasn't found in the log, or the log
+            couldn't be read.
         """
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + timeout_s
@@ -149,25 +152,25 @@
 def _unsettled_error(write_id: str) -> WriteUnsettledError:
     return WriteUnsettledError(
         "it isn't known whether the change was appended",
-        why="the log's answer was lost and the change can't be read back yet",
+        why="the answer of the log was lost and the change can't be read back yet",
         hint=f"run 'railfold settle {write_id}' when the log answers again;"
-        " publishing it again with the same --base-version is safe, since only"
-        " one of the two can be accepted",
+        " publishing the change again with the same --base-version is safe, since"
+        " only one of the two can be accepted",
     )
 
 
 def raise_for_verdict(entry: AuditEntry) -> None:
-    """Raise the error that an entry's verdict stands for, if any.
+    """Raise the error for the verdict of an audit entry, unless it was accepted.
 
-    :raises ConfigurationConflictError: another change came first.
+    :raises ConfigurationConflictError: another change was accepted first.
     :raises ConfigurationRefusedError: the change is invalid.
     """
     match entry.verdict:
         case AuditVerdict.CONFLICT:
             raise ConfigurationConflictError(
-                f"change of {entry.target} lost against another one",
+                f"change of {entry.target} conflicts with another change",
                 why="; ".join(entry.reasons),
-                hint="look at 'railfold diff', then publish on the new version",
+                hint="see 'railfold diff', then publish a change of the new version",
             )
         case AuditVerdict.REFUSED | AuditVerdict.CHECKPOINT_REFUSED:
             raise ConfigurationRefusedError(entry.target, list(entry.reasons))
--- a/src/railfold/_internal/operations/request_trace.py
+++ b/src/railfold/_internal/operations/request_trace.py
@@ -1,4 +1,4 @@
-"""Finding what logs of several processes say about one request."""
+"""Search for the log lines about one request in logs of several processes."""
 
 from __future__ import annotations
 
@@ -27,7 +27,8 @@
 
 __all__ = ["RequestTrace", "read_lines", "trace_request"]
 
-# How long before a request's first line a change of state may explain it.
+# Changes of state from this long before the first line of a request until this long
+# after its last line may explain what happened to it.
 _CONTEXT_BEFORE_S = 6.0
 _CONTEXT_AFTER_S = 1.0
 
@@ -36,7 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestTrace:
-    """A request's lines in order of time, and lines that may explain them."""
+    """Log lines about a request, and lines about their context.
+
+    :param context_lines: changes of state, for instance of servers or of the store,
+        that may explain what happened to the request.
+    """
 
     request_lines: tuple[LogLine, ...]
     context_lines: tuple[LogLine, ...]
@@ -52,8 +57,8 @@
 def read_lines(texts: Iterable[str]) -> list[LogLine]:
     """Return the log lines among lines of text.
 
-    What collects the logs may have put something before each line, and other
-    output may stand between them: both are passed over.
+    Ignores prefixes, which a log collector may add to each line, and other output
+    between the lines.
     """
     log_lines: list[LogLine] = []
     for text in texts:
@@ -63,12 +68,12 @@
         try:
             log_lines.append(_DECODER.decode(text[start:].strip()))
         except msgspec.DecodeError:
-            continue  # Another program's line.
+            continue  # The line was written by another program.
     return log_lines
 
 
 def trace_request(lines: Sequence[LogLine], request_id: str) -> RequestTrace:
-    """Return what is said of a request, and what happened around it."""
+    """Return the lines about a request and the lines that may explain them."""
     request_lines = [line for line in lines if _request_id(line.event) == request_id]
     if not request_lines:
         return RequestTrace((), ())
--- a/src/railfold/_internal/supervision/__init__.py
+++ b/src/railfold/_internal/supervision/__init__.py
@@ -1,1 +1,1 @@
-"""The supervisor tree that both roles are built on."""
+"""Supervisor tree of a process, and its start and stop."""
--- a/src/railfold/_internal/supervision/process.py
+++ b/src/railfold/_internal/supervision/process.py
@@ -1,4 +1,4 @@
-"""Running a role's supervisor tree as a process until it is told to stop."""
+"""Runs a supervisor tree as a process until a signal stops it."""
 
 from __future__ import annotations
 
@@ -17,19 +17,20 @@
 
 
 async def wait_until_idle(is_busy: Callable[[], bool], timeout_s: float) -> None:
-    """Return once nothing is in flight, or after ``timeout_s``."""
+    """Wait until nothing is in flight, for ``timeout_s`` at most."""
     loop = asyncio.get_running_loop()
     deadline_s = loop.time() + timeout_s
-    while is_busy() and loop.time() < deadline_s:  # noqa: ASYNC110 - many sources.
+    while is_busy() and loop.time() < deadline_s:  # noqa: ASYNC110 - several sources.
         await asyncio.sleep(_IDLE_POLL_S)
 
 
 async def run_process(root: Supervisor, drain: Callable[[], Awaitable[None]]) -> None:
-    """Run ``root``; on SIGTERM or SIGINT drain, then stop in order.
+    """Run a supervisor tree; on SIGTERM or SIGINT drain it, then stop it in order.
 
     A second signal ends the drain early.
 
-    :raises SupervisorFailedError: the tree failed.
+    :raises SupervisorFailedError: the restart limit of the root supervisor was
+        exceeded.
     """
     set_up_process_log()
     loop = asyncio.get_running_loop()
@@ -46,14 +47,18 @@
         {root_task, first_signal_task}, return_when=asyncio.FIRST_COMPLETED
     )
     if not root_task.done():
-        logging.info("stopping: draining")
+        logging.info("stopping: drain started")
         drain_task = asyncio.ensure_future(drain())
         second_signal_task = asyncio.create_task(second_signal.wait())
         await asyncio.wait(
             {root_task, drain_task, second_signal_task},
             return_when=asyncio.FIRST_COMPLETED,
         )
-        logging.info("stopping: drained" if drain_task.done() else "stopping: hurried")
+        logging.info(
+            "stopping: drain completed"
+            if drain_task.done()
+            else "stopping: drain interrupted"
+        )
         root_task.cancel()
     first_signal_task.cancel()
     try:
--- a/src/railfold/_internal/supervision/supervisor.py
+++ b/src/railfold/_internal/supervision/supervisor.py
@@ -1,11 +1,10 @@
 """A supervisor tree on one event loop.
 
-A child is a coroutine function ``run(ready)``: it sets ``ready`` once it
-serves, runs until it is cancelled, and cleans up as it is cancelled. A
-supervisor starts its children in order, each once the one before is ready;
-restarts a child that fails; escalates when failures come too often; and stops
-children in reverse order. ``Supervisor.run`` has the same form, so that
-supervisors nest.
+A child is a coroutine function ``run(ready)``. It sets ``ready`` once it serves, runs
+until it is cancelled, and cleans up on cancellation. A supervisor starts its children
+in order, each after the one before is ready, and stops them in reverse order. It
+restarts children that fail, and fails itself if failures exceed a limit.
+``Supervisor.run`` is such a function too, so that supervisors can be nested.
 """
 
 from __future__ import annotations
@@ -32,12 +31,12 @@
     """Which children are restarted when one fails."""
 
     ONE_FOR_ONE = "one_for_one"
-    REST_FOR_ONE = "rest_for_one"  # Also those that were started after it.
+    REST_FOR_ONE = "rest_for_one"  # Also restarts children that started later.
 
 
 @dataclass(frozen=True, slots=True)
 class RestartLimit:
-    """At most ``max_restarts`` in ``window_s`` seconds, else escalate."""
+    """Limit of ``max_restarts`` in ``window_s`` seconds; further ones escalate."""
 
     max_restarts: int = 5
     window_s: float = 10.0
@@ -45,7 +44,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ChildSpec:
-    """A child's name, how to run it, and how long it may take to stop."""
+    """Specification of a child.
+
+    :param run: runs the child; see the module's documentation.
+    :param stop_timeout_s: how long the supervisor waits for the child to stop.
+    """
 
     name: str
     run: Callable[[asyncio.Event], Awaitable[None]]
@@ -60,7 +63,11 @@
 
 @dataclass(slots=True)
 class Supervisor:
-    """Runs children; see the module's documentation."""
+    """Runs children; see the module's documentation.
+
+    :param limit: how often children may be restarted.
+    :param restarts: the number of failures of children so far.
+    """
 
     name: str
     children: list[ChildSpec]
@@ -73,7 +80,7 @@
     async def run(self, ready: asyncio.Event) -> None:
         """Run all children until cancelled.
 
-        :raises SupervisorFailedError: the restart limit was passed.
+        :raises SupervisorFailedError: the restart limit was exceeded.
         """
         try:
             await self._start_children_from(0)
@@ -138,14 +145,14 @@
         ):
             self._failure_times_s.popleft()
         logging.error(
-            "%s: child %s failed and is restarted: %r", self.name, spec.name, error
+            "%s: child %s failed and will be restarted: %r", self.name, spec.name, error
         )
         if len(self._failure_times_s) > self.limit.max_restarts:
             raise SupervisorFailedError(
-                f"supervisor {self.name} gives up",
+                f"supervisor {self.name} exceeded its restart limit",
                 why=f"{len(self._failure_times_s)} failures in"
                 f" {self.limit.window_s:g} s, the last of {spec.name}: {error!r}",
-                hint="read the log lines before this one; the process ends",
+                hint="see the log lines before this one; the process exits",
             ) from error
 
     async def _stop_children_from(self, index: int) -> None:
@@ -165,4 +172,4 @@
     child.task.cancel()
     done, _ = await asyncio.wait({child.task}, timeout=child.spec.stop_timeout_s)
     if not done:
-        logging.error("child %s didn't stop in time", child.spec.name)
+        logging.error("child %s did not stop in time", child.spec.name)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,7 @@
-"""Tests that are known to fail for a fault that isn't mended yet."""
+"""Configuration of all tests, and the list of tests that are known to fail.
+
+KNOWN-RED.txt lists tests that fail because of a known bug, until it is fixed.
+"""
 
 from __future__ import annotations
 
@@ -10,18 +13,19 @@
 from tests.lib.hosts import Host, new_host
 from tests.lib.properties import load_example_profile
 
-# Before any test is read: settings are taken as a test is defined.
+# Loaded before any test is imported, since a test takes the settings of its examples
+# when it is defined.
 load_example_profile()
 
 KNOWN_FAILURES_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
 
-# More than this and the list is no exception any more.
+# Known failures must remain an exception, so a longer list is an error.
 MAX_KNOWN_FAILURES = 3
 
 
 @dataclass(frozen=True)
 class KnownFailure:
-    """A line of the list: ``test id | cause | issue``."""
+    """An entry of the list, written as ``test id | cause | issue``."""
 
     test_id: str
     cause: str
@@ -29,7 +33,7 @@
 
 
 def known_failures() -> list[KnownFailure]:
-    """Return the list; empty if there is none."""
+    """Return the known failures; none if the file doesn't exist."""
     if not KNOWN_FAILURES_FILE.exists():
         return []
     lines = [
@@ -53,12 +57,16 @@
 
 @pytest.fixture
 def host(monkeypatch: pytest.MonkeyPatch) -> Host:
-    """The host of the test's process, which can be suspended."""
+    """The simulated host of the test's process, which can be suspended."""
     return new_host(monkeypatch)
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let listed tests fail an assertion; one that passes must come off the list."""
+    """Mark the listed tests as expected to fail an assertion.
+
+    A listed test that passes is reported as failed, since it must be removed from the
+    list. A listed test that is missing from a collected file is an error.
+    """
     items_by_id = {item.nodeid: item for item in items}
     test_files = {item.nodeid.partition("::")[0] for item in items}
     for failure in known_failures():
--- a/tests/functional/test_binary.py
+++ b/tests/functional/test_binary.py
@@ -1,4 +1,8 @@
-"""The one binary starts no other process and needs no disk."""
+"""Tests of the single-file binary.
+
+They guard against a binary that starts child processes, writes to a file other than its
+log, or needs a disk for its libraries instead of an in-memory file system.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +25,7 @@
 
 @pytest.fixture(scope="module")
 def binary(tmp_path_factory: pytest.TempPathFactory) -> Path:
-    """The binary, built by the one command."""
+    """Path of the binary, built by ``scripts/build``."""
     path = tmp_path_factory.mktemp("dist") / "railfold"
     subprocess.run(
         [PROJECT / "scripts" / "build", str(path)], check=True, capture_output=True
@@ -31,7 +35,7 @@
 
 @pytest.fixture
 def memory_directory() -> Iterator[str]:
-    """A folder on a file system that is held in memory."""
+    """A directory on an in-memory file system."""
     with tempfile.TemporaryDirectory(dir=MEMORY_DIRECTORY) as directory:
         yield directory
 
@@ -54,11 +58,11 @@
                 if open_file.mode != "r"
             ]
             assert set(written_paths) <= {own_log_path}
-            assert maps_files_from(process, memory_directory)
+            assert runs_libraries_from(process, memory_directory)
 
 
-def maps_files_from(process: psutil.Process, directory: str) -> bool:
-    """Return whether the process runs compiled libraries from ``folder``."""
+def runs_libraries_from(process: psutil.Process, directory: str) -> bool:
+    """Return whether the process runs compiled libraries from ``directory``."""
     return any(
         os.path.commonpath([directory, mapped.path]) == directory
         for mapped in process.memory_maps()
--- a/tests/unit/test_decision_log.py
+++ b/tests/unit/test_decision_log.py
@@ -1,4 +1,9 @@
-"""Logging never blocks, and tells what it left out."""
+"""Tests of the decision log.
+
+The reader of standard output may stall. Writes to the log must then not block the
+event loop, buffer without limit or split lines, and the log must report how many lines
+it dropped.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +21,7 @@
 
 @pytest.fixture
 def pipe() -> Iterator[tuple[int, int]]:
-    """A pipe that nobody reads by itself."""
+    """File descriptors of a pipe for reading and writing; only the test reads it."""
     read_fd, write_fd = os.pipe()
     os.set_blocking(write_fd, False)
     yield read_fd, write_fd
@@ -25,6 +30,7 @@
 
 
 def request_ended(number: int) -> RequestEnded:
+    """Return an event of a failed request, with a long cause."""
     return RequestEnded(
         request_id=f"r-{number}",
         outcome="not_run",
@@ -43,6 +49,7 @@
 
 
 def read_events(fd: int) -> list[dict[str, object]]:
+    """Return the events of the lines that the pipe holds."""
     os.set_blocking(fd, False)
     data = b""
     try:
--- a/tests/unit/test_metrics.py
+++ b/tests/unit/test_metrics.py
@@ -1,4 +1,8 @@
-"""Metrics reach a statsd server in batches, each increment once."""
+"""Tests of metrics and of their sender to a statsd server.
+
+Metrics that are collected after the last interval must not be lost when the process
+stops. An increment that is reported twice would be counted twice.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +19,7 @@
 
 
 def read_received_lines(server: socket.socket) -> set[str]:
-    """Return the lines that have come."""
+    """Return the lines that the server has received."""
     lines: set[str] = set()
     while True:
         try:
--- a/tests/unit/test_request_trace.py
+++ b/tests/unit/test_request_trace.py
@@ -1,4 +1,9 @@
-"""The lines of one request are found among those of several processes."""
+"""Tests of the trace of one request from logs of several processes.
+
+A trace contains the lines about the request, and changes of state on the same host and
+shortly before that may explain it. Lines about other servers or hosts, old lines and
+output of other programs would mislead its reader.
+"""
 
 from __future__ import annotations
 
--- a/tests/unit/test_supervisor.py
+++ b/tests/unit/test_supervisor.py
@@ -1,4 +1,8 @@
-"""The supervisor tree restarts, escalates and stops in order."""
+"""Tests of the supervisor tree.
+
+They guard against children that start before the ones they depend on are ready, that
+stay stopped after a failure, that are restarted forever, or that stop out of order.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,7 @@
 
 
 class ChildRecorder:
-    """Makes children that record their starts and stops."""
+    """Makes children that record their starts (+) and stops (-) and fail on demand."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
