--- a/src/railfold/_internal/agent/peers.py
+++ b/src/railfold/_internal/agent/peers.py
@@ -1,4 +1,4 @@
-"""Links from this agent to the agents of other stages."""
+"""Links that this agent opens to the agents of other stages."""
 
 from __future__ import annotations
 
@@ -14,39 +14,42 @@
 
 __all__ = ["PeerLinks"]
 
-_MAX_WAITING_MESSAGES = 4096
+_MAX_QUEUED_MESSAGES = 4096
 
 
 @dataclass(slots=True)
 class _Peer:
     stage: Stage
     link: Link | None = None
-    waiting: list[LinkMessage] = field(default_factory=list)
+    queued_messages: list[LinkMessage] = field(default_factory=list)
     task: asyncio.Task[None] | None = None
 
 
 class PeerLinks:
-    """Opens a link to a stage's agent when there is something to send.
+    """Opens a link to a stage's agent when the first message for it is sent.
 
-    :param on_lost: called with the host whose agent can't be reached, or isn't
-        the incarnation that the chain names.
+    :param on_lost: called with the name of a host when the link to its agent closes,
+        can't be opened, or reaches another incarnation than the chain names.
     """
 
     def __init__(
         self,
         hello: Hello,
-        version: Callable[[], int],
+        configuration_version: Callable[[], int],
         limits: LinkLimits,
         on_lost: Callable[[str], None],
     ) -> None:
         self._hello = hello
-        self._version = version
+        self._configuration_version = configuration_version
         self._limits = limits
         self._on_lost = on_lost
         self._peers: dict[tuple[str, int], _Peer] = {}
 
     def send(self, stage: Stage, message: LinkMessage) -> None:
-        """Send a message to a stage's agent, dialling it if need be."""
+        """Send a message to a stage's agent; open the link first if there is none.
+
+        Messages are queued until the link is open; those over the limit are dropped.
+        """
         key = (stage.address, stage.incarnation)
         peer = self._peers.get(key)
         if peer is None:
@@ -54,11 +57,11 @@
             peer.task = asyncio.create_task(self._run(key, peer))
         if peer.link is not None:
             peer.link.send(message)
-        elif len(peer.waiting) < _MAX_WAITING_MESSAGES:
-            peer.waiting.append(message)
+        elif len(peer.queued_messages) < _MAX_QUEUED_MESSAGES:
+            peer.queued_messages.append(message)
 
     async def close(self) -> None:
-        """Close all links."""
+        """Close all links and wait until their tasks have ended."""
         tasks = [peer.task for peer in self._peers.values() if peer.task]
         for task in tasks:
             task.cancel()
@@ -69,7 +72,7 @@
             link = await dial(
                 parse_address(peer.stage.address),
                 self._hello,
-                self._version,
+                self._configuration_version,
                 self._limits,
             )
             if link.peer.incarnation == peer.stage.incarnation:
@@ -84,20 +87,20 @@
 
     async def _serve(self, link: Link, peer: _Peer) -> None:
         peer.link = link
-        for message in peer.waiting:
+        for message in peer.queued_messages:
             link.send(message)
-        peer.waiting.clear()
-        await serve_link(link, _SendOnly())
+        peer.queued_messages.clear()
+        await serve_link(link, _SendOnlyHandler())
 
 
-class _SendOnly:
-    """Handler of links on which the peer has nothing to say."""
+class _SendOnlyHandler:
+    """Handler of links that only send: frames from the peer are ignored."""
 
     def link_up(self, link: Link) -> None:
-        """Nothing to do: the sender keeps the link."""
+        """Do nothing: :class:`PeerLinks` already has the link."""
 
     def frame_received(self, link: Link, frame: Frame) -> None:
-        """Nothing to do."""
+        """Ignore the frame."""
 
     def link_down(self, link: Link) -> None:
-        """Nothing to do: the sender reports the loss."""
+        """Do nothing: :class:`PeerLinks` reports the lost host."""
--- a/src/railfold/_internal/forwarding/peers/peering.py
+++ b/src/railfold/_internal/forwarding/peers/peering.py
@@ -136,7 +136,7 @@
                 router.metrics,
                 router.rng,
                 self._broadcast,
-                fleet_limits.listed,
+                fleet_limits.set_listed_entries,
             )
             self._arrival_exchange = ArrivalExchange(
                 settings.name, router, leadership, self._channel
--- a/tests/forwarding/test_repeated_crashes.py
+++ b/tests/forwarding/test_repeated_crashes.py
@@ -107,7 +107,7 @@
 def is_placed_again(deployment: Deployment) -> bool:
     """Return whether engines hold the first layers, and all entries know them."""
     known = all(deployment.all_known(entry) for entry in deployment.entries)
-    return known and bool(deployment.first_engines)
+    return known and bool(deployment.first_stage_engines)
 
 
 async def wait_until_recognizing(deployment: Deployment) -> None:
--- a/tests/functional/test_binary.py
+++ b/tests/functional/test_binary.py
@@ -47,7 +47,7 @@
     environment = {"SHIV_ROOT": memory_directory, "PYTHONPATH": ""}
     with Cluster([HOST], command=[str(binary)], environment=environment) as cluster:
         client = StreamCaller(cluster.callers_url(), "unit 1", 20)
-        client.assert_whole()
+        client.assert_complete()
         for name in ("entry-0", f"agent-{HOST.host}"):
             process = psutil.Process(cluster.processes[name].popen.pid)
             assert process.children() == []
