--- a/src/railfold/_internal/supervision/process.py
+++ b/src/railfold/_internal/supervision/process.py
@@ -1,4 +1,4 @@
-"""Running a role's supervisor tree as a process until it is told to stop."""
+"""Runs a supervisor tree as a process until a signal stops it."""
 
 from __future__ import annotations
 
@@ -16,44 +16,52 @@
 _IDLE_POLL_S = 0.05
 
 
-async def wait_until_idle(busy: Callable[[], bool], timeout_s: float) -> None:
-    """Return once nothing is in flight, or after ``timeout_s``."""
+async def wait_until_idle(is_busy: Callable[[], bool], timeout_s: float) -> None:
+    """Wait until nothing is in flight, for ``timeout_s`` at most."""
     loop = asyncio.get_running_loop()
     deadline_s = loop.time() + timeout_s
-    while busy() and loop.time() < deadline_s:  # noqa: ASYNC110 - many sources.
+    while is_busy() and loop.time() < deadline_s:  # noqa: ASYNC110 - several sources.
         await asyncio.sleep(_IDLE_POLL_S)
 
 
 async def run_process(root: Supervisor, drain: Callable[[], Awaitable[None]]) -> None:
-    """Run ``root``; on SIGTERM or SIGINT drain, then stop in order.
+    """Run a supervisor tree; on SIGTERM or SIGINT drain it, then stop it in order.
 
     A second signal ends the drain early.
 
-    :raises SupervisorFailedError: the tree failed.
+    :raises SupervisorFailedError: the restart limit of the root supervisor was
+        exceeded.
     """
     set_up_process_log()
     loop = asyncio.get_running_loop()
-    first, second = asyncio.Event(), asyncio.Event()
+    first_signal, second_signal = asyncio.Event(), asyncio.Event()
 
     def on_signal() -> None:
-        (second if first.is_set() else first).set()
-
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, on_signal)
-    tree = asyncio.create_task(root.run(asyncio.Event()))
-    stop = asyncio.create_task(first.wait())
-    await asyncio.wait({tree, stop}, return_when=asyncio.FIRST_COMPLETED)
-    if not tree.done():
-        logging.info("stopping: draining")
-        drained = asyncio.ensure_future(drain())
-        hurried = asyncio.create_task(second.wait())
+        (second_signal if first_signal.is_set() else first_signal).set()
+
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, on_signal)
+    root_task = asyncio.create_task(root.run(asyncio.Event()))
+    first_signal_task = asyncio.create_task(first_signal.wait())
+    await asyncio.wait(
+        {root_task, first_signal_task}, return_when=asyncio.FIRST_COMPLETED
+    )
+    if not root_task.done():
+        logging.info("stopping: drain started")
+        drain_task = asyncio.ensure_future(drain())
+        second_signal_task = asyncio.create_task(second_signal.wait())
         await asyncio.wait(
-            {tree, drained, hurried}, return_when=asyncio.FIRST_COMPLETED
+            {root_task, drain_task, second_signal_task},
+            return_when=asyncio.FIRST_COMPLETED,
+        )
+        logging.info(
+            "stopping: drain completed"
+            if drain_task.done()
+            else "stopping: drain interrupted"
         )
-        logging.info("stopping: drained" if drained.done() else "stopping: hurried")
-        tree.cancel()
-    stop.cancel()
+        root_task.cancel()
+    first_signal_task.cancel()
     try:
-        await tree
+        await root_task
     except asyncio.CancelledError:
         logging.info("stopped")
--- a/tests/unit/test_metrics.py
+++ b/tests/unit/test_metrics.py
@@ -1,4 +1,8 @@
-"""Metrics reach a statsd server in batches, each increment once."""
+"""Tests of metrics and of their sender to a statsd server.
+
+Metrics that are collected after the last interval must not be lost when the process
+stops. An increment that is reported twice would be counted twice.
+"""
 
 from __future__ import annotations
 
@@ -14,8 +18,8 @@
 pytestmark = pytest.mark.asyncio
 
 
-def received(server: socket.socket) -> set[str]:
-    """Return the lines that have come."""
+def read_received_lines(server: socket.socket) -> set[str]:
+    """Return the lines that the server has received."""
     lines: set[str] = set()
     while True:
         try:
@@ -24,7 +28,7 @@
             return lines
 
 
-async def test_counters_gauges_and_timers_are_sent() -> None:
+async def test_counters_gauges_and_timers_are_sent_at_shutdown() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as server:
         server.bind(("127.0.0.1", 0))
         server.setblocking(False)
@@ -39,14 +43,14 @@
         metrics.timing("request", 0.25)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        assert received(server) == {
+        assert read_received_lines(server) == {
             "railfold.outcomes.answered:3|c",
             "railfold.in_flight:7|g",
             "railfold.request:250.000000|ms",
         }
 
 
-async def test_increment_is_sent_once() -> None:
+async def test_increment_is_reported_once() -> None:
     metrics = Metrics()
     metrics.count("tokens", 2)
     assert list(metrics.counter_increments()) == [("tokens", 2)]
