--- a/src/railfold/_internal/commands/forward.py
+++ b/src/railfold/_internal/commands/forward.py
@@ -67,5 +67,7 @@
     from railfold._internal.forwarding.process import run_forwarding_entry
     from railfold._internal.platform.adapter import MetadataStorePlatform
 
-    adapter = MetadataStorePlatform(platform_settings.store, platform_settings.store_partitions)
+    adapter = MetadataStorePlatform(
+        platform_settings.store, platform_settings.store_partitions
+    )
     await run_forwarding_entry(platform_settings.forwarding, adapter, source, listeners)
