--- a/src/railfold/_internal/entry/admission.py
+++ b/src/railfold/_internal/entry/admission.py
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class _Gate:
+class _TargetQueue:
     target: Target
     queue: AdmissionQueue
 
@@ -54,7 +54,7 @@
         self._view = view
         self._metrics = metrics
         self._rng = rng
-        self._gates: dict[tuple[str, str], _Gate] = {}
+        self._target_queues: dict[tuple[str, str], _TargetQueue] = {}
         self._waiters: dict[Ticket, asyncio.Future[None]] = {}
 
     @asynccontextmanager
@@ -66,7 +66,7 @@
         priority: int,
         cost: float,
         deadline_s: float,
-        entries: int,
+        entry_count: int,
     ) -> AsyncIterator[None]:
         """Hold a place for a request; waits for one if need be.
 
@@ -76,18 +76,18 @@
         ticket = Ticket(
             workspace.name,
             workspace.weight,
-            entry_share(workspace.max_in_flight, entries),
+            entry_share(workspace.max_in_flight, entry_count),
             priority,
             cost,
             deadline_s,
         )
-        gate = self._gate(target, entries)
+        target_queue = self._target_queue(target, entry_count)
         loop = asyncio.get_running_loop()
-        match gate.queue.offer(ticket, loop.time()):
+        match target_queue.queue.offer(ticket, loop.time()):
             case Refused(error=error, load=load):
-                raise self._refused(error, load)
+                raise self._refusal(error, load)
             case Queued():
-                await self._wait(gate, ticket)
+                await self._wait(target_queue, ticket)
             case Admitted():
                 pass
         started_s = loop.time()
@@ -95,9 +95,11 @@
             yield
         finally:
             service_s = loop.time() - started_s
-            self._wake(gate.queue.finished(ticket, service_s, loop.time()))
+            self._notify_admitted(
+                target_queue.queue.finished(ticket, service_s, loop.time())
+            )
 
-    async def _wait(self, gate: _Gate, ticket: Ticket) -> None:
+    async def _wait(self, target_queue: _TargetQueue, ticket: Ticket) -> None:
         loop = asyncio.get_running_loop()
         future = loop.create_future()
         self._waiters[ticket] = future
@@ -105,23 +107,25 @@
         try:
             await asyncio.wait_for(future, max(0.0, ticket.deadline_s - started_s))
         except TimeoutError as error:
-            late = DeadlineExpiredError("the request's deadline passed in the queue")
-            raise self._refused(late, gate.queue.load) from error
+            expired = DeadlineExpiredError("the request's deadline passed in the queue")
+            raise self._refusal(expired, target_queue.queue.load) from error
         finally:
             self._waiters.pop(ticket, None)
-            if not gate.queue.withdraw(ticket) and not _succeeded(future):
+            if not target_queue.queue.withdraw(ticket) and not _succeeded(future):
                 # It was admitted in the moment its caller gave up.
-                self._wake(gate.queue.withdrawn_early(ticket, loop.time()))
+                self._notify_admitted(
+                    target_queue.queue.withdrawn_early(ticket, loop.time())
+                )
             self._metrics.timing("admission.wait", loop.time() - started_s)
 
-    def refresh(self, entries: int) -> None:
+    def refresh_capacity(self, entry_count: int) -> None:
         """Take new capacity from the membership view; shed what it can't serve."""
         now_s = asyncio.get_running_loop().time()
-        for gate in self._gates.values():
-            capacity = self._capacity(gate.target, entries)
-            self._wake(gate.queue.set_capacity(capacity, now_s))
-            load = gate.queue.load
-            for ticket in gate.queue.shed(now_s):
+        for target_queue in self._target_queues.values():
+            capacity = self._capacity(target_queue.target, entry_count)
+            self._notify_admitted(target_queue.queue.set_capacity(capacity, now_s))
+            load = target_queue.queue.load
+            for ticket in target_queue.queue.shed(now_s):
                 self._metrics.count("admission.shed")
                 error = DeadlineExpiredError(
                     "the request was shed: live capacity fell while it waited",
@@ -129,25 +133,25 @@
                 )
                 future = self._waiters.get(ticket)
                 if future is not None and not future.done():
-                    future.set_exception(self._refused(error, load))
+                    future.set_exception(self._refusal(error, load))
 
-    def gates(self) -> Iterator[tuple[str, AdmissionQueue]]:
+    def queues(self) -> Iterator[tuple[str, AdmissionQueue]]:
         """Yield each target's name and queue."""
-        for (kind, name), gate in self._gates.items():
-            yield f"{kind}/{name}", gate.queue
+        for (kind, name), target_queue in self._target_queues.items():
+            yield f"{kind}/{name}", target_queue.queue
 
-    def _gate(self, target: Target, entries: int) -> _Gate:
+    def _target_queue(self, target: Target, entry_count: int) -> _TargetQueue:
         key = (type(target).__name__.lower(), target.name)
-        gate = self._gates.get(key)
-        if gate is None or gate.target is not target:
-            queue = gate.queue if gate else AdmissionQueue(self._limits)
-            gate = self._gates[key] = _Gate(target, queue)
+        target_queue = self._target_queues.get(key)
+        if target_queue is None or target_queue.target is not target:
+            queue = target_queue.queue if target_queue else AdmissionQueue(self._limits)
+            target_queue = self._target_queues[key] = _TargetQueue(target, queue)
             now_s = asyncio.get_running_loop().time()
-            capacity = self._capacity(target, entries)
-            self._wake(queue.set_capacity(capacity, now_s))
-        return gate
+            capacity = self._capacity(target, entry_count)
+            self._notify_admitted(queue.set_capacity(capacity, now_s))
+        return target_queue
 
-    def _capacity(self, target: Target, entries: int) -> int:
+    def _capacity(self, target: Target, entry_count: int) -> int:
         match target:
             case Pipeline():
                 replicas = self._view.stages(
@@ -156,23 +160,23 @@
                 capacity = pipeline_capacity(replicas, target.layer_count)
             case Service():
                 replicas = self._view.service_replicas(target.name, target.hosts)
-                capacity = _total(replicas)
-        return entry_share(capacity, entries)
+                capacity = _total_capacity(replicas)
+        return entry_share(capacity, entry_count)
 
-    def _wake(self, tickets: list[Ticket]) -> None:
+    def _notify_admitted(self, tickets: list[Ticket]) -> None:
         for ticket in tickets:
             future = self._waiters.get(ticket)
             if future is not None and not future.done():
                 future.set_result(None)
 
-    def _refused(self, error: RequestError, load: float) -> AdmissionRefusedError:
+    def _refusal(self, error: RequestError, load: float) -> AdmissionRefusedError:
         self._metrics.count(f"admission.refused.{error.code}")
         return AdmissionRefusedError(
             error, jittered_retry_after_s(load, self._rng.random())
         )
 
 
-def _total(replicas: list[Replica]) -> int:
+def _total_capacity(replicas: list[Replica]) -> int:
     return sum(replica.capacity for replica in replicas)
 
 
--- a/src/railfold/_internal/entry/agents.py
+++ b/src/railfold/_internal/entry/agents.py
@@ -42,7 +42,7 @@
 
 __all__ = ["AgentPool", "RequestDriver", "RequestMessage"]
 
-_LEASE_INTERVALS = 4
+_INTERVALS_PER_LEASE = 4
 _MIN_LEASE_S = 5.0
 
 RequestMessage = (
@@ -58,7 +58,7 @@
 class RequestDriver(Protocol):
     """One request in flight, as the pool feeds it."""
 
-    def message(self, host: str, message: RequestMessage) -> None:
+    def message_received(self, host: str, message: RequestMessage) -> None:
         """Take an agent's message about this request."""
 
     def hosts_lost(self, hosts: frozenset[str]) -> None:
@@ -79,7 +79,7 @@
         pace: HeartbeatPace,
         probe_timeout_s: float,
         metrics: Metrics,
-        on_capacity: Callable[[], None],
+        on_capacity_change: Callable[[], None],
     ) -> None:
         self.view = MembershipView()
         self._hello = hello
@@ -87,7 +87,7 @@
         self._limits = limits
         self._pace = pace
         self._metrics = metrics
-        self._on_capacity = on_capacity
+        self._on_capacity_change = on_capacity_change
         self._links: dict[str, Link] = {}
         self._addresses: dict[str, str] = {}
         self._dialers: dict[str, LinkDialer] = {}
@@ -95,7 +95,7 @@
         self._prober = AgentProber(probe_timeout_s, metrics, self._probe_message)
         self._probing: dict[tuple[str, int], asyncio.Task[None]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self.entries = 1
+        self.entry_count = 1
 
     # Requests.
 
@@ -129,19 +129,19 @@
         for link in self._links.values():
             link.send(message)
 
-    def control_bytes(self) -> tuple[int, int]:
+    def link_bytes(self) -> tuple[int, int]:
         """Return bytes sent and received on all open links."""
         links = self._links.values()
         return sum(x.bytes_sent for x in links), sum(x.bytes_received for x in links)
 
     # The platform's list.
 
-    def hosts_listed(self, hosts: tuple[ListedHost, ...]) -> None:
+    def host_list_received(self, hosts: tuple[ListedHost, ...]) -> None:
         """Take a new copy of the platform's list."""
         self._apply_change(self.view.apply(HostListReceived(hosts)))
 
     def _dial(self, host: ListedHost) -> None:
-        self._hang_up(host.host)
+        self._stop_dialer(host.host)
         self._addresses[host.host] = host.address
         backoff = Backoff(max_s=2.0)
         dialer = LinkDialer(
@@ -155,7 +155,7 @@
         self._dialers[host.host] = dialer
         dialer.start()
 
-    def _hang_up(self, host: str) -> None:
+    def _stop_dialer(self, host: str) -> None:
         dialer = self._dialers.pop(host, None)
         if dialer is not None:
             self._spawn(dialer.stop())
@@ -169,13 +169,13 @@
         for host in change.connect:
             self._dial(host)
         for name in change.disconnect:
-            self._hang_up(name)
+            self._stop_dialer(name)
         if change.lost:
-            self._lose(change.lost)
+            self._report_lost(change.lost)
 
-    def _lose(self, hosts: frozenset[str]) -> None:
+    def _report_lost(self, hosts: frozenset[str]) -> None:
         self._metrics.count("hosts.lost", len(hosts))
-        self._on_capacity()
+        self._on_capacity_change()
         for driver in list(self._drivers.values()):
             driver.hosts_lost(hosts)
 
@@ -185,15 +185,15 @@
         """A link to an agent was handshaken."""
         peer = link.peer
         logging.info("agent %s linked", peer.name)
-        older = self._links.get(peer.name)
+        previous_link = self._links.get(peer.name)
         self._links[peer.name] = link
         address = self._addresses.get(peer.name, "")
         event = LinkUp(
             peer.name, address, peer.incarnation, peer.failure_domain, peer.region
         )
         self._apply_change(self.view.apply(event))
-        if older is not None:
-            older.close()
+        if previous_link is not None:
+            previous_link.close()
         link.send(self._probe_message(0))
 
     def link_down(self, link: Link) -> None:
@@ -211,13 +211,13 @@
         for token in frame.tokens:
             driver = self._drivers.get(token.request_id)
             if driver is not None:
-                driver.message(link.peer.name, token)
+                driver.message_received(link.peer.name, token)
         for message in frame.messages:
             match message:
                 case Heartbeat():
-                    self._heartbeat(link, message)
+                    self._process_heartbeat(link, message)
                 case ProbeReply(nonce=nonce, stalled=stalled):
-                    self._prober.answered(nonce, stalled=stalled)
+                    self._prober.answer_received(nonce, stalled=stalled)
                 case (
                     SequenceRefused()
                     | SequenceFailed()
@@ -227,15 +227,15 @@
                 ):
                     driver = self._drivers.get(message.request_id)
                     if driver is not None:
-                        driver.message(link.peer.name, message)
+                        driver.message_received(link.peer.name, message)
                 case _:
                     pass
         self._replica.frame(link, frame)
 
-    def _heartbeat(self, link: Link, message: Heartbeat) -> None:
-        self.entries = max(1, message.entries)
-        before = self.view.get(link.peer.name)
-        was_routable = before is not None and before.routable
+    def _process_heartbeat(self, link: Link, message: Heartbeat) -> None:
+        self.entry_count = max(1, message.entries)
+        member_before = self.view.get(link.peer.name)
+        was_routable = member_before is not None and member_before.routable
         report = AgentReport(
             link.peer.name,
             link.peer.incarnation,
@@ -253,7 +253,7 @@
             logging.info("agent %s is %s", member.host, member.state)
             # What else a heartbeat changes is taken in at the next interval:
             # looking at all agents for each heartbeat would cost their square.
-            self._on_capacity()
+            self._on_capacity_change()
 
     # Probes.
 
@@ -263,23 +263,31 @@
         Those that are silent or stalled are marked, so that no new work goes
         there until they report again, and all drivers are told.
         """
-        chain = {_incarnation(stage): stage for stage in stages}
-        begun = [stage for key, stage in chain.items() if key not in self._probing]
-        for stage in begun:
-            self._begin_probe(stage)
-        if begun:
-            self._ask_witness({stage.host for stage in chain.values()})
-        await asyncio.gather(*(asyncio.shield(self._probing[key]) for key in chain))
-
-    def _begin_probe(self, stage: Stage) -> None:
+        stages_by_incarnation = {_incarnation_key(stage): stage for stage in stages}
+        to_probe = [
+            stage
+            for key, stage in stages_by_incarnation.items()
+            if key not in self._probing
+        ]
+        for stage in to_probe:
+            self._start_probe(stage)
+        if to_probe:
+            self._probe_another_agent(
+                {stage.host for stage in stages_by_incarnation.values()}
+            )
+        await asyncio.gather(
+            *(asyncio.shield(self._probing[key]) for key in stages_by_incarnation)
+        )
+
+    def _start_probe(self, stage: Stage) -> None:
         # Many sequences on one host come overdue together: they share a probe
         # and what follows from it.
-        key = _incarnation(stage)
-        task = asyncio.create_task(self._probe_and_mark(stage))
+        key = _incarnation_key(stage)
+        task = asyncio.create_task(self._probe_and_update_view(stage))
         self._probing[key] = task
         task.add_done_callback(lambda _: self._probing.pop(key, None))
 
-    def _ask_witness(self, hosts: set[str]) -> None:
+    def _probe_another_agent(self, hosts: set[str]) -> None:
         # If all of a chain are silent, another agent's answer tells that it isn't
         # this process that is late: the one heard last, elsewhere if possible. It
         # is asked after the chain's agents, as the proof requires.
@@ -287,32 +295,32 @@
         domains = {member.failure_domain for member in members}
         links = [link for host, link in self._links.items() if host not in hosts]
         if links:
-            witness = max(
+            other_link = max(
                 links,
                 key=lambda x: (x.peer.failure_domain not in domains, x.last_heard_s),
             )
-            self._spawn(self._ask(witness))
+            self._spawn(self._probe_link(other_link))
 
-    async def _ask(self, link: Link) -> None:
-        await self._prober.ask(link)
+    async def _probe_link(self, link: Link) -> None:
+        await self._prober.probe(link)
 
-    async def _probe_and_mark(self, stage: Stage) -> None:
-        result = await self._probe_once(stage)
+    async def _probe_and_update_view(self, stage: Stage) -> None:
+        result = await self._probe_stage(stage)
         if result is ProbeResult.ALIVE:
             return
         logging.warning("agent %s is %s", stage.host, result.name.lower())
         event = ProbeUnanswered(stage.host, stage.incarnation)
         self._apply_change(self.view.apply(event))
 
-    async def _probe_once(self, stage: Stage) -> ProbeResult:
+    async def _probe_stage(self, stage: Stage) -> ProbeResult:
         link = self._links.get(stage.host)
         if link is None or link.peer.incarnation != stage.incarnation:
             return ProbeResult.SILENT
-        return await self._prober.ask(link)
+        return await self._prober.probe(link)
 
     def _probe_message(self, nonce: int) -> Probe:
         interval_s = self._interval_s()
-        lease_s = max(_MIN_LEASE_S, _LEASE_INTERVALS * interval_s)
+        lease_s = max(_MIN_LEASE_S, _INTERVALS_PER_LEASE * interval_s)
         return Probe(nonce, interval_s, lease_s)
 
     def _interval_s(self) -> float:
@@ -327,7 +335,7 @@
                 await asyncio.sleep(interval_s)
                 for host, link in list(self._links.items()):
                     link.send(self._probe_message(0))
-                    if link.unheard_looks() >= _LEASE_INTERVALS:
+                    if link.unheard_looks() >= _INTERVALS_PER_LEASE:
                         logging.warning("agent %s fell silent", host)
                         link.close()
         finally:
@@ -339,5 +347,5 @@
         await asyncio.gather(*(dialer.stop() for dialer in dialers))
 
 
-def _incarnation(stage: Stage) -> tuple[str, int]:
+def _incarnation_key(stage: Stage) -> tuple[str, int]:
     return stage.host, stage.incarnation
--- a/src/railfold/_internal/entry/callers.py
+++ b/src/railfold/_internal/entry/callers.py
@@ -50,7 +50,7 @@
     limits: CallerLimits
     metrics: Metrics
     configuration: Callable[[], Configuration]
-    missing: Callable[[], list[str]]
+    refusal_reasons: Callable[[], list[str]]
 
 
 @stream_request_body
@@ -60,12 +60,14 @@
     def initialize(self, services: CallerServices) -> None:
         self.services = services
         self._body = bytearray()
-        self._slow_timer: asyncio.TimerHandle | None = None
+        self._body_timer: asyncio.TimerHandle | None = None
 
     def prepare(self) -> None:
         """Check what can be checked before the body is read."""
         limits = self.services.limits
-        size = sum(len(k) + len(v) + 4 for k, v in self.request.headers.get_all())
+        size = sum(
+            len(name) + len(value) + 4 for name, value in self.request.headers.get_all()
+        )
         if size > limits.max_header_bytes:
             self.refuse(
                 HeadersTooLargeError(
@@ -74,21 +76,21 @@
                 )
             )
             return
-        missing = self.services.missing()
-        if missing:
+        refusal_reasons = self.services.refusal_reasons()
+        if refusal_reasons:
             error = NotReadyError(
                 "this entry takes no requests now",
-                why="; ".join(missing),
+                why="; ".join(refusal_reasons),
                 hint="send it again; the balancer will choose another entry",
             )
             self.refuse(error, _NOT_READY_RETRY_S)
             return
-        length = self.request.headers.get("Content-Length", "0")
-        if length.isdigit() and int(length) > limits.max_body_bytes:
-            self.refuse(self._too_large(int(length)))
+        content_length = self.request.headers.get("Content-Length", "0")
+        if content_length.isdigit() and int(content_length) > limits.max_body_bytes:
+            self.refuse(self._body_too_large(int(content_length)))
             return
         loop = asyncio.get_running_loop()
-        self._slow_timer = loop.call_later(limits.body_timeout_s, self._too_slow)
+        self._body_timer = loop.call_later(limits.body_timeout_s, self._body_timed_out)
 
     def data_received(self, chunk: bytes) -> None:
         """Take a piece of the body."""
@@ -96,18 +98,18 @@
             return
         self._body += chunk
         if len(self._body) > self.services.limits.max_body_bytes:
-            self.refuse(self._too_large(len(self._body)))
+            self.refuse(self._body_too_large(len(self._body)))
 
     def take_body(self) -> bytes:
         """Return the whole body; called by the methods, which run after it."""
-        if self._slow_timer is not None:
-            self._slow_timer.cancel()
+        if self._body_timer is not None:
+            self._body_timer.cancel()
         return bytes(self._body)
 
     def on_finish(self) -> None:
         """Stop the timer of slow bodies."""
-        if self._slow_timer is not None:
-            self._slow_timer.cancel()
+        if self._body_timer is not None:
+            self._body_timer.cancel()
 
     def refuse(self, error: RequestError, retry_after_s: float | None = None) -> None:
         """Answer with a request error."""
@@ -125,7 +127,7 @@
             self.set_header(name, value)
         self.finish(reply.body)
 
-    def _too_slow(self) -> None:
+    def _body_timed_out(self) -> None:
         self.refuse(
             RequestTimeoutError(
                 "the request's body came too slowly",
@@ -133,7 +135,7 @@
             )
         )
 
-    def _too_large(self, size: int) -> BodyTooLargeError:
+    def _body_too_large(self, size: int) -> BodyTooLargeError:
         return BodyTooLargeError(
             f"the request's body is {size} bytes or more",
             why=f"the limit is {self.services.limits.max_body_bytes}",
@@ -157,15 +159,15 @@
         """Set up."""
         super().initialize(services)
         self._driver: GenerateDriver | None = None
-        self._tokens: list[Token] = []
-        self._wake = asyncio.Event()
+        self._unsent_tokens: list[Token] = []
+        self._stream_changed = asyncio.Event()
 
     async def post(self, name: str) -> None:
         """Run the request."""
         body = self.take_body()
         services = self.services
         try:
-            parsed = services.parser.generate(
+            parsed = services.parser.parse_generate(
                 services.configuration(),
                 name,
                 self.request.headers,
@@ -179,13 +181,13 @@
         if parsed.stream:
             await self._stream(parsed, body)
         else:
-            self.reply(await self._dispatch(parsed, body, _ignore))
+            self.reply(await self._dispatch(parsed, body, _ignore_token))
 
     def on_connection_close(self) -> None:
         """The caller went away: cancel its work."""
         if self._driver is not None:
             self.services.metrics.count("callers.gone")
-            self._driver.caller_gone()
+            self._driver.caller_disconnected()
 
     async def _dispatch(
         self, parsed: ParsedGenerate, body: bytes, on_token: Callable[[Token], None]
@@ -198,28 +200,28 @@
         self._driver = driver
 
     async def _stream(self, parsed: ParsedGenerate, body: bytes) -> None:
-        task = asyncio.create_task(self._dispatch(parsed, body, self._take_token))
-        task.add_done_callback(lambda _: self._wake.set())
+        task = asyncio.create_task(self._dispatch(parsed, body, self._buffer_token))
+        task.add_done_callback(lambda _: self._stream_changed.set())
         while True:
-            await self._wake.wait()
-            self._wake.clear()
-            if self._tokens:
+            await self._stream_changed.wait()
+            self._stream_changed.clear()
+            if self._unsent_tokens:
                 await self._write_tokens()
-            if task.done() and not self._tokens:
+            if task.done() and not self._unsent_tokens:
                 break
         self._end_stream(task.result())
 
-    def _take_token(self, token: Token) -> None:
-        self._tokens.append(token)
-        self._wake.set()
+    def _buffer_token(self, token: Token) -> None:
+        self._unsent_tokens.append(token)
+        self._stream_changed.set()
 
     async def _write_tokens(self) -> None:
         # What has gathered while the last flush waited leaves as one event.
-        tokens, self._tokens = self._tokens, []
-        self._start_stream()
-        first = tokens[0].step
+        tokens, self._unsent_tokens = self._unsent_tokens, []
+        self._set_stream_headers()
+        first_step = tokens[0].step
         event = {
-            "first_step": first,
+            "first_step": first_step,
             "token_ids": [token.token_id for token in tokens],
             "text": "".join(token.text for token in tokens),
         }
@@ -229,7 +231,7 @@
         except StreamClosedError:
             return
 
-    def _start_stream(self) -> None:
+    def _set_stream_headers(self) -> None:
         # Headers wait for the first token, so that a request that is refused
         # before it gets a plain answer with its own status.
         if not self._headers_written:
@@ -247,14 +249,14 @@
 class ServiceHandler(_CallerHandler):
     """``/v1/services/<name>/<path>``, any method."""
 
-    async def _pass_on(self, name: str, path: str) -> None:
+    async def _forward_call(self, name: str, path: str) -> None:
         """Pass a call on, whatever its method."""
         body = self.take_body()
         if self.request.query:
             path = f"{path}?{self.request.query}"
         services = self.services
         try:
-            parsed = services.parser.service(
+            parsed = services.parser.parse_service(
                 services.configuration(),
                 name,
                 self.request.method or "",
@@ -269,7 +271,7 @@
         self.set_header(REQUEST_ID_HEADER, parsed.request.request_id)
         self.reply(await services.dispatcher.call(parsed))
 
-    get = head = post = put = patch = delete = _pass_on
+    get = head = post = put = patch = delete = _forward_call
 
 
 class NotFoundHandler(_CallerHandler):
@@ -285,5 +287,5 @@
         )
 
 
-def _ignore(token: Token) -> None:
+def _ignore_token(token: Token) -> None:
     """Tokens of a plain answer are gathered by the dispatcher."""
--- a/src/railfold/_internal/entry/calls.py
+++ b/src/railfold/_internal/entry/calls.py
@@ -66,7 +66,7 @@
         request_id = self._request.request_id
         self._context.agents.register(request_id, self)
         self._context.budget.earn(self._loop.time())
-        deadline = self._loop.call_at(
+        deadline_timer = self._loop.call_at(
             self._request.deadline_s, self._feed, CallDeadlinePassed()
         )
         try:
@@ -74,7 +74,7 @@
             outcome = await self._outcome
             return CallReply(outcome, self._answer, self._lifecycle.host)
         finally:
-            deadline.cancel()
+            deadline_timer.cancel()
             self._context.agents.unregister(request_id)
             self._count_own(-1)
 
@@ -83,7 +83,7 @@
         if self._lifecycle.host in hosts:
             self._feed(CallHostLost(self._lifecycle.host))
 
-    def message(self, host: str, message: RequestMessage) -> None:
+    def message_received(self, host: str, message: RequestMessage) -> None:
         """Take an agent's message about this call."""
         match message:
             case CallResult():
@@ -102,14 +102,14 @@
         for action in actions:
             match action:
                 case ChooseHost():
-                    self._choose(action)
+                    self._choose_host(action)
                 case SendCall():
                     self._send()
                 case FinishCall(outcome=outcome):
                     if not self._outcome.done():
                         self._outcome.set_result(outcome)
 
-    def _choose(self, action: ChooseHost) -> None:
+    def _choose_host(self, action: ChooseHost) -> None:
         context = self._context
         retry_after_s = client_retry_after_s(NoCapacity(), context.rng.random())
         if action.is_retry:
--- a/src/railfold/_internal/entry/claims.py
+++ b/src/railfold/_internal/entry/claims.py
@@ -22,13 +22,13 @@
 from railfold._internal.store.follower import SettlingAppender
 from railfold._internal.store.records import LogRecord
 
-__all__ = ["ClaimKeeper"]
+__all__ = ["ClaimManager"]
 
 _MAX_KEPT_ANSWER_BYTES = 16 * 1024
 _MAX_ABANDONED = 10_000
 
 
-class ClaimKeeper:
+class ClaimManager:
     """Reads the claims stream and writes this entry's claims to it."""
 
     def __init__(
@@ -43,7 +43,7 @@
         self._appender = appender
         self._metrics = metrics
         self._abandoned: dict[str, ClaimKey] = {}
-        self.current = False
+        self.caught_up_once = False
 
     # Reading the stream.
 
@@ -69,7 +69,7 @@
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
         """The ledger is as new as the log."""
-        self.current = True
+        self.caught_up_once = True
 
     def expired(self, first_offset: int) -> int:
         """Go on after records that were lost to retention."""
@@ -78,7 +78,7 @@
 
     # Claims of this entry's requests.
 
-    def standing(self, key: ClaimKey) -> Claim | None:
+    def current_claim(self, key: ClaimKey) -> Claim | None:
         """Return the standing claim of ``key`` as far as this entry has read."""
         return self._ledger.get(key)
 
@@ -112,9 +112,9 @@
         answer: bytes,
     ) -> None:
         """Record the request's outcome for later callers with the same key."""
-        kept = answer if len(answer) <= _MAX_KEPT_ANSWER_BYTES else b""
+        kept_answer = answer if len(answer) <= _MAX_KEPT_ANSWER_BYTES else b""
         self._append_later(
-            CompletionWrite(key, request_id, outcome, status, content_type, kept)
+            CompletionWrite(key, request_id, outcome, status, content_type, kept_answer)
         )
 
     async def _append(self, record: ClaimRecord, timeout_s: float) -> None:
--- a/src/railfold/_internal/entry/configuration.py
+++ b/src/railfold/_internal/entry/configuration.py
@@ -19,12 +19,12 @@
 from railfold._internal.store.log import LogClient
 from railfold._internal.store.records import LogRecord
 
-__all__ = ["ConfigurationKeeper"]
+__all__ = ["ConfigurationDistributor"]
 
-_POLL_S = 1.0
+_CHECKPOINT_POLL_S = 1.0
 
 
-class ConfigurationKeeper:
+class ConfigurationDistributor:
     """Folds the configuration stream, passes it on, and writes checkpoints.
 
     :param broadcast: sends a message to every linked agent.
@@ -93,7 +93,7 @@
         ready.set()
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(_POLL_S)
+            await asyncio.sleep(_CHECKPOINT_POLL_S)
             if not self._schedule.due(loop.time()):
                 continue
             await asyncio.sleep(self._rng.uniform(0.0, self._max_delay_s))
--- a/src/railfold/_internal/entry/dispatch.py
+++ b/src/railfold/_internal/entry/dispatch.py
@@ -34,7 +34,7 @@
     refused_reply,
 )
 from railfold._internal.entry.calls import CallDriver
-from railfold._internal.entry.claims import ClaimKeeper
+from railfold._internal.entry.claims import ClaimManager
 from railfold._internal.entry.generate import GenerateDriver, RoutingContext
 from railfold._internal.entry.parsing import (
     ParsedGenerate,
@@ -51,9 +51,9 @@
 __all__ = ["Dispatcher"]
 
 _CLAIM_TIMEOUT_S = 5.0
-_DUPLICATE_RETRY_S = 1.0
+_RETRY_AFTER_S = 1.0
 
-Run = Callable[[], Awaitable["_Result"]]
+RunRequest = Callable[[], Awaitable["_Result"]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -70,14 +70,14 @@
         entry: str,
         context: RoutingContext,
         admission: Admission,
-        claims: ClaimKeeper,
-        log_answers: Callable[[], bool],
+        claims: ClaimManager,
+        claims_readable: Callable[[], bool],
     ) -> None:
         self._entry = entry
         self._context = context
         self._admission = admission
         self._claims = claims
-        self._log_answers = log_answers
+        self._claims_readable = claims_readable
 
     async def generate(
         self,
@@ -94,12 +94,14 @@
         request = parsed.request
         tokens: list[Token] = []
 
-        def take(token: Token) -> None:
+        def collect_token(token: Token) -> None:
             tokens.append(token)
             on_token(token)
 
         async def run() -> _Result:
-            driver = GenerateDriver(request, parsed.pipeline, self._context, take)
+            driver = GenerateDriver(
+                request, parsed.pipeline, self._context, collect_token
+            )
             on_driver(driver)
             outcome = await driver.run()
             if not isinstance(outcome, Answered):
@@ -111,7 +113,7 @@
 
         digest = fingerprint("generate", request.pipeline, body)
         cost = float(request.max_tokens)
-        return await self._run(
+        return await self._admit_and_run(
             request, parsed.workspace, parsed.pipeline, cost, digest, run
         )
 
@@ -137,18 +139,18 @@
 
         target = f"{request.method} {request.service}/{request.path}"
         digest = fingerprint("service", target, request.body)
-        return await self._run(
+        return await self._admit_and_run(
             request, parsed.workspace, parsed.service, 1.0, digest, run
         )
 
-    async def _run(
+    async def _admit_and_run(
         self,
         request: GenerateRequest | ServiceRequest,
         workspace: Workspace,
         target: Target,
         cost: float,
         digest: str,
-        run: Run,
+        run: RunRequest,
     ) -> Reply:
         loop = asyncio.get_running_loop()
         started_s = loop.time()
@@ -159,9 +161,9 @@
                 priority=request.priority,
                 cost=cost,
                 deadline_s=request.deadline_s,
-                entries=self._context.agents.entries,
+                entry_count=self._context.agents.entry_count,
             ):
-                reply = await self._run_admitted(request, digest, run)
+                reply = await self._run_with_claim(request, digest, run)
         except AdmissionRefusedError as refusal:
             reply = refused_reply(
                 request.request_id, refusal.error, refusal.retry_after_s
@@ -171,16 +173,16 @@
         metrics.timing("request", loop.time() - started_s)
         return reply
 
-    async def _run_admitted(
-        self, request: GenerateRequest | ServiceRequest, digest: str, run: Run
+    async def _run_with_claim(
+        self, request: GenerateRequest | ServiceRequest, digest: str, run: RunRequest
     ) -> Reply:
         if request.repeatable or not request.idempotency_key:
             return (await run()).reply
         key = ClaimKey(request.workspace, request.idempotency_key)
         write = ClaimWrite(key, request.request_id, self._entry, digest)
-        earlier = await self._claim(write, request.deadline_s)
-        if earlier is not None:
-            return earlier
+        earlier_reply = await self._claim(write, request.deadline_s)
+        if earlier_reply is not None:
+            return earlier_reply
         result = await run()
         if isinstance(result.outcome, NotRun):
             self._claims.release(key, request.request_id)
@@ -197,13 +199,15 @@
 
     async def _claim(self, write: ClaimWrite, deadline_s: float) -> Reply | None:
         """Return None if the claim was won, else what to answer."""
-        left_s = deadline_s - asyncio.get_running_loop().time()
+        remaining_s = deadline_s - asyncio.get_running_loop().time()
         try:
-            if not self._log_answers():
+            if not self._claims_readable():
                 raise LogUnavailableError("the platform's log doesn't answer")
-            verdict = await self._claims.claim(write, min(_CLAIM_TIMEOUT_S, left_s))
+            verdict = await self._claims.claim(
+                write, min(_CLAIM_TIMEOUT_S, remaining_s)
+            )
         except LogUnavailableError as error:
-            return self._claim_unsettled(write, error)
+            return self._unsettled_claim_reply(write, error)
         match verdict:
             case ClaimVerdict.WON:
                 return None
@@ -216,9 +220,11 @@
                 return refused_reply(write.request_id, misuse, None)
             case ClaimVerdict.LOST:
                 self._context.metrics.count("claims.duplicates")
-                return self._earlier_reply(write, self._claims.standing(write.key))
+                return self._earlier_reply(write, self._claims.current_claim(write.key))
 
-    def _claim_unsettled(self, write: ClaimWrite, error: LogUnavailableError) -> Reply:
+    def _unsettled_claim_reply(
+        self, write: ClaimWrite, error: LogUnavailableError
+    ) -> Reply:
         # This request wasn't sent, but an earlier one with the same key may
         # have run; without the log that can't be told, so it isn't "not run".
         self._context.metrics.count("claims.unsettled")
@@ -227,25 +233,29 @@
             why=error.what,
             hint="send it again with the same key after Retry-After",
         )
-        delay_s = _DUPLICATE_RETRY_S * (1.0 + self._context.rng.random())
+        delay_s = _RETRY_AFTER_S * (1.0 + self._context.rng.random())
         return error_reply(write.request_id, Unknown(unsettled, round(delay_s, 2)))
 
     def _earlier_reply(self, write: ClaimWrite, claim: Claim | None) -> Reply:
         if claim is not None and claim.state is ClaimState.COMPLETED:
-            done = claim.completion
-            if done is not None and done.answer:
-                headers = {REPLAYED_HEADER: "true", OUTCOME_HEADER: done.outcome}
+            completion = claim.completion
+            if completion is not None and completion.answer:
+                headers = {REPLAYED_HEADER: "true", OUTCOME_HEADER: completion.outcome}
                 return Reply(
-                    done.status, done.outcome, done.answer, done.content_type, headers
+                    completion.status,
+                    completion.outcome,
+                    completion.answer,
+                    completion.content_type,
+                    headers,
                 )
             too_large = DuplicateKeyError(
                 "an earlier request with this key has ended; its answer isn't kept",
                 why="the answer was empty or too large to keep",
             )
             return error_reply(write.request_id, Unknown(too_large))
-        under_way = DuplicateKeyError(
+        in_progress = DuplicateKeyError(
             "an earlier request with this key is under way, or its entry died",
             why="its outcome isn't recorded",
             hint="ask again with the same key after Retry-After",
         )
-        return error_reply(write.request_id, Unknown(under_way, _DUPLICATE_RETRY_S))
+        return error_reply(write.request_id, Unknown(in_progress, _RETRY_AFTER_S))
--- a/src/railfold/_internal/entry/generate.py
+++ b/src/railfold/_internal/entry/generate.py
@@ -92,15 +92,15 @@
         self._lifecycle = RequestLifecycle(
             request, pipeline.layer_count, context.lifecycle_limits
         )
-        self._overdue = OverdueTimer(
+        self._overdue_timer = OverdueTimer(
             factor=context.overdue_factor,
             floor_s=context.overdue_floor_s,
             first_token_s=context.first_token_overdue_s,
         )
         self._loop = asyncio.get_running_loop()
         self._outcome: asyncio.Future[Outcome] = self._loop.create_future()
-        self._timer: asyncio.TimerHandle | None = None
-        self._probe: asyncio.Task[None] | None = None
+        self._overdue_check: asyncio.TimerHandle | None = None
+        self._probe_task: asyncio.Task[None] | None = None
 
     @property
     def chain(self) -> Chain:
@@ -117,20 +117,20 @@
         request_id = self._request.request_id
         self._context.agents.register(request_id, self)
         self._context.budget.earn(self._loop.time())
-        deadline = self._loop.call_at(
+        deadline_timer = self._loop.call_at(
             self._request.deadline_s, self._feed, DeadlinePassed()
         )
         try:
             self._perform(self._lifecycle.start())
             return await self._outcome
         finally:
-            deadline.cancel()
-            if self._timer is not None:
-                self._timer.cancel()
+            deadline_timer.cancel()
+            if self._overdue_check is not None:
+                self._overdue_check.cancel()
             self._context.agents.unregister(request_id)
             self._count_own(-1)
 
-    def caller_gone(self) -> None:
+    def caller_disconnected(self) -> None:
         """The caller closed its connection."""
         self._feed(CallerDisconnected())
 
@@ -138,18 +138,18 @@
         """These hosts' work in flight is lost."""
         self._feed(HostsLost(hosts))
 
-    def message(self, host: str, message: RequestMessage) -> None:
+    def message_received(self, host: str, message: RequestMessage) -> None:
         """Take an agent's message about this request."""
         match message:
             case EmittedToken(attempt=attempt, token=token, lineage=lineage):
                 is_newest = attempt == self._lifecycle.attempt
-                if is_newest and self._overdue.token(self._loop.time()):
-                    self._arm()
+                if is_newest and self._overdue_timer.token(self._loop.time()):
+                    self._schedule_overdue_check()
                 self._feed(TokenArrived(attempt, token, lineage))
             case SequenceRefused(attempt=attempt, reason=reason):
                 self._feed(StageRefused(attempt, host, reason))
-            case SequenceFailed(attempt=attempt, host=failed, reason=reason):
-                self._feed(StageFailed(attempt, failed, reason))
+            case SequenceFailed(attempt=attempt, host=failed_host, reason=reason):
+                self._feed(StageFailed(attempt, failed_host, reason))
             case TombstoneReply(attempt=attempt, started=started):
                 self._feed(TombstoneReplied(attempt, host, started))
             case _:
@@ -162,22 +162,22 @@
         for action in actions:
             match action:
                 case PlanChain():
-                    self._plan(action)
+                    self._plan_chain(action)
                 case OpenAttempt():
-                    self._open(action)
+                    self._open_attempt(action)
                 case CancelAttempt(attempt=attempt, chain=chain):
                     cancel = CancelSequence(self._request.request_id, attempt)
                     for stage in chain.stages:
                         self._context.agents.send(stage, cancel)
                 case ProbeStages(chain=chain):
-                    self._probe = asyncio.create_task(self._probe_stages(chain))
+                    self._probe_task = asyncio.create_task(self._probe_stages(chain))
                 case EmitToken(token=token):
                     self._on_token(token)
                 case Finish(outcome=outcome):
                     if not self._outcome.done():
                         self._outcome.set_result(outcome)
 
-    def _plan(self, action: PlanChain) -> None:
+    def _plan_chain(self, action: PlanChain) -> None:
         context = self._context
         retry_after_s = client_retry_after_s(NoCapacity(), context.rng.random())
         if action.is_retry:
@@ -211,7 +211,7 @@
             return
         self._feed(ChainPlanned(chain))
 
-    def _open(self, action: OpenAttempt) -> None:
+    def _open_attempt(self, action: OpenAttempt) -> None:
         agents = self._context.agents
         now_s = self._loop.time()
         self._count_own(1)
@@ -233,27 +233,29 @@
             )
             if not agents.send(stage, message):
                 unreachable.add(stage.host)
-        self._overdue.opened(now_s)
-        self._arm()
+        self._overdue_timer.opened(now_s)
+        self._schedule_overdue_check()
         if unreachable:
             self._feed(HostsLost(frozenset(unreachable)))
 
     def _count_own(self, change: int) -> None:
         self._context.agents.view.count_own(self.chain.stages, change)
 
-    def _arm(self) -> None:
-        if self._timer is not None:
-            self._timer.cancel()
-        self._timer = self._loop.call_at(self._overdue.due_s(), self._check_overdue)
+    def _schedule_overdue_check(self) -> None:
+        if self._overdue_check is not None:
+            self._overdue_check.cancel()
+        self._overdue_check = self._loop.call_at(
+            self._overdue_timer.due_s(), self._check_overdue
+        )
 
     def _check_overdue(self) -> None:
         if self._lifecycle.done:
             return
-        if self._loop.time() >= self._overdue.due_s():
+        if self._loop.time() >= self._overdue_timer.due_s():
             self._context.metrics.count("generate.tokens_overdue")
-            self._overdue.probed(self._loop.time())
+            self._overdue_timer.probed(self._loop.time())
             self._feed(TokenOverdue())
-        self._arm()
+        self._schedule_overdue_check()
 
     async def _probe_stages(self, chain: Chain) -> None:
         # Hosts found dead are reported to all drivers, this one included.
--- a/src/railfold/_internal/entry/parsing.py
+++ b/src/railfold/_internal/entry/parsing.py
@@ -44,8 +44,8 @@
 REPEATABLE_HEADER = "Railfold-Repeatable"
 IDEMPOTENCY_HEADER = "Idempotency-Key"
 
-_BEARER = "Bearer "
-_MAX_KEY_LENGTH = 255
+_BEARER_PREFIX = "Bearer "
+_MAX_IDEMPOTENCY_KEY_LENGTH = 255
 _MAX_PRIORITY = 9
 _SAFE_METHODS = ("GET", "HEAD")
 
@@ -78,7 +78,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Common:
+class _CommonFields:
     workspace: Workspace
     deadline_s: float
     priority: int
@@ -92,7 +92,7 @@
     def __init__(self, limits: CallerLimits) -> None:
         self._limits = limits
 
-    def generate(
+    def parse_generate(
         self,
         configuration: Configuration,
         name: str,
@@ -104,32 +104,32 @@
 
         :raises RequestError: it is refused; says what, why and the hint.
         """
-        common = self._common(configuration, headers, now_s, repeatable=True)
+        common = self._parse_common(configuration, headers, now_s, repeatable=True)
         pipeline = configuration.pipelines.get(name)
         if pipeline is None or name not in common.workspace.pipelines:
-            raise _unknown("pipeline", name)
-        fields = _generate_body(body)
+            raise _unknown_target("pipeline", name)
+        fields = _parse_generate_body(body)
         if fields.max_tokens > self._limits.max_tokens:
             raise InvalidRequestError(
                 f"max_tokens is {fields.max_tokens}",
                 why=f"the limit is {self._limits.max_tokens}",
                 hint="ask for fewer tokens",
             )
-        decision = _decide(common, "generate", name, fields.max_tokens)
+        decision = _evaluate_policy(common, "generate", name, fields.max_tokens)
         request = GenerateRequest(
             request_id=uuid.uuid4().hex,
             workspace=common.workspace.name,
             pipeline=name,
             prompt=fields.prompt,
-            max_tokens=_least(fields.max_tokens, decision.max_tokens),
+            max_tokens=_effective_max_tokens(fields.max_tokens, decision.max_tokens),
             deadline_s=common.deadline_s,
-            priority=_priority(common, decision),
+            priority=_effective_priority(common, decision),
             repeatable=common.repeatable,
             idempotency_key=common.idempotency_key,
         )
         return ParsedGenerate(request, common.workspace, pipeline, fields.stream)
 
-    def service(
+    def parse_service(
         self,
         configuration: Configuration,
         name: str,
@@ -143,12 +143,12 @@
 
         :raises RequestError: it is refused; says what, why and the hint.
         """
-        safe = method in _SAFE_METHODS
-        common = self._common(configuration, headers, now_s, repeatable=safe)
+        is_safe = method in _SAFE_METHODS
+        common = self._parse_common(configuration, headers, now_s, repeatable=is_safe)
         service = configuration.services.get(name)
         if service is None or name not in common.workspace.services:
-            raise _unknown("service", name)
-        decision = _decide(common, "service", name, 0)
+            raise _unknown_target("service", name)
+        decision = _evaluate_policy(common, "service", name, 0)
         request = ServiceRequest(
             request_id=uuid.uuid4().hex,
             workspace=common.workspace.name,
@@ -158,39 +158,39 @@
             body=body,
             content_type=headers.get("Content-Type", ""),
             deadline_s=common.deadline_s,
-            priority=_priority(common, decision),
+            priority=_effective_priority(common, decision),
             repeatable=common.repeatable,
             idempotency_key=common.idempotency_key,
         )
         return ParsedService(request, common.workspace, service)
 
-    def _common(
+    def _parse_common(
         self,
         configuration: Configuration,
         headers: HTTPHeaders,
         now_s: float,
         *,
         repeatable: bool,
-    ) -> _Common:
+    ) -> _CommonFields:
         workspace = _authorize(configuration, headers)
         key = headers.get(IDEMPOTENCY_HEADER, "")
-        if len(key) > _MAX_KEY_LENGTH:
+        if len(key) > _MAX_IDEMPOTENCY_KEY_LENGTH:
             raise InvalidRequestError(
                 f"{IDEMPOTENCY_HEADER} is {len(key)} characters long",
-                why=f"the limit is {_MAX_KEY_LENGTH}",
+                why=f"the limit is {_MAX_IDEMPOTENCY_KEY_LENGTH}",
             )
-        return _Common(
+        return _CommonFields(
             workspace=workspace,
-            deadline_s=now_s + self._deadline(headers),
-            priority=_integer(headers, PRIORITY_HEADER, 0, 0, _MAX_PRIORITY),
-            repeatable=_boolean(headers, REPEATABLE_HEADER, repeatable),
+            deadline_s=now_s + self._parse_time_left_s(headers),
+            priority=_parse_integer(headers, PRIORITY_HEADER, 0, 0, _MAX_PRIORITY),
+            repeatable=_parse_boolean(headers, REPEATABLE_HEADER, repeatable),
             idempotency_key=key,
         )
 
-    def _deadline(self, headers: HTTPHeaders) -> float:
+    def _parse_time_left_s(self, headers: HTTPHeaders) -> float:
         default_ms = int(self._limits.default_deadline_s * 1000)
         limit_ms = int(self._limits.max_deadline_s * 1000)
-        deadline_ms = _integer(
+        deadline_ms = _parse_integer(
             headers, DEADLINE_HEADER, default_ms, -limit_ms, limit_ms
         )
         if deadline_ms <= 0:
@@ -214,11 +214,15 @@
 def _authorize(configuration: Configuration, headers: HTTPHeaders) -> Workspace:
     name = headers.get(WORKSPACE_HEADER, "")
     authorization = headers.get("Authorization", "")
-    credential = authorization.removeprefix(_BEARER)
+    credential = authorization.removeprefix(_BEARER_PREFIX)
     digest = hashlib.sha256(credential.encode()).hexdigest()
     workspace = configuration.workspaces.get(name)
-    known = workspace is not None and digest in workspace.credentials_sha256
-    if workspace is None or not known or not authorization.startswith(_BEARER):
+    authorized = workspace is not None and digest in workspace.credentials_sha256
+    if (
+        workspace is None
+        or not authorized
+        or not authorization.startswith(_BEARER_PREFIX)
+    ):
         # The same words for both cases: names of workspaces aren't given away.
         raise UnauthorizedError(
             "the workspace is unknown or the credential is wrong",
@@ -227,29 +231,31 @@
     return workspace
 
 
-def _unknown(kind: str, name: str) -> UnknownTargetError:
+def _unknown_target(kind: str, name: str) -> UnknownTargetError:
     return UnknownTargetError(
         f"there is no {kind} {name} for this workspace",
         hint="check the name; operators: see 'railfold show'",
     )
 
 
-def _generate_body(body: bytes) -> _GenerateBody:
+def _parse_generate_body(body: bytes) -> _GenerateBody:
     try:
         return _GenerateBody.model_validate_json(body)
     except ValidationError as error:
-        faults = [
-            f"{'.'.join(str(p) for p in fault['loc']) or 'body'}: {fault['msg']}"
-            for fault in error.errors()
+        problems = [
+            f"{'.'.join(str(p) for p in problem['loc']) or 'body'}: {problem['msg']}"
+            for problem in error.errors()
         ]
         raise InvalidRequestError(
             "the request's body is invalid",
-            why="; ".join(faults),
+            why="; ".join(problems),
             hint='send JSON like {"prompt": "...", "max_tokens": 64}',
         ) from error
 
 
-def _decide(common: _Common, kind: str, target: str, max_tokens: int) -> PolicyDecision:
+def _evaluate_policy(
+    common: _CommonFields, kind: str, target: str, max_tokens: int
+) -> PolicyDecision:
     policy = common.workspace.policy
     if policy is None:
         return PolicyDecision()
@@ -271,17 +277,17 @@
     return decision
 
 
-def _priority(common: _Common, decision: PolicyDecision) -> int:
+def _effective_priority(common: _CommonFields, decision: PolicyDecision) -> int:
     if decision.priority is None:
         return common.priority
     return max(0, min(_MAX_PRIORITY, decision.priority))
 
 
-def _least(asked: int, allowed: int | None) -> int:
-    return asked if allowed is None else max(1, min(asked, allowed))
+def _effective_max_tokens(requested: int, allowed: int | None) -> int:
+    return requested if allowed is None else max(1, min(requested, allowed))
 
 
-def _integer(
+def _parse_integer(
     headers: HTTPHeaders, name: str, default: int, lowest: int, highest: int
 ) -> int:
     text = headers.get(name)
@@ -300,7 +306,7 @@
     return value
 
 
-def _boolean(headers: HTTPHeaders, name: str, default: bool) -> bool:
+def _parse_boolean(headers: HTTPHeaders, name: str, default: bool) -> bool:
     text = headers.get(name)
     if text is None:
         return default
--- a/src/railfold/_internal/entry/probes.py
+++ b/src/railfold/_internal/entry/probes.py
@@ -19,7 +19,7 @@
 # How many probe time-outs an agent is given while no other agent answers either.
 # With the default time-out of 0.2 s that is 0.8 s: 2 MB at 20 Mbit/s, the link of a
 # small entry, which is three times a configuration with 3,050 routes (570 KB).
-_TIMEOUTS_WITHOUT_PROOF = 4
+_TIMEOUTS_IF_ALL_SILENT = 4
 
 
 class ProbeResult(Enum):
@@ -31,9 +31,9 @@
 
 
 @dataclass(slots=True)
-class _Asked:
+class _PendingProbe:
     answer: asyncio.Future[bool]
-    other_answered: asyncio.Future[None]
+    later_probe_answered: asyncio.Future[None]
 
 
 class AgentProber:
@@ -48,41 +48,44 @@
     """
 
     def __init__(
-        self, timeout_s: float, metrics: Metrics, message: Callable[[int], Probe]
+        self, timeout_s: float, metrics: Metrics, make_probe: Callable[[int], Probe]
     ) -> None:
         self._timeout_s = timeout_s
         self._metrics = metrics
-        self._message = message
+        self._make_probe = make_probe
         self._nonces = itertools.count(1)
-        self._asked: dict[int, _Asked] = {}
+        self._pending: dict[int, _PendingProbe] = {}
 
-    async def ask(self, link: Link) -> ProbeResult:
+    async def probe(self, link: Link) -> ProbeResult:
         """Send a probe and return what came of it."""
         loop = asyncio.get_running_loop()
         nonce = next(self._nonces)
-        asked = _Asked(loop.create_future(), loop.create_future())
-        self._asked[nonce] = asked
-        link.send(self._message(nonce))
+        pending = _PendingProbe(loop.create_future(), loop.create_future())
+        self._pending[nonce] = pending
+        link.send(self._make_probe(nonce))
         self._metrics.count("probes")
-        signs: set[asyncio.Future[Any]] = {asked.answer, asked.other_answered}
+        futures: set[asyncio.Future[Any]] = {
+            pending.answer,
+            pending.later_probe_answered,
+        }
         try:
             await asyncio.wait(
-                signs,
-                timeout=_TIMEOUTS_WITHOUT_PROOF * self._timeout_s,
+                futures,
+                timeout=_TIMEOUTS_IF_ALL_SILENT * self._timeout_s,
                 return_when=asyncio.FIRST_COMPLETED,
             )
-            stalled = await answer_within(asked.answer, self._timeout_s)
+            stalled = await answer_within(pending.answer, self._timeout_s)
         except TimeoutError:
             return ProbeResult.SILENT
         finally:
-            del self._asked[nonce]
+            del self._pending[nonce]
         return ProbeResult.STALLED if stalled else ProbeResult.ALIVE
 
-    def answered(self, nonce: int, *, stalled: bool) -> None:
+    def answer_received(self, nonce: int, *, stalled: bool) -> None:
         """Take an agent's answer."""
-        asked = self._asked.get(nonce)
-        if asked is not None and not asked.answer.done():
-            asked.answer.set_result(stalled)
-        for earlier, other in self._asked.items():
-            if earlier < nonce and not other.other_answered.done():
-                other.other_answered.set_result(None)
+        pending = self._pending.get(nonce)
+        if pending is not None and not pending.answer.done():
+            pending.answer.set_result(stalled)
+        for pending_nonce, pending_probe in self._pending.items():
+            if pending_nonce < nonce and not pending_probe.later_probe_answered.done():
+                pending_probe.later_probe_answered.set_result(None)
--- a/src/railfold/_internal/entry/process.py
+++ b/src/railfold/_internal/entry/process.py
@@ -28,8 +28,8 @@
     NotFoundHandler,
     ServiceHandler,
 )
-from railfold._internal.entry.claims import ClaimKeeper
-from railfold._internal.entry.configuration import ConfigurationKeeper
+from railfold._internal.entry.claims import ClaimManager
+from railfold._internal.entry.configuration import ConfigurationDistributor
 from railfold._internal.entry.dispatch import Dispatcher
 from railfold._internal.entry.explain import (
     ExplainHandler,
@@ -63,7 +63,7 @@
 
 __all__ = ["Entry", "run_entry"]
 
-_REFRESH_S = 0.25
+_CAPACITY_REFRESH_S = 0.25
 _CHECKPOINT_MAX_AGE_S = 6 * 3600.0
 _HEADER_LIMIT_FACTOR = 16
 
@@ -84,7 +84,9 @@
             new_single_use_client(),
             settings.platform.request_timeout_s,
         )
-        self._replica = ConfigurationReplica(self.metrics, self._on_configuration)
+        self._replica = ConfigurationReplica(
+            self.metrics, self._on_configuration_change
+        )
         self._agents = self._make_agents()
         self._admission = self._make_admission()
         self._configuration = self._make_configuration()
@@ -95,7 +97,7 @@
             settings.platform.claim_linger_s,
         )
         ledger = ClaimLedger(settings.platform.claim_validity_s)
-        self._claims = ClaimKeeper(settings.name, ledger, self._appender, self.metrics)
+        self._claims = ClaimManager(settings.name, ledger, self._appender, self.metrics)
         self._claims_follower = StreamFollower(
             self._log,
             settings.platform.claims_stream,
@@ -132,7 +134,7 @@
             pace,
             settings.routing.probe_timeout_s,
             self.metrics,
-            self._on_capacity,
+            self._on_capacity_change,
         )
 
     def _make_admission(self) -> Admission:
@@ -140,9 +142,9 @@
         limits = AdmissionLimits(routing.max_waiting, routing.max_waiting_per_workspace)
         return Admission(limits, self._agents.view, self.metrics, self._rng)
 
-    def _make_configuration(self) -> ConfigurationKeeper:
+    def _make_configuration(self) -> ConfigurationDistributor:
         platform = self._settings.platform
-        return ConfigurationKeeper(
+        return ConfigurationDistributor(
             self._settings.name,
             self._replica,
             self._log,
@@ -187,30 +189,30 @@
             self.metrics,
             FollowerPace(platform.read_wait_s),
         )
-        hosts = HostListPoller(
+        host_list_poller = HostListPoller(
             platform.hosts_url,
             self._http,
-            self._agents.hosts_listed,
+            self._agents.host_list_received,
             self.metrics,
             platform.hosts_interval_s,
             platform.request_timeout_s,
         )
-        streams = Supervisor(
+        platform_supervisor = Supervisor(
             "platform",
             [
                 ChildSpec("configuration", configuration_follower.run),
                 ChildSpec("checkpoints", self._configuration.run_checkpoints),
                 ChildSpec("claims", self._claims_follower.run),
                 ChildSpec("claim-appender", self._appender.run),
-                ChildSpec("hosts", hosts.run),
+                ChildSpec("hosts", host_list_poller.run),
             ],
         )
         children = [
             ChildSpec("agents", self._agents.run),
-            ChildSpec("platform", streams.run),
-            ChildSpec("admission", self._run_refresh),
-            ChildSpec("operators", self._operators().run),
-            ChildSpec("callers", self._callers().run),
+            ChildSpec("platform", platform_supervisor.run),
+            ChildSpec("admission", self._run_capacity_refresh),
+            ChildSpec("operators", self._operator_server().run),
+            ChildSpec("callers", self._caller_server().run),
         ]
         statsd = self._settings.statsd
         if statsd is not None:
@@ -230,13 +232,13 @@
         await wait_until_idle(self._busy, drain.timeout_s)
 
     def _busy(self) -> bool:
-        waiting = any(queue.waiting for _, queue in self._admission.gates())
+        waiting = any(queue.waiting for _, queue in self._admission.queues())
         return bool(self._agents.in_flight or waiting)
 
     def status(self) -> dict[str, Any]:
         """Return what ``railfold status`` shows."""
         versions = self._agents.peer_versions()
-        sent, received = self._agents.control_bytes()
+        sent, received = self._agents.link_bytes()
         return {
             "role": "entry",
             "name": self._settings.name,
@@ -245,13 +247,13 @@
             "region": self._settings.region,
             "configuration_version": self._replica.version,
             "draining": self._draining,
-            "missing": self._missing(),
+            "missing": self._not_ready_reasons(),
             "in_flight": self._agents.in_flight,
             "link_bytes_sent": sent,
             "link_bytes_received": received,
             "admission": {
                 name: {"running": queue.running, "waiting": queue.waiting}
-                for name, queue in self._admission.gates()
+                for name, queue in self._admission.queues()
             },
             "agents": [
                 {
@@ -288,40 +290,40 @@
         return self._replica.configuration.to_state()
 
     def _claims_readable(self) -> bool:
-        return self._claims.current and self._claims_follower.reading
+        return self._claims.caught_up_once and self._claims_follower.reading
 
-    def _on_configuration(self) -> None:
+    def _on_configuration_change(self) -> None:
         # A changed pipeline or limit meets requests admitted from now on.
-        self._on_capacity()
+        self._on_capacity_change()
 
-    def _on_capacity(self) -> None:
-        self._admission.refresh(self._agents.entries)
+    def _on_capacity_change(self) -> None:
+        self._admission.refresh_capacity(self._agents.entry_count)
 
-    async def _run_refresh(self, ready: asyncio.Event) -> None:
+    async def _run_capacity_refresh(self, ready: asyncio.Event) -> None:
         ready.set()
         while True:
-            await asyncio.sleep(_REFRESH_S)
-            self._on_capacity()
+            await asyncio.sleep(_CAPACITY_REFRESH_S)
+            self._on_capacity_change()
             self.metrics.gauge("in_flight", self._agents.in_flight)
 
-    def _missing(self) -> list[str]:
-        missing = []
+    def _not_ready_reasons(self) -> list[str]:
+        reasons = []
         if not self._configuration.ready:
-            missing.append("no configuration yet")
+            reasons.append("no configuration yet")
         if self._draining:
-            missing.append("draining")
-        return missing
+            reasons.append("draining")
+        return reasons
 
-    def _refusing(self) -> list[str]:
+    def _refusal_reasons(self) -> list[str]:
         # While draining, a request that still comes is served: the balancer
         # may not have seen the probe fail yet.
         return [] if self._configuration.ready else ["no configuration yet"]
 
-    def _operators(self) -> HttpServerChild:
+    def _operator_server(self) -> HttpServerChild:
         application = Application(
             [
                 ("/healthz", HealthHandler),
-                ("/readyz", ReadyHandler, {"missing": self._missing}),
+                ("/readyz", ReadyHandler, {"missing": self._not_ready_reasons}),
                 ("/v1/status", JsonHandler, {"source": self.status}),
                 ("/v1/explain", ExplainHandler, {"explain": self.explain}),
                 ("/v1/audit", JsonHandler, {"source": self.audit}),
@@ -332,11 +334,11 @@
                 ),
                 ("/v1/drain", DrainHandler, {"drain": self.begin_drain}),
             ],
-            log_function=_nothing,
+            log_function=_ignore_log_call,
         )
         return HttpServerChild(application, self._settings.listen.operators)
 
-    def _callers(self) -> HttpServerChild:
+    def _caller_server(self) -> HttpServerChild:
         limits = self._settings.callers
         services = CallerServices(
             self._dispatcher,
@@ -344,19 +346,19 @@
             limits,
             self.metrics,
             lambda: self._replica.configuration,
-            self._refusing,
+            self._refusal_reasons,
         )
         arguments = {"services": services}
         application = Application(
             [
                 ("/healthz", HealthHandler),
-                ("/readyz", ReadyHandler, {"missing": self._missing}),
+                ("/readyz", ReadyHandler, {"missing": self._not_ready_reasons}),
                 (r"/v1/pipelines/([^/]+)/generate", GenerateHandler, arguments),
                 (r"/v1/services/([^/]+)/(.*)", ServiceHandler, arguments),
             ],
             default_handler_class=NotFoundHandler,
             default_handler_args=arguments,
-            log_function=_nothing,
+            log_function=_ignore_log_call,
         )
         return HttpServerChild(
             application,
@@ -374,5 +376,5 @@
     await run_process(entry.tree(), entry.drain)
 
 
-def _nothing(*_: object) -> None:
+def _ignore_log_call(*_: object) -> None:
     """Do nothing."""
--- a/tests/functional/conftest.py
+++ b/tests/functional/conftest.py
@@ -8,49 +8,49 @@
 
 from standins.cluster import THREE_STAGES, Cluster, EngineHost, get
 
-DOMAINS = ("hall-a", "hall-b", "depot-c")
+FAILURE_DOMAINS = ("hall-a", "hall-b", "depot-c")
 
 
-def two_of_each_stage(fixed_ms: float = 5.0) -> list[EngineHost]:
+def two_hosts_per_stage(fixed_ms: float = 5.0) -> list[EngineHost]:
     """Six hosts: two for each third of the layers, in different domains."""
     return [
         EngineHost(
-            f"meter-{stage}{copy}",
+            f"meter-{stage}{replica}",
             stage * 4,
             stage * 4 + 3,
-            DOMAINS[(stage + copy) % len(DOMAINS)],
+            FAILURE_DOMAINS[(stage + replica) % len(FAILURE_DOMAINS)],
             fixed_ms=fixed_ms,
         )
         for stage in range(3)
-        for copy in range(2)
+        for replica in range(2)
     ]
 
 
 @pytest.fixture
 def cluster() -> Iterator[Cluster]:
     """One entry and three agents, each with a third of the layers."""
-    with Cluster(THREE_STAGES, service_hosts=1) as running:
-        yield running
-        assert_engines_sound(running)
+    with Cluster(THREE_STAGES, service_hosts=1) as cluster:
+        yield cluster
+        assert_steps_ran_once_in_order(cluster)
 
 
 @pytest.fixture
-def spare_cluster() -> Iterator[Cluster]:
+def cluster_with_spares() -> Iterator[Cluster]:
     """One entry and six agents: each stage has a spare."""
-    with Cluster(two_of_each_stage()) as running:
-        yield running
-        assert_engines_sound(running)
+    with Cluster(two_hosts_per_stage()) as cluster:
+        yield cluster
+        assert_steps_ran_once_in_order(cluster)
 
 
 @pytest.fixture
-def two_entries() -> Iterator[Cluster]:
+def two_entry_cluster() -> Iterator[Cluster]:
     """Two entries, three stages, and two hosts with the plain service."""
-    with Cluster(THREE_STAGES, entries=2, service_hosts=2) as running:
-        yield running
-        assert_engines_sound(running)
+    with Cluster(THREE_STAGES, entries=2, service_hosts=2) as cluster:
+        yield cluster
+        assert_steps_ran_once_in_order(cluster)
 
 
-def assert_engines_sound(cluster: Cluster) -> None:
+def assert_steps_ran_once_in_order(cluster: Cluster) -> None:
     """Check that no engine was ever given a step twice or out of order."""
     for host in cluster.engines:
         process = cluster.processes[f"engine-{host.host}"]
--- a/tests/functional/test_bad_input.py
+++ b/tests/functional/test_bad_input.py
@@ -12,13 +12,13 @@
 from tests.lib.callers import Answer, generate, send
 
 HOST = EngineHost("meter-a1", 0, 11)
-LIMITS = {"callers": {"max_body_bytes": 4096, "body_timeout_s": 0.5}}
+ENTRY_OVERRIDES = {"callers": {"max_body_bytes": 4096, "body_timeout_s": 0.5}}
 
 
 @pytest.fixture(scope="module")
-def one_host() -> Iterator[Cluster]:
+def one_host_cluster() -> Iterator[Cluster]:
     """One entry and one agent whose engine must never be reached."""
-    with Cluster([HOST], entry_overrides=LIMITS) as cluster:
+    with Cluster([HOST], entry_overrides=ENTRY_OVERRIDES) as cluster:
         yield cluster
         assert get(f"{cluster.engine_url(HOST.host)}/v1/status")["started"] == 0
 
@@ -48,8 +48,8 @@
         {"prompt": "x", "unknown_field": 1},
     ],
 )
-def test_invalid_body(one_host: Cluster, body: object) -> None:
-    assert_refused(post_generate(one_host, body), 400, "invalid_request")
+def test_invalid_body_is_refused(one_host_cluster: Cluster, body: object) -> None:
+    assert_refused(post_generate(one_host_cluster, body), 400, "invalid_request")
 
 
 @pytest.mark.parametrize(
@@ -63,73 +63,83 @@
         {"Idempotency_Key": "k" * 300},
     ],
 )
-def test_invalid_header(one_host: Cluster, headers: dict[str, str]) -> None:
-    answer = post_generate(one_host, {"prompt": "x"}, **headers)
+def test_invalid_header_is_refused(
+    one_host_cluster: Cluster, headers: dict[str, str]
+) -> None:
+    answer = post_generate(one_host_cluster, {"prompt": "x"}, **headers)
     assert_refused(answer, 400, "invalid_request")
 
 
-def test_expired_deadline(one_host: Cluster) -> None:
-    answer = generate(one_host.callers_url(), "x", 4, Railfold_Deadline_Ms="0")
+def test_expired_deadline_is_refused(one_host_cluster: Cluster) -> None:
+    answer = generate(one_host_cluster.callers_url(), "x", 4, Railfold_Deadline_Ms="0")
     assert_refused(answer, 504, "deadline_expired")
 
 
-def test_wrong_credential_and_unknown_workspace_look_alike(one_host: Cluster) -> None:
-    wrong = generate(one_host.callers_url(), "x", 4, Authorization="Bearer guess")
-    unknown = post_generate(one_host, {"prompt": "x"}, workspace="nobody")
-    assert_refused(wrong, 401, "unauthorized")
-    assert_refused(unknown, 401, "unauthorized")
-    assert wrong.body["what"] == unknown.body["what"]
+def test_wrong_credential_and_unknown_workspace_get_the_same_error(
+    one_host_cluster: Cluster,
+) -> None:
+    wrong_credential = generate(
+        one_host_cluster.callers_url(), "x", 4, Authorization="Bearer guess"
+    )
+    unknown_workspace = post_generate(
+        one_host_cluster, {"prompt": "x"}, workspace="nobody"
+    )
+    assert_refused(wrong_credential, 401, "unauthorized")
+    assert_refused(unknown_workspace, 401, "unauthorized")
+    assert wrong_credential.body["what"] == unknown_workspace.body["what"]
 
 
-def test_unknown_pipeline_and_path(one_host: Cluster) -> None:
-    url = one_host.callers_url()
+def test_unknown_pipeline_and_path_are_refused(one_host_cluster: Cluster) -> None:
+    url = one_host_cluster.callers_url()
     answer = send(f"{url}/v1/pipelines/nothing/generate", {"prompt": "x"})
     assert_refused(answer, 404, "unknown_target")
     assert_refused(send(f"{url}/v2/anything", {}), 404, "unknown_target")
 
 
-def test_method_that_is_not_allowed(one_host: Cluster) -> None:
-    url = f"{one_host.callers_url()}/v1/pipelines/{PIPELINE}/generate"
+def test_wrong_method_is_refused(one_host_cluster: Cluster) -> None:
+    url = f"{one_host_cluster.callers_url()}/v1/pipelines/{PIPELINE}/generate"
     assert send(url, method="GET").status == 405
 
 
-def test_body_over_the_limit(one_host: Cluster) -> None:
-    answer = post_generate(one_host, {"prompt": "x" * 5000})
+def test_body_over_the_limit_is_refused(one_host_cluster: Cluster) -> None:
+    answer = post_generate(one_host_cluster, {"prompt": "x" * 5000})
     assert_refused(answer, 413, "body_too_large")
 
 
-def test_huge_headers(one_host: Cluster) -> None:
-    answer = post_generate(one_host, {"prompt": "x"}, X_Filler="y" * 20_000)
+def test_headers_over_the_limit_are_refused(one_host_cluster: Cluster) -> None:
+    answer = post_generate(one_host_cluster, {"prompt": "x"}, X_Filler="y" * 20_000)
     assert_refused(answer, 431, "headers_too_large")
 
 
-def exchange(cluster: Cluster, *parts: bytes) -> bytes:
+def send_raw(cluster: Cluster, *parts: bytes) -> bytes:
     """Send raw bytes and return all that comes until the end."""
     address = urlsplit(cluster.callers_url())
-    with socket.create_connection((address.hostname, address.port), 20.0) as raw:
+    with socket.create_connection((address.hostname, address.port), 20.0) as connection:
         for part in parts:
-            raw.sendall(part)
+            connection.sendall(part)
         received = b""
-        while chunk := raw.recv(65536):
+        while chunk := connection.recv(65536):
             received += chunk
     return received
 
 
-def request_head(*extra: str) -> bytes:
+def request_head(*extra_headers: str) -> bytes:
     lines = [f"POST /v1/pipelines/{PIPELINE}/generate HTTP/1.1", "Host: x"]
     lines += [f"{name}: {value}" for name, value in caller_headers().items()]
-    return "\r\n".join([*lines, *extra, "", ""]).encode()
+    return "\r\n".join([*lines, *extra_headers, "", ""]).encode()
 
 
-def test_slow_body(one_host: Cluster) -> None:
-    answer = exchange(one_host, request_head("Content-Length: 100"), b'{"prompt"')
+def test_slow_body_is_refused(one_host_cluster: Cluster) -> None:
+    answer = send_raw(
+        one_host_cluster, request_head("Content-Length: 100"), b'{"prompt"'
+    )
     assert b" 408 " in answer.splitlines()[0]
     assert b'"request_timeout"' in answer
 
 
-def test_chunked_body_over_the_limit(one_host: Cluster) -> None:
+def test_chunked_body_over_the_limit_is_refused(one_host_cluster: Cluster) -> None:
     chunk = b"1000\r\n" + b"x" * 4096 + b"\r\n"
     head = request_head("Transfer-Encoding: chunked")
-    answer = exchange(one_host, head, chunk, chunk)
+    answer = send_raw(one_host_cluster, head, chunk, chunk)
     assert b" 413 " in answer.splitlines()[0]
     assert b'"body_too_large"' in answer
--- a/tests/functional/test_outcomes.py
+++ b/tests/functional/test_outcomes.py
@@ -26,7 +26,7 @@
     )
 
 
-def slow_services(cluster: Cluster) -> None:
+def delay_services(cluster: Cluster) -> None:
     """Make each call of the plain service take a while."""
     for index in range(cluster.service_hosts):
         url = cluster.service_url(f"records-{index}")
@@ -39,12 +39,12 @@
     def __init__(self, url: str, slip: str, **headers: str) -> None:
         super().__init__(daemon=True)
         self.answer: Answer | None = None
-        self._arguments = (url, slip, headers)
+        self._call_arguments = (url, slip, headers)
         self.start()
 
     def run(self) -> None:
         """Send the call."""
-        url, slip, headers = self._arguments
+        url, slip, headers = self._call_arguments
         self.answer = log_slip(url, slip, **headers)
 
     def result(self) -> Answer:
@@ -54,115 +54,136 @@
         return self.answer
 
 
-def test_slip_is_logged_once(two_entries: Cluster) -> None:
-    answer = log_slip(two_entries.callers_url(), "slip-1")
+def test_slip_is_logged_once(two_entry_cluster: Cluster) -> None:
+    answer = log_slip(two_entry_cluster.callers_url(), "slip-1")
     assert (answer.status, answer.outcome) == (201, "answered")
-    assert slips_logged(two_entries, "slip-1") == 1
+    assert slips_logged(two_entry_cluster, "slip-1") == 1
 
 
-def test_same_key_through_two_entries_runs_once(two_entries: Cluster) -> None:
-    slow_services(two_entries)
+def test_calls_with_one_key_at_two_entries_run_once(two_entry_cluster: Cluster) -> None:
+    delay_services(two_entry_cluster)
     calls = [
-        BackgroundCall(two_entries.callers_url(i % 2), "slip-2", Idempotency_Key="k2")
-        for i in range(6)
+        BackgroundCall(
+            two_entry_cluster.callers_url(index % 2), "slip-2", Idempotency_Key="k2"
+        )
+        for index in range(6)
     ]
     outcomes = sorted(call.result().outcome for call in calls)
-    assert slips_logged(two_entries, "slip-2") == 1
+    assert slips_logged(two_entry_cluster, "slip-2") == 1
     assert "answered" in outcomes
     assert "not_run" not in outcomes
 
 
-def test_repeated_key_gets_the_first_answer(two_entries: Cluster) -> None:
-    first = log_slip(two_entries.callers_url(0), "slip-3", Idempotency_Key="k3")
+def test_repeated_key_gets_the_first_answer(two_entry_cluster: Cluster) -> None:
+    first = log_slip(two_entry_cluster.callers_url(0), "slip-3", Idempotency_Key="k3")
     assert first.outcome == "answered"
 
     def second_is_replayed() -> bool:
-        second = log_slip(two_entries.callers_url(1), "slip-3", Idempotency_Key="k3")
+        second = log_slip(
+            two_entry_cluster.callers_url(1), "slip-3", Idempotency_Key="k3"
+        )
         assert second.outcome != "not_run"
         if second.headers.get("Railfold-Replayed") != "true":
             return False
         assert (second.status, second.body) == (first.status, first.body)
         return True
 
-    two_entries.wait_until(second_is_replayed, "the first answer")
-    assert slips_logged(two_entries, "slip-3") == 1
+    two_entry_cluster.wait_until(second_is_replayed, "the first answer")
+    assert slips_logged(two_entry_cluster, "slip-3") == 1
 
 
-def test_key_of_another_request_is_refused(two_entries: Cluster) -> None:
-    log_slip(two_entries.callers_url(0), "slip-4", Idempotency_Key="k4")
-    other = log_slip(two_entries.callers_url(1), "slip-5", Idempotency_Key="k4")
-    assert (other.status, other.body["code"]) == (400, "invalid_request")
-    assert slips_logged(two_entries, "slip-5") == 0
+def test_key_of_a_different_request_is_refused(two_entry_cluster: Cluster) -> None:
+    log_slip(two_entry_cluster.callers_url(0), "slip-4", Idempotency_Key="k4")
+    other_request = log_slip(
+        two_entry_cluster.callers_url(1), "slip-5", Idempotency_Key="k4"
+    )
+    assert (other_request.status, other_request.body["code"]) == (
+        400,
+        "invalid_request",
+    )
+    assert slips_logged(two_entry_cluster, "slip-5") == 0
 
 
-def test_lost_append_answer_runs_once(two_entries: Cluster) -> None:
-    two_entries.fault("lose_answer")
-    answer = log_slip(two_entries.callers_url(0), "slip-6", Idempotency_Key="k6")
+def test_call_runs_once_if_the_answer_to_its_claim_is_lost(
+    two_entry_cluster: Cluster,
+) -> None:
+    two_entry_cluster.fault("lose_answer")
+    answer = log_slip(two_entry_cluster.callers_url(0), "slip-6", Idempotency_Key="k6")
     assert answer.outcome == "answered"
-    again = log_slip(two_entries.callers_url(1), "slip-6", Idempotency_Key="k6")
-    assert again.outcome != "not_run"
-    assert slips_logged(two_entries, "slip-6") == 1
+    repeated_call = log_slip(
+        two_entry_cluster.callers_url(1), "slip-6", Idempotency_Key="k6"
+    )
+    assert repeated_call.outcome != "not_run"
+    assert slips_logged(two_entry_cluster, "slip-6") == 1
 
 
-def test_log_outage_refuses_keyed_calls_and_serves_the_rest(
-    two_entries: Cluster,
+def test_log_outage_refuses_only_calls_with_a_key(
+    two_entry_cluster: Cluster,
 ) -> None:
-    two_entries.fault("out")
-    keyed = log_slip(two_entries.callers_url(), "slip-7", Idempotency_Key="k7")
-    assert (keyed.status, keyed.outcome) == (503, "unknown")
-    assert keyed.body["code"] == "log_unavailable"
-    assert int(keyed.headers["Retry-After"]) >= 1
-    assert slips_logged(two_entries, "slip-7") == 0
-    unkeyed = log_slip(two_entries.callers_url(), "slip-8")
-    assert unkeyed.outcome == "answered"
-    assert generate(two_entries.callers_url(), "unit 1", 4).outcome == "answered"
-
-
-def test_key_is_usable_after_the_outage(two_entries: Cluster) -> None:
-    two_entries.fault("out")
-    log_slip(two_entries.callers_url(), "slip-9", Idempotency_Key="k9")
-    two_entries.fault("ok")
+    two_entry_cluster.fault("out")
+    with_key = log_slip(two_entry_cluster.callers_url(), "slip-7", Idempotency_Key="k7")
+    assert (with_key.status, with_key.outcome) == (503, "unknown")
+    assert with_key.body["code"] == "log_unavailable"
+    assert int(with_key.headers["Retry-After"]) >= 1
+    assert slips_logged(two_entry_cluster, "slip-7") == 0
+    without_key = log_slip(two_entry_cluster.callers_url(), "slip-8")
+    assert without_key.outcome == "answered"
+    assert generate(two_entry_cluster.callers_url(), "unit 1", 4).outcome == "answered"
+
+
+def test_key_is_usable_after_a_log_outage(two_entry_cluster: Cluster) -> None:
+    two_entry_cluster.fault("out")
+    log_slip(two_entry_cluster.callers_url(), "slip-9", Idempotency_Key="k9")
+    two_entry_cluster.fault("ok")
 
     def answered() -> bool:
-        answer = log_slip(two_entries.callers_url(1), "slip-9", Idempotency_Key="k9")
+        answer = log_slip(
+            two_entry_cluster.callers_url(1), "slip-9", Idempotency_Key="k9"
+        )
         return answer.outcome == "answered"
 
-    two_entries.wait_until(answered, "an answer")
-    assert slips_logged(two_entries, "slip-9") == 1
+    two_entry_cluster.wait_until(answered, "an answer")
+    assert slips_logged(two_entry_cluster, "slip-9") == 1
 
 
-def test_paused_entry_that_wakes_runs_nothing_twice(two_entries: Cluster) -> None:
-    slow_services(two_entries)
-    first = BackgroundCall(two_entries.callers_url(0), "slip-10", Idempotency_Key="k10")
-    two_entries.wait_until(
-        lambda: slips_logged(two_entries, "slip-10") == 1, "the first call"
+def test_entry_resumed_after_a_pause_runs_no_call_twice(
+    two_entry_cluster: Cluster,
+) -> None:
+    delay_services(two_entry_cluster)
+    first = BackgroundCall(
+        two_entry_cluster.callers_url(0), "slip-10", Idempotency_Key="k10"
+    )
+    two_entry_cluster.wait_until(
+        lambda: slips_logged(two_entry_cluster, "slip-10") == 1, "the first call"
     )
-    entry = two_entries.processes["entry-0"]
+    entry = two_entry_cluster.processes["entry-0"]
     entry.freeze()
-    second = log_slip(two_entries.callers_url(1), "slip-10", Idempotency_Key="k10")
+    second = log_slip(
+        two_entry_cluster.callers_url(1), "slip-10", Idempotency_Key="k10"
+    )
     assert second.outcome == "unknown"
     entry.thaw()
     assert first.result().outcome in ("answered", "unknown")
-    assert slips_logged(two_entries, "slip-10") == 1
+    assert slips_logged(two_entry_cluster, "slip-10") == 1
 
 
-def test_call_whose_agent_dies_is_unknown_and_not_repeated(
-    two_entries: Cluster,
+def test_call_is_unknown_and_not_repeated_after_its_agent_dies(
+    two_entry_cluster: Cluster,
 ) -> None:
-    slow_services(two_entries)
-    call = BackgroundCall(two_entries.callers_url(), "slip-11")
-    two_entries.wait_until(
-        lambda: slips_logged(two_entries, "slip-11") == 1, "the call"
+    delay_services(two_entry_cluster)
+    call = BackgroundCall(two_entry_cluster.callers_url(), "slip-11")
+    two_entry_cluster.wait_until(
+        lambda: slips_logged(two_entry_cluster, "slip-11") == 1, "the call"
     )
     for index in range(2):
-        two_entries.processes[f"agent-records-{index}"].kill()
+        two_entry_cluster.processes[f"agent-records-{index}"].kill()
     answer = call.result()
     assert answer.outcome == "unknown"
     assert "Retry-After" not in answer.headers
-    assert slips_logged(two_entries, "slip-11") == 1
+    assert slips_logged(two_entry_cluster, "slip-11") == 1
 
 
-def test_lost_answer_of_a_service_is_not_asked_for_again(cluster: Cluster) -> None:
+def test_call_is_not_sent_again_after_its_answer_is_lost(cluster: Cluster) -> None:
     # A connection that has served a call before is kept alive. An HTTP client
     # may send a request again when such a connection breaks.
     for number in range(3):
@@ -172,52 +193,58 @@
     assert slips_logged(cluster, "slip-14") == 1
 
 
-def test_call_that_never_reached_its_service_is_retried(two_entries: Cluster) -> None:
-    two_entries.processes["service-records-0"].kill()
+def test_call_that_never_reached_its_service_is_retried(
+    two_entry_cluster: Cluster,
+) -> None:
+    two_entry_cluster.processes["service-records-0"].kill()
     for number in range(8):
-        answer = log_slip(two_entries.callers_url(), f"slip-12-{number}")
+        answer = log_slip(two_entry_cluster.callers_url(), f"slip-12-{number}")
         assert answer.outcome == "answered"
 
 
 def test_repeatable_call_is_retried_after_its_agent_dies(
-    two_entries: Cluster,
+    two_entry_cluster: Cluster,
 ) -> None:
-    slow_services(two_entries)
+    delay_services(two_entry_cluster)
     call = BackgroundCall(
-        two_entries.callers_url(), "slip-13", Railfold_Repeatable="true"
+        two_entry_cluster.callers_url(), "slip-13", Railfold_Repeatable="true"
     )
-    two_entries.wait_until(
-        lambda: slips_logged(two_entries, "slip-13") == 1, "the call"
+    two_entry_cluster.wait_until(
+        lambda: slips_logged(two_entry_cluster, "slip-13") == 1, "the call"
     )
-    busy = [
+    busy_hosts = [
         agent["host"]
-        for agent in two_entries.status()["agents"]
+        for agent in two_entry_cluster.status()["agents"]
         if agent["services"] and agent["load"]
     ]
-    two_entries.processes[f"agent-{busy[0]}"].kill()
+    two_entry_cluster.processes[f"agent-{busy_hosts[0]}"].kill()
     assert call.result().outcome == "answered"
 
 
-def test_not_repeatable_generation_is_not_begun_again(
-    spare_cluster: Cluster,
+def test_unrepeatable_generation_is_not_restarted(
+    cluster_with_spares: Cluster,
 ) -> None:
     caller = StreamCaller(
-        spare_cluster.callers_url(), "unit 5", 400, Railfold_Repeatable="false"
+        cluster_with_spares.callers_url(), "unit 5", 400, Railfold_Repeatable="false"
     )
     caller.wait_tokens(3)
-    busy = [a["host"] for a in spare_cluster.status()["agents"] if a["load"]]
-    spare_cluster.processes[f"agent-{busy[1]}"].kill()
+    busy_hosts = [
+        agent["host"]
+        for agent in cluster_with_spares.status()["agents"]
+        if agent["load"]
+    ]
+    cluster_with_spares.processes[f"agent-{busy_hosts[1]}"].kill()
     caller.finish()
     assert caller.outcome["outcome"] == "failed"
 
 
-def test_deadline_ends_a_request_at_once(cluster: Cluster) -> None:
+def test_request_ends_at_its_deadline(cluster: Cluster) -> None:
     answer = generate(cluster.callers_url(), "unit 6", 8000, Railfold_Deadline_Ms="300")
     assert (answer.status, answer.outcome) == (504, "failed")
     assert answer.body["code"] == "deadline_expired"
 
 
-def test_caller_that_goes_away_frees_the_engines() -> None:
+def test_disconnected_caller_frees_the_engines() -> None:
     host = EngineHost("meter-a1", 0, 11)
     with Cluster([host]) as cluster:
         status_url = f"{cluster.engine_url(host.host)}/v1/status"
@@ -236,7 +263,7 @@
         assert "Traceback" not in cluster.log_of("entry-0")
 
 
-def test_entry_that_dies_frees_the_engines() -> None:
+def test_crashed_entry_frees_the_engines() -> None:
     host = EngineHost("meter-a1", 0, 11)
     with Cluster([host]) as cluster:
         url = f"{cluster.engine_url(host.host)}/v1/status"
@@ -247,15 +274,16 @@
         cluster.wait_until(lambda: get(url)["open_sequences"] == 0, "the orphan's end")
 
 
-def test_answers_of_many_callers_do_not_mix(cluster: Cluster) -> None:
+def test_answers_to_concurrent_callers_are_not_mixed_up(cluster: Cluster) -> None:
     callers = [
-        StreamCaller(cluster.callers_url(), f"unit {i}", 20 + i) for i in range(16)
+        StreamCaller(cluster.callers_url(), f"unit {index}", 20 + index)
+        for index in range(16)
     ]
     for caller in callers:
         caller.assert_whole()
 
 
-def test_status_of_a_service_passes_through(cluster: Cluster) -> None:
+def test_service_status_is_returned_to_the_caller(cluster: Cluster) -> None:
     url = f"{cluster.callers_url()}/v1/services/line-records/nowhere"
     answer = send(url, method="GET")
     assert (answer.status, answer.outcome) == (404, "answered")
--- a/tests/functional/test_planned_stops.py
+++ b/tests/functional/test_planned_stops.py
@@ -7,7 +7,7 @@
 from standins.cluster import Cluster, post
 from tests.lib.callers import StreamCaller, generate, send
 
-TOKENS = 60
+TOKEN_COUNT = 60
 
 
 def busy_hosts(cluster: Cluster) -> list[str]:
@@ -15,49 +15,49 @@
     return sorted(agent["host"] for agent in agents if agent["load"])
 
 
-def test_stopping_agent_finishes_its_sequences(spare_cluster: Cluster) -> None:
-    caller = StreamCaller(spare_cluster.callers_url(), "unit 1", TOKENS)
+def test_stopped_agent_finishes_its_sequences(cluster_with_spares: Cluster) -> None:
+    caller = StreamCaller(cluster_with_spares.callers_url(), "unit 1", TOKEN_COUNT)
     caller.wait_tokens(3)
-    middle = busy_hosts(spare_cluster)[1]
-    assert spare_cluster.processes[f"agent-{middle}"].stop() == 0
+    middle_host = busy_hosts(cluster_with_spares)[1]
+    assert cluster_with_spares.processes[f"agent-{middle_host}"].stop() == 0
     caller.assert_whole()
     assert caller.outcome["attempts"] == 1
 
 
-def test_draining_agent_gets_no_new_work(spare_cluster: Cluster) -> None:
-    caller = StreamCaller(spare_cluster.callers_url(), "unit 1", 400)
+def test_draining_agent_gets_no_new_work(cluster_with_spares: Cluster) -> None:
+    caller = StreamCaller(cluster_with_spares.callers_url(), "unit 1", 400)
     caller.wait_tokens(3)
-    middle = busy_hosts(spare_cluster)[1]
+    middle_host = busy_hosts(cluster_with_spares)[1]
     # The platform's list goes on calling the host live.
-    post(f"{spare_cluster.agent_url(middle)}/v1/drain", {})
+    post(f"{cluster_with_spares.agent_url(middle_host)}/v1/drain", {})
     for number in range(6):
-        answer = generate(spare_cluster.callers_url(), f"unit {number}", 4)
+        answer = generate(cluster_with_spares.callers_url(), f"unit {number}", 4)
         assert answer.outcome == "answered"
-        assert middle not in [stage["host"] for stage in answer.body["lineage"]]
+        assert middle_host not in [stage["host"] for stage in answer.body["lineage"]]
     caller.assert_whole()
 
 
-def test_host_that_the_list_calls_leaving_gets_no_new_work(
-    spare_cluster: Cluster,
+def test_host_listed_as_leaving_gets_no_new_work(
+    cluster_with_spares: Cluster,
 ) -> None:
-    answer = generate(spare_cluster.callers_url(), "unit 1", 4)
-    leaving = answer.body["lineage"][1]["host"]
-    spare_cluster.publish_hosts(leaving=(leaving,))
-    spare_cluster.wait_until(
-        lambda: spare_cluster.serving() == 5, "the leaving host out of service"
+    answer = generate(cluster_with_spares.callers_url(), "unit 1", 4)
+    leaving_host = answer.body["lineage"][1]["host"]
+    cluster_with_spares.publish_hosts(leaving=(leaving_host,))
+    cluster_with_spares.wait_until(
+        lambda: cluster_with_spares.serving() == 5, "the leaving host out of service"
     )
     for number in range(6):
-        answer = generate(spare_cluster.callers_url(), f"unit {number}", 4)
-        assert leaving not in [stage["host"] for stage in answer.body["lineage"]]
+        answer = generate(cluster_with_spares.callers_url(), f"unit {number}", 4)
+        assert leaving_host not in [stage["host"] for stage in answer.body["lineage"]]
 
 
-def test_stopping_entry_finishes_its_answers(two_entries: Cluster) -> None:
-    caller = StreamCaller(two_entries.callers_url(0), "unit 1", 200)
+def test_stopped_entry_finishes_its_answers(two_entry_cluster: Cluster) -> None:
+    caller = StreamCaller(two_entry_cluster.callers_url(0), "unit 1", 200)
     caller.wait_tokens(3)
-    post(f"{two_entries.entry_url(0)}/v1/drain", {})
-    ready = send(f"{two_entries.callers_url(0)}/readyz", method="GET")
-    assert ready.status == 503
-    assert two_entries.processes["entry-0"].stop() == 0
+    post(f"{two_entry_cluster.entry_url(0)}/v1/drain", {})
+    readiness = send(f"{two_entry_cluster.callers_url(0)}/readyz", method="GET")
+    assert readiness.status == 503
+    assert two_entry_cluster.processes["entry-0"].stop() == 0
     caller.assert_whole()
 
 
--- a/tests/functional/test_recovery.py
+++ b/tests/functional/test_recovery.py
@@ -20,90 +20,98 @@
     return caller
 
 
-def test_answer_goes_on_after_its_agent_is_killed(spare_cluster: Cluster) -> None:
-    caller = start_stream(spare_cluster)
-    middle = serving_hosts(spare_cluster)[1]
-    spare_cluster.processes[f"agent-{middle}"].kill()
+def test_answer_goes_on_after_its_agent_is_killed(cluster_with_spares: Cluster) -> None:
+    caller = start_stream(cluster_with_spares)
+    middle = serving_hosts(cluster_with_spares)[1]
+    cluster_with_spares.processes[f"agent-{middle}"].kill()
     caller.assert_whole()
     assert caller.outcome["attempts"] == 2
 
 
-def test_answer_goes_on_after_its_engine_is_killed(spare_cluster: Cluster) -> None:
-    caller = start_stream(spare_cluster)
-    last = serving_hosts(spare_cluster)[2]
-    spare_cluster.processes[f"engine-{last}"].kill()
+def test_answer_goes_on_after_its_engine_is_killed(
+    cluster_with_spares: Cluster,
+) -> None:
+    caller = start_stream(cluster_with_spares)
+    last = serving_hosts(cluster_with_spares)[2]
+    cluster_with_spares.processes[f"engine-{last}"].kill()
     caller.assert_whole()
 
 
-def test_answer_goes_on_after_its_agent_freezes(spare_cluster: Cluster) -> None:
-    caller = start_stream(spare_cluster)
-    first = serving_hosts(spare_cluster)[0]
-    spare_cluster.processes[f"agent-{first}"].freeze()
+def test_answer_goes_on_after_its_agent_freezes(cluster_with_spares: Cluster) -> None:
+    caller = start_stream(cluster_with_spares)
+    first = serving_hosts(cluster_with_spares)[0]
+    cluster_with_spares.processes[f"agent-{first}"].freeze()
     caller.assert_whole()
 
 
-def test_answer_goes_on_after_its_engine_freezes(spare_cluster: Cluster) -> None:
-    caller = start_stream(spare_cluster)
-    middle = serving_hosts(spare_cluster)[1]
-    post(f"{spare_cluster.engine_url(middle)}/control/freeze", {})
+def test_answer_goes_on_after_its_engine_freezes(cluster_with_spares: Cluster) -> None:
+    caller = start_stream(cluster_with_spares)
+    middle = serving_hosts(cluster_with_spares)[1]
+    post(f"{cluster_with_spares.engine_url(middle)}/control/freeze", {})
     caller.assert_whole()
 
 
 def test_answer_goes_on_after_its_engine_lost_its_caches(
-    spare_cluster: Cluster,
+    cluster_with_spares: Cluster,
 ) -> None:
-    caller = start_stream(spare_cluster)
-    middle = serving_hosts(spare_cluster)[1]
-    post(f"{spare_cluster.engine_url(middle)}/control/restart", {})
+    caller = start_stream(cluster_with_spares)
+    middle = serving_hosts(cluster_with_spares)[1]
+    post(f"{cluster_with_spares.engine_url(middle)}/control/restart", {})
     caller.assert_whole()
 
 
 def test_answer_goes_on_after_an_engine_lost_an_answer(
-    spare_cluster: Cluster,
+    cluster_with_spares: Cluster,
 ) -> None:
     # The fixture checks that the engine wasn't given the step again.
-    caller = start_stream(spare_cluster)
-    middle = serving_hosts(spare_cluster)[1]
-    post(f"{spare_cluster.engine_url(middle)}/control/drop", {})
+    caller = start_stream(cluster_with_spares)
+    middle = serving_hosts(cluster_with_spares)[1]
+    post(f"{cluster_with_spares.engine_url(middle)}/control/drop", {})
     caller.assert_whole()
     assert caller.outcome["attempts"] == 2
 
 
-def test_answer_goes_on_after_two_stages_die_together(spare_cluster: Cluster) -> None:
-    caller = start_stream(spare_cluster)
-    hosts = serving_hosts(spare_cluster)
+def test_answer_goes_on_after_two_stages_die_together(
+    cluster_with_spares: Cluster,
+) -> None:
+    caller = start_stream(cluster_with_spares)
+    hosts = serving_hosts(cluster_with_spares)
     for host in (hosts[0], hosts[2]):
-        spare_cluster.processes[f"agent-{host}"].kill()
+        cluster_with_spares.processes[f"agent-{host}"].kill()
     caller.assert_whole()
 
 
-def test_answers_go_on_after_a_failure_domain_dies(spare_cluster: Cluster) -> None:
-    callers = [start_stream(spare_cluster, f"unit {i}") for i in range(6)]
-    for host in spare_cluster.engines:
+def test_answers_go_on_after_a_failure_domain_dies(
+    cluster_with_spares: Cluster,
+) -> None:
+    callers = [start_stream(cluster_with_spares, f"unit {i}") for i in range(6)]
+    for host in cluster_with_spares.engines:
         if host.failure_domain == "hall-a":
-            spare_cluster.processes[f"agent-{host.host}"].kill()
-            spare_cluster.processes[f"engine-{host.host}"].kill()
+            cluster_with_spares.processes[f"agent-{host.host}"].kill()
+            cluster_with_spares.processes[f"engine-{host.host}"].kill()
     for caller in callers:
         caller.assert_whole()
 
 
-def test_answer_goes_on_while_the_log_is_out(spare_cluster: Cluster) -> None:
-    spare_cluster.fault("out")
-    caller = start_stream(spare_cluster)
-    middle = serving_hosts(spare_cluster)[1]
-    spare_cluster.processes[f"agent-{middle}"].kill()
+def test_answer_goes_on_while_the_log_is_out(cluster_with_spares: Cluster) -> None:
+    cluster_with_spares.fault("out")
+    caller = start_stream(cluster_with_spares)
+    middle = serving_hosts(cluster_with_spares)[1]
+    cluster_with_spares.processes[f"agent-{middle}"].kill()
     caller.assert_whole()
 
 
-def test_woken_agent_takes_up_new_work_only(spare_cluster: Cluster) -> None:
-    caller = start_stream(spare_cluster)
-    middle = serving_hosts(spare_cluster)[1]
-    agent = spare_cluster.processes[f"agent-{middle}"]
+def test_woken_agent_takes_up_new_work_only(cluster_with_spares: Cluster) -> None:
+    caller = start_stream(cluster_with_spares)
+    middle = serving_hosts(cluster_with_spares)[1]
+    agent = cluster_with_spares.processes[f"agent-{middle}"]
     agent.freeze()
     caller.assert_whole()
     agent.thaw()
-    spare_cluster.wait_until(lambda: spare_cluster.serving() == 6, "six agents")
-    again = start_stream(spare_cluster, "unit 8")
+    cluster_with_spares.wait_until(
+        lambda: cluster_with_spares.serving() == 6, "six agents"
+    )
+    again = start_stream(cluster_with_spares, "unit 8")
     again.assert_whole()
 
 
--- a/tests/functional/test_sessions.py
+++ b/tests/functional/test_sessions.py
@@ -36,41 +36,57 @@
 ]
 
 
-def plain(answer: Answer) -> dict[str, Any]:
+def comparable_answer(answer: Answer) -> dict[str, Any]:
     """Return what a session's golden file holds of an answer."""
-    kept = ("Railfold-Outcome", "Content-Type", "Railfold-Replayed")
+    compared_headers = ("Railfold-Outcome", "Content-Type", "Railfold-Replayed")
     body = answer.body
     if isinstance(body, dict):
         body = {
-            k: v for k, v in body.items() if k not in ("request_id", "retry_after_s")
+            name: value
+            for name, value in body.items()
+            if name not in ("request_id", "retry_after_s")
         }
-    headers = {k: v for k, v in answer.headers.items() if k in kept}
+    headers = {
+        name: value
+        for name, value in answer.headers.items()
+        if name in compared_headers
+    }
     return {"status": answer.status, "headers": headers, "body": body}
 
 
-def streamed(cluster: Cluster, prompt: str) -> list[Any]:
+def comparable_stream(cluster: Cluster, prompt: str) -> list[Any]:
     """Return a streamed session; how tokens share events isn't stated."""
     events = list(stream_generate(cluster.callers_url(), prompt, 8))
-    text = "".join(e.data["text"] for e in events if e.name == "tokens")
-    outcome = {k: v for k, v in events[-1].data.items() if k != "request_id"}
+    text = "".join(event.data["text"] for event in events if event.name == "tokens")
+    outcome = {
+        name: value for name, value in events[-1].data.items() if name != "request_id"
+    }
     return [text, outcome]
 
 
-@pytest.mark.parametrize("deployment", DEPLOYMENTS, ids=lambda d: d.name)
+@pytest.mark.parametrize(
+    "deployment", DEPLOYMENTS, ids=lambda deployment: deployment.name
+)
 def test_session(deployment: Deployment, snapshot: SnapshotAssertion) -> None:
     hosts = [
-        EngineHost(f"runner-{i}", i * 4, i * 4 + 3, domain)
-        for i, domain in enumerate(deployment.domains)
+        EngineHost(f"runner-{index}", index * 4, index * 4 + 3, domain)
+        for index, domain in enumerate(deployment.domains)
     ]
     with Cluster(hosts, service_hosts=1, workspaces=deployment.workspaces) as cluster:
         url = cluster.callers_url()
         session = {
-            "answer": plain(generate(url, "unit 1", 5)),
-            "stream": streamed(cluster, "unit 2"),
-            "policy": plain(generate(url, "unit 3", 5, workspace="records")),
-            "call": plain(log_slip(url, "slip-1")),
-            "read": plain(send(f"{url}/v1/services/{SERVICE}/slips", method="GET")),
-            "wrong body": plain(send(f"{url}/v1/pipelines/{PIPELINE}/generate", [])),
-            "no such service": plain(send(f"{url}/v1/services/none/x", {})),
+            "answer": comparable_answer(generate(url, "unit 1", 5)),
+            "stream": comparable_stream(cluster, "unit 2"),
+            "policy": comparable_answer(
+                generate(url, "unit 3", 5, workspace="records")
+            ),
+            "call": comparable_answer(log_slip(url, "slip-1")),
+            "read": comparable_answer(
+                send(f"{url}/v1/services/{SERVICE}/slips", method="GET")
+            ),
+            "wrong body": comparable_answer(
+                send(f"{url}/v1/pipelines/{PIPELINE}/generate", [])
+            ),
+            "no such service": comparable_answer(send(f"{url}/v1/services/none/x", {})),
         }
     assert json.dumps(session, indent=1, sort_keys=True) == snapshot
--- a/tests/unit/test_generate_driver.py
+++ b/tests/unit/test_generate_driver.py
@@ -37,24 +37,26 @@
 
 pytestmark = [pytest.mark.asyncio, pytest.mark.looptime]
 
-FLOOR_S = 0.1
-LAYERS = {"a1": LayerRange(0, 5), "a2": LayerRange(0, 5), "b1": LayerRange(6, 11)}
-PIPELINE = Pipeline("inspect-llm", "inspect-llm", "1", 12, LAYERS)
+OVERDUE_FLOOR_S = 0.1
+PLACEMENTS = {"a1": LayerRange(0, 5), "a2": LayerRange(0, 5), "b1": LayerRange(6, 11)}
+PIPELINE = Pipeline("inspect-llm", "inspect-llm", "1", 12, PLACEMENTS)
 
 
-class FakeAgents:
+class FakeAgentPool:
     """Plays the agent pool: remembers what was sent and probed."""
 
     def __init__(self) -> None:
         self.view = MembershipView()
-        self.opened: list[OpenSequence] = []
+        self.opened_sequences: list[OpenSequence] = []
         self.probed_at_s: list[float] = []
-        self.silent: frozenset[str] = frozenset()
+        self.silent_hosts: frozenset[str] = frozenset()
         self.driver: GenerateDriver | None = None
         self.view.apply(
-            HostListReceived(tuple(ListedHost(h, "10.0.0.1:1") for h in LAYERS))
+            HostListReceived(
+                tuple(ListedHost(host, "10.0.0.1:1") for host in PLACEMENTS)
+            )
         )
-        for host, layers in LAYERS.items():
+        for host, layers in PLACEMENTS.items():
             self.view.apply(LinkUp(host, "10.0.0.1:1", 1, "hall-a", "west"))
             loaded = (Loaded("inspect-llm", "1", layers),)
             report = AgentReport(host, 1, "serving", 0, 0, 8, 10.0, loaded, ())
@@ -68,28 +70,30 @@
 
     def send(self, stage: Stage, message: LinkMessage) -> bool:
         if isinstance(message, OpenSequence):
-            self.opened.append(message)
+            self.opened_sequences.append(message)
         return True
 
     async def probe(self, stages: tuple[Stage, ...]) -> None:
         self.probed_at_s.append(asyncio.get_running_loop().time())
-        if self.silent and self.driver is not None:
-            self.driver.hosts_lost(self.silent)
+        if self.silent_hosts and self.driver is not None:
+            self.driver.hosts_lost(self.silent_hosts)
 
     def emit(self, step: int) -> None:
         """Send the token of a step, with its lineage, to the driver."""
-        newest = self.opened[-1]
+        newest_attempt = self.opened_sequences[-1]
         lineage = tuple(
-            StageRun(s.host, s.incarnation, newest.attempt, s.layers)
-            for s in newest.chain.stages
+            StageRun(
+                stage.host, stage.incarnation, newest_attempt.attempt, stage.layers
+            )
+            for stage in newest_attempt.chain.stages
         )
         token = Token(step, 100 + step, "t")
         assert self.driver is not None
-        message = EmittedToken("r1", newest.attempt, token, lineage)
-        self.driver.message("b1", message)
+        message = EmittedToken("r1", newest_attempt.attempt, token, lineage)
+        self.driver.message_received("b1", message)
 
 
-def start(agents: FakeAgents, max_tokens: int = 3) -> asyncio.Task:  # type: ignore[type-arg]
+def start_request(agents: FakeAgentPool, max_tokens: int = 3) -> asyncio.Task:  # type: ignore[type-arg]
     context = RoutingContext(
         agents=agents,  # type: ignore[arg-type]
         metrics=Metrics(),
@@ -97,7 +101,7 @@
         costs=LinkCosts(),
         weights=PlannerWeights(),
         lifecycle_limits=LifecycleLimits(),
-        overdue_floor_s=FLOOR_S,
+        overdue_floor_s=OVERDUE_FLOOR_S,
         overdue_factor=4.0,
         first_token_overdue_s=2.0,
         rng=random.Random(1),
@@ -110,56 +114,61 @@
     return asyncio.create_task(driver.run())
 
 
-async def test_late_token_is_noticed_as_soon_as_it_is_overdue() -> None:
-    agents = FakeAgents()
-    task = start(agents)
+async def test_chain_is_probed_as_soon_as_a_token_is_overdue() -> None:
+    agents = FakeAgentPool()
+    task = start_request(agents)
     await asyncio.sleep(0.01)
-    first_s = asyncio.get_running_loop().time()
+    first_token_s = asyncio.get_running_loop().time()
     agents.emit(0)
     await asyncio.sleep(0.5)
-    assert agents.probed_at_s[0] == pytest.approx(first_s + FLOOR_S, abs=0.01)
+    assert agents.probed_at_s[0] == pytest.approx(
+        first_token_s + OVERDUE_FLOOR_S, abs=0.01
+    )
     task.cancel()
 
 
-async def test_silent_host_is_replaced_and_the_answer_goes_on() -> None:
-    agents = FakeAgents()
-    task = start(agents)
+async def test_silent_host_is_replaced_and_the_answer_continues() -> None:
+    agents = FakeAgentPool()
+    task = start_request(agents)
     await asyncio.sleep(0.01)
     agents.emit(0)
-    agents.silent = frozenset({agents.opened[0].chain.stages[0].host})
+    agents.silent_hosts = frozenset({agents.opened_sequences[0].chain.stages[0].host})
     await asyncio.sleep(0.2)
-    agents.silent = frozenset()
-    assert agents.opened[-1].attempt == 2
-    assert agents.opened[-1].base_step == 1
+    agents.silent_hosts = frozenset()
+    assert agents.opened_sequences[-1].attempt == 2
+    assert agents.opened_sequences[-1].base_step == 1
     agents.emit(1)
     agents.emit(2)
     assert await task == Answered()
 
 
-async def test_slow_chain_is_probed_less_and_less_often() -> None:
-    agents = FakeAgents()
-    task = start(agents)
+async def test_slow_chain_is_probed_at_growing_intervals() -> None:
+    agents = FakeAgentPool()
+    task = start_request(agents)
     await asyncio.sleep(0.01)
     agents.emit(0)
     await asyncio.sleep(6.0)
-    gaps_s = [b - a for a, b in zip(agents.probed_at_s, agents.probed_at_s[1:])]  # noqa: B905
+    gaps_s = [
+        later_s - earlier_s
+        for earlier_s, later_s in zip(agents.probed_at_s, agents.probed_at_s[1:])  # noqa: B905
+    ]
     assert gaps_s == sorted(gaps_s)
     assert len(agents.probed_at_s) < 8
     task.cancel()
 
 
-async def test_first_token_has_a_limit_of_its_own() -> None:
-    agents = FakeAgents()
-    task = start(agents)
+async def test_first_token_has_its_own_overdue_limit() -> None:
+    agents = FakeAgentPool()
+    task = start_request(agents)
     started_s = asyncio.get_running_loop().time()
     await asyncio.sleep(2.5)
     assert agents.probed_at_s == [pytest.approx(started_s + 2.0, abs=0.01)]
     task.cancel()
 
 
-async def test_deadline_ends_the_request_on_the_clock() -> None:
-    agents = FakeAgents()
-    task = start(agents)
+async def test_request_ends_at_its_deadline_while_no_token_arrives() -> None:
+    agents = FakeAgentPool()
+    task = start_request(agents)
     await asyncio.sleep(0.01)
     agents.emit(0)
     await asyncio.sleep(61.0)
@@ -167,9 +176,9 @@
     assert task.result().error.code == "deadline_expired"
 
 
-async def test_nothing_is_sent_without_a_chain() -> None:
-    agents = FakeAgents()
+async def test_no_attempt_is_opened_without_a_chain() -> None:
+    agents = FakeAgentPool()
     agents.view = MembershipView()
-    outcome = await start(agents)
+    outcome = await start_request(agents)
     assert isinstance(outcome, NotRun)
-    assert agents.opened == []
+    assert agents.opened_sequences == []
--- a/tests/unit/test_held_up_loop.py
+++ b/tests/unit/test_held_up_loop.py
@@ -134,7 +134,7 @@
     def __init__(self) -> None:
         self.lost: set[str] = set()
 
-    def message(self, host: str, message: object) -> None:
+    def message_received(self, host: str, message: object) -> None:
         pass
 
     def hosts_lost(self, hosts: frozenset[str]) -> None:
@@ -173,7 +173,7 @@
         metrics,
         lambda: None,
     )
-    linked.hosts_listed(running.listed)
+    linked.host_list_received(running.listed)
     await until(lambda: sum(member.routable for member in linked.view) == 2)
     yield linked
     await linked._close()
