--- a/src/railfold/_internal/entry/__init__.py
+++ b/src/railfold/_internal/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry: ends callers' requests and routes them to agents."""
+"""The entry: takes requests from callers and routes them to agents."""
--- a/src/railfold/_internal/entry/admission.py
+++ b/src/railfold/_internal/entry/admission.py
@@ -1,4 +1,4 @@
-"""Admission of requests at this entry, per pipeline or service."""
+"""Admission control for requests at this entry, per pipeline or service."""
 
 from __future__ import annotations
 
@@ -41,7 +41,10 @@
 
 
 class Admission:
-    """Admits requests as live capacity allows."""
+    """Admits requests within live capacity; queues or refuses the others.
+
+    :param rng: spreads the Retry-After values of refused requests.
+    """
 
     def __init__(
         self,
@@ -68,10 +71,14 @@
         deadline_s: float,
         entry_count: int,
     ) -> AsyncIterator[None]:
-        """Hold a place for a request; waits for one if need be.
-
-        :raises AdmissionRefusedError: at once if the request can't be served in
-            time, or later if capacity dies while it waits.
+        """Admit a request, waiting in the queue if necessary, for the context.
+
+        :param cost: expected work; tokens for a pipeline, 1 for a service call.
+        :param deadline_s: loop time at which the request expires.
+        :param entry_count: number of entries that share the capacity.
+        :raises AdmissionRefusedError: immediately if the queue is full or the request
+            can't finish before its deadline; later if its deadline passes in the
+            queue or if it is shed because capacity was lost.
         """
         ticket = Ticket(
             workspace.name,
@@ -112,14 +119,19 @@
         finally:
             self._waiters.pop(ticket, None)
             if not target_queue.queue.withdraw(ticket) and not _succeeded(future):
-                # It was admitted in the moment its caller gave up.
+                # The queue admitted the request just as its wait ended with a
+                # time-out, an error or a cancellation: return its capacity.
                 self._notify_admitted(
                     target_queue.queue.withdrawn_early(ticket, loop.time())
                 )
             self._metrics.timing("admission.wait", loop.time() - started_s)
 
     def refresh_capacity(self, entry_count: int) -> None:
-        """Take new capacity from the membership view; shed what it can't serve."""
+        """Apply the live capacity of each target and shed excess waiting requests.
+
+        Waiting requests that can't meet their deadline with the new capacity are
+        refused.
+        """
         now_s = asyncio.get_running_loop().time()
         for target_queue in self._target_queues.values():
             capacity = self._capacity(target_queue.target, entry_count)
@@ -129,14 +141,14 @@
                 self._metrics.count("admission.shed")
                 error = DeadlineExpiredError(
                     "the request was shed: live capacity fell while it waited",
-                    hint="come back after Retry-After",
+                    hint="send it again after Retry-After",
                 )
                 future = self._waiters.get(ticket)
                 if future is not None and not future.done():
                     future.set_exception(self._refusal(error, load))
 
     def queues(self) -> Iterator[tuple[str, AdmissionQueue]]:
-        """Yield each target's name and queue."""
+        """Yield ``<kind>/<name>`` and the queue of each target."""
         for (kind, name), target_queue in self._target_queues.items():
             yield f"{kind}/{name}", target_queue.queue
 
--- a/src/railfold/_internal/entry/agents.py
+++ b/src/railfold/_internal/entry/agents.py
@@ -1,4 +1,4 @@
-"""The entry's links to agents, and its view of them."""
+"""Links from this entry to agents, and the membership view built from them."""
 
 from __future__ import annotations
 
@@ -56,19 +56,22 @@
 
 
 class RequestDriver(Protocol):
-    """One request in flight, as the pool feeds it."""
+    """A request in flight, which gets its agents' messages from the pool."""
 
     def message_received(self, host: str, message: RequestMessage) -> None:
-        """Take an agent's message about this request."""
+        """Process a message from ``host`` about this request."""
 
     def hosts_lost(self, hosts: frozenset[str]) -> None:
-        """These hosts' work in flight is lost."""
+        """Process the loss of all work in flight on these hosts."""
 
 
 class AgentPool:
-    """Handler of all links to agents.
+    """Dials agents, handles their links and routes their messages to drivers.
 
-    :param on_capacity: called when what is routable may have changed.
+    :param hello: this entry's handshake message.
+    :param pace: computes the interval of heartbeats and lease renewals.
+    :param on_capacity_change: called when the set of routable agents may have
+        changed.
     """
 
     def __init__(
@@ -100,20 +103,20 @@
     # Requests.
 
     def register(self, request_id: str, driver: RequestDriver) -> None:
-        """Feed agents' messages about a request to ``driver``."""
+        """Deliver agents' messages about a request to ``driver``."""
         self._drivers[request_id] = driver
 
     def unregister(self, request_id: str) -> None:
-        """Stop feeding a request's driver."""
+        """Stop delivering messages about a request."""
         self._drivers.pop(request_id, None)
 
     @property
     def in_flight(self) -> int:
-        """Requests that have a driver."""
+        """Number of requests that have a driver."""
         return len(self._drivers)
 
     def send(self, stage: Stage, message: LinkMessage) -> bool:
-        """Send to a stage's agent; False if that incarnation isn't linked."""
+        """Send to a stage's agent; return False if that incarnation isn't linked."""
         link = self._links.get(stage.host)
         if link is None or link.peer.incarnation != stage.incarnation:
             return False
@@ -125,19 +128,19 @@
         return {host: link.peer_version for host, link in self._links.items()}
 
     def broadcast(self, message: LinkMessage) -> None:
-        """Send to every linked agent."""
+        """Send a message to every linked agent."""
         for link in self._links.values():
             link.send(message)
 
     def link_bytes(self) -> tuple[int, int]:
-        """Return bytes sent and received on all open links."""
+        """Return the bytes sent and the bytes received on all open links."""
         links = self._links.values()
         return sum(x.bytes_sent for x in links), sum(x.bytes_received for x in links)
 
-    # The platform's list.
+    # The platform's host list.
 
     def host_list_received(self, hosts: tuple[ListedHost, ...]) -> None:
-        """Take a new copy of the platform's list."""
+        """Apply a new copy of the platform's host list."""
         self._apply_change(self.view.apply(HostListReceived(hosts)))
 
     def _dial(self, host: ListedHost) -> None:
@@ -182,9 +185,9 @@
     # Links.
 
     def link_up(self, link: Link) -> None:
-        """A link to an agent was handshaken."""
+        """Add an agent after the handshake of its link, and request its state."""
         peer = link.peer
-        logging.info("agent %s linked", peer.name)
+        logging.info("link to agent %s opened", peer.name)
         previous_link = self._links.get(peer.name)
         self._links[peer.name] = link
         address = self._addresses.get(peer.name, "")
@@ -197,17 +200,17 @@
         link.send(self._probe_message(0))
 
     def link_down(self, link: Link) -> None:
-        """A link to an agent ended."""
+        """Remove an agent whose link has closed, unless a newer link replaced it."""
         self._replica.link_down(link)
         if self._links.get(link.peer.name) is not link:
             return
         del self._links[link.peer.name]
-        logging.info("agent %s gone", link.peer.name)
+        logging.info("link to agent %s closed", link.peer.name)
         event = LinkDown(link.peer.name, link.peer.incarnation)
         self._apply_change(self.view.apply(event))
 
     def frame_received(self, link: Link, frame: Frame) -> None:
-        """Take a frame from an agent."""
+        """Process a frame from an agent."""
         for token in frame.tokens:
             driver = self._drivers.get(token.request_id)
             if driver is not None:
@@ -251,17 +254,18 @@
         member = self.view.get(link.peer.name)
         if member is not None and member.routable != was_routable:
             logging.info("agent %s is %s", member.host, member.state)
-            # What else a heartbeat changes is taken in at the next interval:
-            # looking at all agents for each heartbeat would cost their square.
+            # Other changes, such as load, take effect at the next periodic refresh
+            # of the capacity: a refresh after each heartbeat visits all agents, so
+            # its cost would grow with the square of their number.
             self._on_capacity_change()
 
     # Probes.
 
     async def probe(self, stages: Iterable[Stage]) -> None:
-        """Probe the stages' agents.
+        """Probe the stages' agents and wait for the results.
 
-        Those that are silent or stalled are marked, so that no new work goes
-        there until they report again, and all drivers are told.
+        Silent and stalled agents are marked as suspect, so that they get no new work
+        until their next report, and all drivers are notified of the lost hosts.
         """
         stages_by_incarnation = {_incarnation_key(stage): stage for stage in stages}
         to_probe = [
@@ -280,17 +284,18 @@
         )
 
     def _start_probe(self, stage: Stage) -> None:
-        # Many sequences on one host come overdue together: they share a probe
-        # and what follows from it.
+        # Tokens of many sequences on one host become overdue at the same time: these
+        # sequences share one probe and its result.
         key = _incarnation_key(stage)
         task = asyncio.create_task(self._probe_and_update_view(stage))
         self._probing[key] = task
         task.add_done_callback(lambda _: self._probing.pop(key, None))
 
     def _probe_another_agent(self, hosts: set[str]) -> None:
-        # If all of a chain are silent, another agent's answer tells that it isn't
-        # this process that is late: the one heard last, elsewhere if possible. It
-        # is asked after the chain's agents, as the proof requires.
+        # If no agent of a chain answers, an answer from another agent shows that the
+        # cause isn't a delay in this process. The agent that was heard last is probed,
+        # from another failure domain if possible. This probe is sent after those of
+        # the chain's agents, because only the answer to a later probe counts as proof.
         members = [m for host in hosts if (m := self.view.get(host)) is not None]
         domains = {member.failure_domain for member in members}
         links = [link for host, link in self._links.items() if host not in hosts]
@@ -327,7 +332,10 @@
         return self._pace.interval_s(len(self._links))
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Child: renew this entry's leases; drop agents that fell silent."""
+        """Renew this entry's leases at agents; close the links of silent agents.
+
+        Runs as a child of the supervisor until it is cancelled.
+        """
         ready.set()
         try:
             while True:
@@ -336,7 +344,9 @@
                 for host, link in list(self._links.items()):
                     link.send(self._probe_message(0))
                     if link.unheard_looks() >= _INTERVALS_PER_LEASE:
-                        logging.warning("agent %s fell silent", host)
+                        logging.warning(
+                            "closing the link to agent %s: it is silent", host
+                        )
                         link.close()
         finally:
             await self._close()
--- a/src/railfold/_internal/entry/answers.py
+++ b/src/railfold/_internal/entry/answers.py
@@ -1,4 +1,4 @@
-"""Answers to callers: outcome, status, headers and body."""
+"""Build answers to callers: outcome, status, headers and body."""
 
 from __future__ import annotations
 
@@ -71,7 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole answer."""
+    """A complete HTTP answer.
+
+    :param outcome: the outcome's name, for the outcome header.
+    """
 
     status: int
     outcome: str
@@ -83,9 +86,11 @@
 def answered_reply(
     request_id: str, tokens: list[Token], chain: Chain, attempts: int
 ) -> Reply:
-    """Return the answer to a generate request that ran whole.
+    """Return the answer to a generate request that ran to completion.
+
+    The lineage names the stages that produced the last token.
 
-    The lineage names the stages that ran the last token.
+    :param attempts: number of attempts that the request took.
     """
     body = {
         "outcome": outcome_name(Answered()),
@@ -101,7 +106,7 @@
 
 
 def error_reply(request_id: str, outcome: Outcome) -> Reply:
-    """Return the answer to a request that wasn't answered."""
+    """Return the error answer for an outcome other than :class:`Answered`."""
     match outcome:
         case NotRun(error=error, retry_after_s=retry_after_s):
             status = _STATUS.get(type(error), _UNAVAILABLE)
@@ -121,7 +126,8 @@
 ) -> Reply:
     """Return the answer to a request that was refused before it was sent.
 
-    :param retry_after_s: None if the same request would be refused again.
+    :param retry_after_s: seconds after which a retry may succeed, or None if the
+        same request would be refused again.
     """
     name = outcome_name(NotRun(NeverSent(), error, 0.0))
     status = _STATUS.get(type(error), _UNAVAILABLE)
@@ -146,6 +152,6 @@
     headers = {}
     if retry_after_s is not None:
         body["retry_after_s"] = retry_after_s
-        # The header takes whole seconds only.
+        # Retry-After allows only whole seconds.
         headers["Retry-After"] = str(max(1, math.ceil(retry_after_s)))
     return Reply(status, outcome, msgspec.json.encode(body), headers=headers)
--- a/src/railfold/_internal/entry/callers.py
+++ b/src/railfold/_internal/entry/callers.py
@@ -1,4 +1,4 @@
-"""HTTP interface towards callers."""
+"""HTTP interface for callers."""
 
 from __future__ import annotations
 
@@ -40,9 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerServices:
-    """What the handlers need.
+    """Dependencies of the request handlers.
 
-    :param missing: returns what is missing for taking requests.
+    :param configuration: returns the configuration in force.
+    :param refusal_reasons: returns why this entry takes no requests now; empty if it
+        does.
     """
 
     dispatcher: Dispatcher
@@ -55,7 +57,7 @@
 
 @stream_request_body
 class _CallerHandler(RequestHandler):
-    """Reads a bounded body in bounded time; writes replies."""
+    """Reads the body within limits of size and time, and writes replies."""
 
     def initialize(self, services: CallerServices) -> None:
         self.services = services
@@ -63,7 +65,7 @@
         self._body_timer: asyncio.TimerHandle | None = None
 
     def prepare(self) -> None:
-        """Check what can be checked before the body is read."""
+        """Check the headers and the entry's readiness before the body is read."""
         limits = self.services.limits
         size = sum(
             len(name) + len(value) + 4 for name, value in self.request.headers.get_all()
@@ -93,7 +95,7 @@
         self._body_timer = loop.call_later(limits.body_timeout_s, self._body_timed_out)
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
+        """Append a chunk to the body; refuse the request if it becomes too large."""
         if self._finished:
             return
         self._body += chunk
@@ -101,23 +103,26 @@
             self.refuse(self._body_too_large(len(self._body)))
 
     def take_body(self) -> bytes:
-        """Return the whole body; called by the methods, which run after it."""
+        """Return the complete body and stop the timer that limits its duration.
+
+        HTTP method handlers call this; tornado runs them after the last chunk.
+        """
         if self._body_timer is not None:
             self._body_timer.cancel()
         return bytes(self._body)
 
     def on_finish(self) -> None:
-        """Stop the timer of slow bodies."""
+        """Stop the timer that limits the duration of the body."""
         if self._body_timer is not None:
             self._body_timer.cancel()
 
     def refuse(self, error: RequestError, retry_after_s: float | None = None) -> None:
-        """Answer with a request error."""
+        """Count the refusal and reply with the error."""
         self.services.metrics.count(f"refused.{error.code}")
         self.reply(refused_reply("", error, retry_after_s))
 
     def reply(self, reply: Reply) -> None:
-        """Write a whole answer."""
+        """Write a complete reply, unless one was written before."""
         if self._finished:
             return
         self.set_status(reply.status)
@@ -130,8 +135,8 @@
     def _body_timed_out(self) -> None:
         self.refuse(
             RequestTimeoutError(
-                "the request's body came too slowly",
-                why=f"it wasn't whole after {self.services.limits.body_timeout_s} s",
+                "the request's body wasn't received in time",
+                why=f"it was incomplete after {self.services.limits.body_timeout_s} s",
             )
         )
 
@@ -143,7 +148,7 @@
         )
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer what tornado itself refuses, in our form."""
+        """Reply to a request that tornado itself refuses, in the form of our errors."""
         error = RequestError(
             f"the request was refused with status {status_code}", why=self._reason
         )
@@ -153,17 +158,16 @@
 
 
 class GenerateHandler(_CallerHandler):
-    """``POST /v1/pipelines/<name>/generate``."""
+    """Handles ``POST /v1/pipelines/<name>/generate``."""
 
     def initialize(self, services: CallerServices) -> None:
-        """Set up."""
         super().initialize(services)
         self._driver: GenerateDriver | None = None
         self._unsent_tokens: list[Token] = []
         self._stream_changed = asyncio.Event()
 
     async def post(self, name: str) -> None:
-        """Run the request."""
+        """Run a generate request; reply at once or as an event stream."""
         body = self.take_body()
         services = self.services
         try:
@@ -184,7 +188,7 @@
             self.reply(await self._dispatch(parsed, body, _ignore_token))
 
     def on_connection_close(self) -> None:
-        """The caller went away: cancel its work."""
+        """Cancel the request after the caller closed its connection."""
         if self._driver is not None:
             self.services.metrics.count("callers.gone")
             self._driver.caller_disconnected()
@@ -216,7 +220,7 @@
         self._stream_changed.set()
 
     async def _write_tokens(self) -> None:
-        # What has gathered while the last flush waited leaves as one event.
+        # All tokens that arrived during the previous flush are sent as one event.
         tokens, self._unsent_tokens = self._unsent_tokens, []
         self._set_stream_headers()
         first_step = tokens[0].step
@@ -232,8 +236,8 @@
             return
 
     def _set_stream_headers(self) -> None:
-        # Headers wait for the first token, so that a request that is refused
-        # before it gets a plain answer with its own status.
+        # Headers aren't sent before the first token, so that a request that is refused
+        # earlier gets a plain reply with an error status.
         if not self._headers_written:
             self.set_header("Content-Type", "text/event-stream")
             self.set_header("Cache-Control", "no-store")
@@ -247,10 +251,10 @@
 
 
 class ServiceHandler(_CallerHandler):
-    """``/v1/services/<name>/<path>``, any method."""
+    """Handles ``/v1/services/<name>/<path>`` for any method."""
 
     async def _forward_call(self, name: str, path: str) -> None:
-        """Pass a call on, whatever its method."""
+        """Forward a call of any method to the service."""
         body = self.take_body()
         if self.request.query:
             path = f"{path}?{self.request.query}"
@@ -275,10 +279,10 @@
 
 
 class NotFoundHandler(_CallerHandler):
-    """Any other path."""
+    """Handles all other paths."""
 
     def prepare(self) -> None:
-        """Refuse."""
+        """Refuse the request."""
         self.refuse(
             UnknownTargetError(
                 f"there is nothing at {self.request.path}",
@@ -288,4 +292,4 @@
 
 
 def _ignore_token(token: Token) -> None:
-    """Tokens of a plain answer are gathered by the dispatcher."""
+    """Do nothing: the dispatcher collects the tokens of a plain reply."""
--- a/src/railfold/_internal/entry/calls.py
+++ b/src/railfold/_internal/entry/calls.py
@@ -1,4 +1,4 @@
-"""Driving one plain service call through its lifecycle."""
+"""Run one call of a plain service."""
 
 from __future__ import annotations
 
@@ -37,7 +37,10 @@
 
 @dataclass(frozen=True, slots=True)
 class CallReply:
-    """The outcome of a call, and the service's answer if there is one."""
+    """The outcome of a call, and the service's answer if there is one.
+
+    :param host: the host that the call was last sent to; empty if there was none.
+    """
 
     outcome: Outcome
     answer: CallResult | None
@@ -45,7 +48,7 @@
 
 
 class CallDriver:
-    """Feeds one call's lifecycle and performs its actions."""
+    """Passes events to one call's lifecycle and performs the resulting actions."""
 
     def __init__(
         self, request: ServiceRequest, service: Service, context: RoutingContext
@@ -62,7 +65,7 @@
         self._answer: CallResult | None = None
 
     async def run(self) -> CallReply:
-        """Return the final outcome and the answer."""
+        """Run the call; return its final outcome and the answer."""
         request_id = self._request.request_id
         self._context.agents.register(request_id, self)
         self._context.budget.earn(self._loop.time())
@@ -79,12 +82,12 @@
             self._count_own(-1)
 
     def hosts_lost(self, hosts: frozenset[str]) -> None:
-        """These hosts' work in flight is lost."""
+        """Process the loss of all work in flight on these hosts."""
         if self._lifecycle.host in hosts:
             self._feed(CallHostLost(self._lifecycle.host))
 
     def message_received(self, host: str, message: RequestMessage) -> None:
-        """Take an agent's message about this call."""
+        """Process a message from ``host`` about this call."""
         match message:
             case CallResult():
                 if host == self._lifecycle.host and not self._lifecycle.done:
@@ -152,7 +155,7 @@
             timeout_s=max(0.001, request.deadline_s - self._loop.time()),
         )
         if not self._context.agents.send(stage, message):
-            # Nothing left this entry: as good as a refusal.
+            # Nothing was sent, so the call counts as refused before it started.
             self._feed(CallHostRefused(stage.host, False, "not linked"))
 
     def _count_own(self, change: int) -> None:
--- a/src/railfold/_internal/entry/claims.py
+++ b/src/railfold/_internal/entry/claims.py
@@ -1,4 +1,4 @@
-"""Claiming idempotency keys in the platform's log."""
+"""Claim idempotency keys in the platform's log."""
 
 from __future__ import annotations
 
@@ -29,7 +29,12 @@
 
 
 class ClaimManager:
-    """Reads the claims stream and writes this entry's claims to it."""
+    """Reads the claims stream and writes this entry's claims to it.
+
+    Each claim is appended to the log and read back before its request is sent.
+
+    :param entry: the name of this entry, which its claims carry.
+    """
 
     def __init__(
         self,
@@ -45,14 +50,14 @@
         self._abandoned: dict[str, ClaimKey] = {}
         self.caught_up_once = False
 
-    # Reading the stream.
+    # Reading the claims stream.
 
     def next_offset(self) -> int:
         """Return the offset to read from."""
         return self._ledger.next_offset
 
     def record(self, record: LogRecord) -> None:
-        """Fold one record."""
+        """Apply one record to the ledger; skip it if it is unreadable."""
         try:
             write_id, claim = claim_from_log(record.body)
         except msgspec.ValidationError:
@@ -68,26 +73,26 @@
                 pass
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
-        """The ledger is as new as the log."""
+        """Note that the ledger has caught up with the log at least once."""
         self.caught_up_once = True
 
     def expired(self, first_offset: int) -> int:
-        """Go on after records that were lost to retention."""
+        """Skip records that the log has dropped; return the offset to continue from."""
         self._ledger.skip_to(first_offset)
         return first_offset
 
-    # Claims of this entry's requests.
+    # Claims for this entry's requests.
 
     def current_claim(self, key: ClaimKey) -> Claim | None:
-        """Return the standing claim of ``key`` as far as this entry has read."""
+        """Return the current claim of ``key`` in the part of the log read so far."""
         return self._ledger.get(key)
 
     async def claim(self, write: ClaimWrite, timeout_s: float) -> ClaimVerdict:
-        """Claim a key and return what the log says of it.
+        """Claim a key and return the result according to the log.
 
         :raises LogUnavailableError: the log didn't answer in time. The request
-            must not be sent then; if the claim turns out to stand after all,
-            it is released.
+            must not be sent then. If the claim is read from the log later, it is
+            released.
         """
         if self._ledger.get(write.key) is not None:
             return self._ledger.verdict(write)
@@ -99,7 +104,7 @@
         return self._ledger.verdict(write)
 
     def release(self, key: ClaimKey, request_id: str) -> None:
-        """The request provably didn't run: free its key."""
+        """Free a key, because its request is proven not to have run."""
         self._append_later(ReleaseWrite(key, request_id))
 
     def complete(
--- a/src/railfold/_internal/entry/configuration.py
+++ b/src/railfold/_internal/entry/configuration.py
@@ -1,4 +1,4 @@
-"""The entry's part in the configuration: it reads the log and tells agents."""
+"""Read the configuration stream, send changes to agents and write checkpoints."""
 
 from __future__ import annotations
 
@@ -25,8 +25,11 @@
 
 
 class ConfigurationDistributor:
-    """Folds the configuration stream, passes it on, and writes checkpoints.
+    """Applies the configuration stream, distributes it and writes checkpoints.
 
+    :param entry: the name of this entry, written into its checkpoints.
+    :param max_delay_s: upper bound of the random delay before a checkpoint, in which
+        another entry may write one.
     :param broadcast: sends a message to every linked agent.
     """
 
@@ -56,7 +59,7 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this process has a configuration to work with."""
+        """Whether this process has a configuration; if the log is empty, so is it."""
         if self._replica.version > 0:
             return True
         return self.caught_up_once and not self._scanner.in_gap
@@ -66,7 +69,7 @@
         return self._scanner.next_offset()
 
     def record(self, record: LogRecord) -> None:
-        """Take one record, and pass it on to the agents."""
+        """Apply one record and send it to the agents."""
         folded = self._scanner.record(record)
         if folded is None:
             return
@@ -81,15 +84,21 @@
             self._schedule.checkpoint_seen()
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
-        """All there is was read."""
+        """Note that the stream was read to its end at least once."""
         self.caught_up_once = True
 
     def expired(self, first_offset: int) -> int:
-        """Records were lost to retention: look for a checkpoint."""
+        """Skip records that the log has dropped, and search for a checkpoint.
+
+        :returns: the offset to continue from.
+        """
         return self._scanner.expired(first_offset)
 
     async def run_checkpoints(self, ready: asyncio.Event) -> None:
-        """Child: write a checkpoint when one is due and nobody else does."""
+        """Write a checkpoint when one is due and no other entry has written it.
+
+        Runs as a child of the supervisor until it is cancelled.
+        """
         ready.set()
         loop = asyncio.get_running_loop()
         while True:
@@ -113,5 +122,6 @@
             await self._log.append(self._stream, [msgspec.to_builtins(record)])
             self._metrics.count("configuration.checkpoints_written")
         except LogUnavailableError:
-            # It stays due; a checkpoint that did take effect will be met.
+            # The checkpoint stays due. If the append succeeded after all, the
+            # checkpoint will be read from the stream.
             self._metrics.count("configuration.checkpoint_failures")
--- a/src/railfold/_internal/entry/dispatch.py
+++ b/src/railfold/_internal/entry/dispatch.py
@@ -1,4 +1,4 @@
-"""Taking a validated request from admission to its final outcome."""
+"""Take a validated request from admission to its final outcome."""
 
 from __future__ import annotations
 
@@ -63,7 +63,11 @@
 
 
 class Dispatcher:
-    """Runs requests: admission, claim, then the driver."""
+    """Runs requests: admits each, claims its idempotency key, then starts its driver.
+
+    :param claims_readable: returns whether the claims stream is read successfully and
+        was read to its end.
+    """
 
     def __init__(
         self,
@@ -86,10 +90,12 @@
         on_driver: Callable[[GenerateDriver], None],
         body: bytes,
     ) -> Reply:
-        """Run a generate request and return its whole answer.
+        """Run a generate request and return its complete answer.
 
-        :param on_token: called with each token as it comes.
-        :param on_driver: called with the driver, to cancel it by.
+        :param on_token: called with each token as it arrives.
+        :param on_driver: called with the driver, through which the request can be
+            cancelled.
+        :param body: the request's body as received, for its fingerprint.
         """
         request = parsed.request
         tokens: list[Token] = []
@@ -118,7 +124,7 @@
         )
 
     async def call(self, parsed: ParsedService) -> Reply:
-        """Run a service call and return its whole answer."""
+        """Run a service call and return its complete answer."""
         request = parsed.request
 
         async def run() -> _Result:
@@ -198,7 +204,7 @@
         return result.reply
 
     async def _claim(self, write: ClaimWrite, deadline_s: float) -> Reply | None:
-        """Return None if the claim was won, else what to answer."""
+        """Claim an idempotency key; return None if it was won, else the reply."""
         remaining_s = deadline_s - asyncio.get_running_loop().time()
         try:
             if not self._claims_readable():
@@ -225,8 +231,9 @@
     def _unsettled_claim_reply(
         self, write: ClaimWrite, error: LogUnavailableError
     ) -> Reply:
-        # This request wasn't sent, but an earlier one with the same key may
-        # have run; without the log that can't be told, so it isn't "not run".
+        # This request wasn't sent, but an earlier one with the same key may have run.
+        # Only the log shows whether it did, so the outcome is "unknown" rather than
+        # "not run".
         self._context.metrics.count("claims.unsettled")
         unsettled = LogUnavailableError(
             "the idempotency key can't be claimed now, so the request wasn't sent",
@@ -249,13 +256,13 @@
                     headers,
                 )
             too_large = DuplicateKeyError(
-                "an earlier request with this key has ended; its answer isn't kept",
-                why="the answer was empty or too large to keep",
+                "an earlier request with this key has ended; its answer wasn't stored",
+                why="the answer was empty or too large to store",
             )
             return error_reply(write.request_id, Unknown(too_large))
         in_progress = DuplicateKeyError(
-            "an earlier request with this key is under way, or its entry died",
+            "an earlier request with this key is in progress, or its entry crashed",
             why="its outcome isn't recorded",
-            hint="ask again with the same key after Retry-After",
+            hint="send it again with the same key after Retry-After",
         )
         return error_reply(write.request_id, Unknown(in_progress, _RETRY_AFTER_S))
--- a/src/railfold/_internal/entry/explain.py
+++ b/src/railfold/_internal/entry/explain.py
@@ -1,4 +1,4 @@
-"""Saying why a request would go where."""
+"""Explain to operators how a request would be routed."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostVerdict:
-    """Why a placed host is or isn't in the chain."""
+    """Explains why a host with placed layers is or isn't in the chain."""
 
     host: str
     layers: str
@@ -34,7 +34,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Explanation:
-    """The chain that a new request would get, and each placed host's verdict."""
+    """The chain that a new request would get, and a verdict on each placed host.
+
+    :param no_chain: why there is no chain; empty if there is one.
+    """
 
     chain: list[str]
     no_chain: str
@@ -47,7 +50,11 @@
     costs: LinkCosts,
     weights: PlannerWeights,
 ) -> Explanation:
-    """Return what the planner would do now; its jitter isn't repeated."""
+    """Return the chain that the planner would choose now, and why.
+
+    The planner's random jitter uses a fixed seed here, so that a real request may get
+    another chain of nearly the same cost.
+    """
     replicas = view.stages(pipeline.model, pipeline.version, pipeline.placements)
     chain, no_chain = [], ""
     try:
@@ -98,11 +105,11 @@
     """Answers ``GET /v1/explain?pipeline=<name>``."""
 
     def initialize(self, explain: Callable[[str], Explanation | None]) -> None:
-        """Set the function that explains."""
+        """Set the function that returns a pipeline's explanation, if it exists."""
         self._explain = explain
 
     def get(self) -> None:
-        """Answer."""
+        """Reply with the explanation as JSON, or with status 404."""
         name = self.get_query_argument("pipeline")
         explanation = self._explain(name)
         if explanation is None:
--- a/src/railfold/_internal/entry/generate.py
+++ b/src/railfold/_internal/entry/generate.py
@@ -1,4 +1,4 @@
-"""Driving one generate request through its lifecycle."""
+"""Run one generate request."""
 
 from __future__ import annotations
 
@@ -57,7 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutingContext:
-    """What all drivers of an entry share."""
+    """Dependencies and settings that all drivers of an entry share.
+
+    :param budget: limits the retries of all requests together.
+    :param overdue_floor_s: lower bound of the limit for the next token.
+    :param overdue_factor: that limit as a multiple of the mean recent gap.
+    :param first_token_overdue_s: limit for the first token of an attempt.
+    """
 
     agents: AgentPool
     metrics: Metrics
@@ -72,7 +78,7 @@
 
 
 class GenerateDriver:
-    """Feeds one request's lifecycle and performs its actions.
+    """Passes events to one request's lifecycle and performs the resulting actions.
 
     :param pipeline: the pipeline as it was when the request was admitted.
     :param on_token: called with each token, in order.
@@ -104,16 +110,16 @@
 
     @property
     def chain(self) -> Chain:
-        """The chain of the newest attempt."""
+        """The chain of the latest attempt."""
         return self._lifecycle.chain
 
     @property
     def attempts(self) -> int:
-        """How many attempts there were."""
+        """Number of attempts so far."""
         return self._lifecycle.attempt
 
     async def run(self) -> Outcome:
-        """Return the final outcome."""
+        """Run the request and return its final outcome."""
         request_id = self._request.request_id
         self._context.agents.register(request_id, self)
         self._context.budget.earn(self._loop.time())
@@ -131,15 +137,15 @@
             self._count_own(-1)
 
     def caller_disconnected(self) -> None:
-        """The caller closed its connection."""
+        """Process the caller's disconnection."""
         self._feed(CallerDisconnected())
 
     def hosts_lost(self, hosts: frozenset[str]) -> None:
-        """These hosts' work in flight is lost."""
+        """Process the loss of all work in flight on these hosts."""
         self._feed(HostsLost(hosts))
 
     def message_received(self, host: str, message: RequestMessage) -> None:
-        """Take an agent's message about this request."""
+        """Process a message from ``host`` about this request."""
         match message:
             case EmittedToken(attempt=attempt, token=token, lineage=lineage):
                 is_newest = attempt == self._lifecycle.attempt
@@ -188,7 +194,7 @@
             error = OverloadedError(
                 "no retry is allowed now",
                 why="the retry budget is spent",
-                hint="come back after Retry-After",
+                hint="send it again after Retry-After",
             )
             self._feed(PlanRefused(error, retry_after_s))
             return
@@ -258,5 +264,5 @@
         self._schedule_overdue_check()
 
     async def _probe_stages(self, chain: Chain) -> None:
-        # Hosts found dead are reported to all drivers, this one included.
+        # The agent pool reports lost hosts to all drivers, including this one.
         await self._context.agents.probe(chain.stages)
--- a/src/railfold/_internal/entry/parsing.py
+++ b/src/railfold/_internal/entry/parsing.py
@@ -1,4 +1,4 @@
-"""Turning callers' HTTP requests into validated requests."""
+"""Parse and validate callers' HTTP requests."""
 
 from __future__ import annotations
 
@@ -60,7 +60,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedGenerate:
-    """A validated generate request and what it refers to."""
+    """A validated generate request with its workspace and pipeline.
+
+    :param stream: whether the caller asked for a stream of events.
+    """
 
     request: GenerateRequest
     workspace: Workspace
@@ -70,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ParsedService:
-    """A validated service call and what it refers to."""
+    """A validated service call with its workspace and service."""
 
     request: ServiceRequest
     workspace: Workspace
@@ -102,7 +105,8 @@
     ) -> ParsedGenerate:
         """Return a validated generate request.
 
-        :raises RequestError: it is refused; says what, why and the hint.
+        :param now_s: current loop time, from which the deadline counts.
+        :raises RequestError: the request is refused.
         """
         common = self._parse_common(configuration, headers, now_s, repeatable=True)
         pipeline = configuration.pipelines.get(name)
@@ -141,7 +145,8 @@
     ) -> ParsedService:
         """Return a validated service call.
 
-        :raises RequestError: it is refused; says what, why and the hint.
+        :param now_s: current loop time, from which the deadline counts.
+        :raises RequestError: the call is refused.
         """
         is_safe = method in _SAFE_METHODS
         common = self._parse_common(configuration, headers, now_s, repeatable=is_safe)
@@ -197,13 +202,17 @@
             raise DeadlineExpiredError(
                 "the request's deadline has passed",
                 why=f"{DEADLINE_HEADER} is {deadline_ms}",
-                hint="send the milliseconds that are left from now",
+                hint="send the number of milliseconds that remain",
             )
         return deadline_ms / 1000.0
 
 
 def fingerprint(kind: str, target: str, body: bytes) -> str:
-    """Return a digest that tells requests under one idempotency key apart."""
+    """Return a digest that differs for different requests with the same key.
+
+    :param kind: 'generate' or 'service'.
+    :param target: the pipeline, or the method and path of a call.
+    """
     digest = hashlib.blake2b(digest_size=16)
     for part in (kind.encode(), target.encode(), body):
         digest.update(len(part).to_bytes(8, "big"))
@@ -223,7 +232,8 @@
         or not authorized
         or not authorization.startswith(_BEARER_PREFIX)
     ):
-        # The same words for both cases: names of workspaces aren't given away.
+        # Both cases get the same error, so that it doesn't reveal whether a workspace
+        # exists.
         raise UnauthorizedError(
             "the workspace is unknown or the credential is wrong",
             hint=f"send {WORKSPACE_HEADER} and 'Authorization: Bearer <credential>'",
--- a/src/railfold/_internal/entry/probes.py
+++ b/src/railfold/_internal/entry/probes.py
@@ -1,4 +1,4 @@
-"""Asking agents whether they live, and judging their silence."""
+"""Probe agents and decide whether an unanswered probe means a failure."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 __all__ = ["AgentProber", "ProbeResult"]
 
-# How many probe time-outs an agent is given while no other agent answers either.
-# With the default time-out of 0.2 s that is 0.8 s: 2 MB at 20 Mbit/s, the link of a
-# small entry, which is three times a configuration with 3,050 routes (570 KB).
+# Number of probe time-outs that an agent is allowed while no other agent answers
+# either. With the default time-out of 0.2 s that is 0.8 s, in which the 20 Mbit/s link
+# of a small entry carries 2 MB: three times a configuration with 3,050 routes (570 KB).
 _TIMEOUTS_IF_ALL_SILENT = 4
 
 
 class ProbeResult(Enum):
-    """What came of a probe."""
+    """The result of a probe."""
 
     ALIVE = auto()
     STALLED = auto()
@@ -37,14 +37,15 @@
 
 
 class AgentProber:
-    """Sends probes and takes their answers.
+    """Sends probes and matches answers to them.
 
-    An agent is silent if it doesn't answer within the time-out although another
-    agent answered a probe that was sent later. Without that proof the cause may
-    be here: while this process is held up or its own link is full, no answer
-    comes, whoever is well.
+    An agent is silent if it doesn't answer within the time-out after another agent
+    has answered a probe that was sent later. Without such an answer the cause may be
+    local: while this process is blocked or its own link is full, it receives no
+    answers even from healthy agents.
 
-    :param message: returns the probe with a nonce.
+    :param timeout_s: how long an agent may take to answer.
+    :param make_probe: returns the probe message for a nonce.
     """
 
     def __init__(
@@ -57,7 +58,7 @@
         self._pending: dict[int, _PendingProbe] = {}
 
     async def probe(self, link: Link) -> ProbeResult:
-        """Send a probe and return what came of it."""
+        """Send a probe and return its result."""
         loop = asyncio.get_running_loop()
         nonce = next(self._nonces)
         pending = _PendingProbe(loop.create_future(), loop.create_future())
@@ -82,7 +83,10 @@
         return ProbeResult.STALLED if stalled else ProbeResult.ALIVE
 
     def answer_received(self, nonce: int, *, stalled: bool) -> None:
-        """Take an agent's answer."""
+        """Process an agent's answer to the probe with this nonce.
+
+        Probes that were sent earlier and are still unanswered are notified too.
+        """
         pending = self._pending.get(nonce)
         if pending is not None and not pending.answer.done():
             pending.answer.set_result(stalled)
--- a/src/railfold/_internal/entry/process.py
+++ b/src/railfold/_internal/entry/process.py
@@ -1,4 +1,4 @@
-"""The entry: one of the few processes behind the platform's balancer."""
+"""The entry process, which serves callers behind the platform's load balancer."""
 
 from __future__ import annotations
 
@@ -69,7 +69,7 @@
 
 
 class Entry:
-    """The parts of one entry, wired together."""
+    """Creates and connects the components of one entry."""
 
     def __init__(self, settings: EntrySettings) -> None:
         self._settings = settings
@@ -221,11 +221,14 @@
         return Supervisor("entry", children)
 
     def begin_drain(self) -> None:
-        """Say "not ready" to the balancer from now on."""
+        """Report "not ready" to the load balancer from now on."""
         self._draining = True
 
     async def drain(self) -> None:
-        """Leave the balancer, finish what is in flight, then return."""
+        """Leave the load balancer, then wait until the requests in flight have ended.
+
+        The wait for requests in flight is limited by the drain time-out.
+        """
         drain = self._settings.drain
         self.begin_drain()
         await asyncio.sleep(drain.notice_s)
@@ -236,7 +239,7 @@
         return bool(self._agents.in_flight or waiting)
 
     def status(self) -> dict[str, Any]:
-        """Return what ``railfold status`` shows."""
+        """Return the status that ``railfold status`` shows."""
         versions = self._agents.peer_versions()
         sent, received = self._agents.link_bytes()
         return {
@@ -273,7 +276,7 @@
         }
 
     def explain(self, name: str) -> Explanation | None:
-        """Return why a request of a pipeline would go where, if it exists."""
+        """Explain the routing of a pipeline; return None if it doesn't exist."""
         pipeline = self._replica.configuration.pipelines.get(name)
         if pipeline is None:
             return None
@@ -282,7 +285,7 @@
         )
 
     def audit(self) -> list[dict[str, Any]]:
-        """Return the audit trail, oldest first."""
+        """Return the audit trail of configuration changes, oldest first."""
         entries = self._replica.configuration.audit
         return [msgspec.to_builtins(entry) for entry in entries]
 
@@ -293,7 +296,7 @@
         return self._claims.caught_up_once and self._claims_follower.reading
 
     def _on_configuration_change(self) -> None:
-        # A changed pipeline or limit meets requests admitted from now on.
+        # Changed pipelines and limits apply to requests that are admitted from now on.
         self._on_capacity_change()
 
     def _on_capacity_change(self) -> None:
@@ -315,8 +318,8 @@
         return reasons
 
     def _refusal_reasons(self) -> list[str]:
-        # While draining, a request that still comes is served: the balancer
-        # may not have seen the probe fail yet.
+        # A draining entry still serves new requests, because the load balancer may not
+        # have noticed yet that the entry isn't ready.
         return [] if self._configuration.ready else ["no configuration yet"]
 
     def _operator_server(self) -> HttpServerChild:
@@ -363,7 +366,8 @@
         return HttpServerChild(
             application,
             self._settings.listen.callers,
-            # Above our own limits, which answer with a typed error.
+            # Higher than the limits that the handlers check, so that a request over
+            # those limits gets a typed error instead of one from tornado.
             max_header_size=limits.max_header_bytes * _HEADER_LIMIT_FACTOR,
             max_body_size=limits.max_body_bytes * 2,
             idle_connection_timeout=limits.body_timeout_s,
@@ -371,10 +375,10 @@
 
 
 async def run_entry(settings: EntrySettings) -> None:
-    """Run an entry until it is told to stop."""
+    """Run an entry until it receives a signal to stop."""
     entry = Entry(settings)
     await run_process(entry.tree(), entry.drain)
 
 
 def _ignore_log_call(*_: object) -> None:
-    """Do nothing."""
+    """Ignore a finished HTTP request instead of logging it."""
--- a/tests/functional/conftest.py
+++ b/tests/functional/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of functional tests: small deployments of real processes."""
+"""Fixtures for functional tests: small deployments of real processes."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def two_hosts_per_stage(fixed_ms: float = 5.0) -> list[EngineHost]:
-    """Six hosts: two for each third of the layers, in different domains."""
+    """Return six hosts: two for each third of the layers, in different domains."""
     return [
         EngineHost(
             f"meter-{stage}{replica}",
@@ -28,7 +28,7 @@
 
 @pytest.fixture
 def cluster() -> Iterator[Cluster]:
-    """One entry and three agents, each with a third of the layers."""
+    """Run one entry, three agents with a third of the layers each, and one service."""
     with Cluster(THREE_STAGES, service_hosts=1) as cluster:
         yield cluster
         assert_steps_ran_once_in_order(cluster)
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 def cluster_with_spares() -> Iterator[Cluster]:
-    """One entry and six agents: each stage has a spare."""
+    """Run one entry and six agents, so that each stage has a spare."""
     with Cluster(two_hosts_per_stage()) as cluster:
         yield cluster
         assert_steps_ran_once_in_order(cluster)
@@ -44,14 +44,14 @@
 
 @pytest.fixture
 def two_entry_cluster() -> Iterator[Cluster]:
-    """Two entries, three stages, and two hosts with the plain service."""
+    """Run two entries, three stages, and two hosts with the plain service."""
     with Cluster(THREE_STAGES, entries=2, service_hosts=2) as cluster:
         yield cluster
         assert_steps_ran_once_in_order(cluster)
 
 
 def assert_steps_ran_once_in_order(cluster: Cluster) -> None:
-    """Check that no engine was ever given a step twice or out of order."""
+    """Check that no running engine received a step twice or out of order."""
     for host in cluster.engines:
         process = cluster.processes[f"engine-{host.host}"]
         if process.popen.poll() is not None:
--- a/tests/functional/test_bad_input.py
+++ b/tests/functional/test_bad_input.py
@@ -1,4 +1,8 @@
-"""Bad input gets a typed error at once and never reaches an engine."""
+"""Invalid requests get a typed error immediately and never reach an engine.
+
+They guard against malformed, oversized or slow requests that use up an entry or pass
+unchecked values on to an engine.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +21,7 @@
 
 @pytest.fixture(scope="module")
 def one_host_cluster() -> Iterator[Cluster]:
-    """One entry and one agent whose engine must never be reached."""
+    """Run one entry and one agent; check that its engine got no request."""
     with Cluster([HOST], entry_overrides=ENTRY_OVERRIDES) as cluster:
         yield cluster
         assert get(f"{cluster.engine_url(HOST.host)}/v1/status")["started"] == 0
@@ -112,7 +116,7 @@
 
 
 def send_raw(cluster: Cluster, *parts: bytes) -> bytes:
-    """Send raw bytes and return all that comes until the end."""
+    """Send raw bytes; return all bytes received until the connection closes."""
     address = urlsplit(cluster.callers_url())
     with socket.create_connection((address.hostname, address.port), 20.0) as connection:
         for part in parts:
--- a/tests/functional/test_outcomes.py
+++ b/tests/functional/test_outcomes.py
@@ -1,4 +1,8 @@
-"""What callers are told holds, under lost answers, outages and pauses."""
+"""Outcomes reported to callers are true despite lost answers, outages and pauses.
+
+The tests guard against calls that run twice, or that are reported as not run although
+they may have run, after an answer, the log, an agent or an entry was lost.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +23,7 @@
 
 
 def slips_logged(cluster: Cluster, slip: str) -> int:
-    """Return how often a slip was logged, over all service hosts."""
+    """Return how often a slip was logged, summed over all service hosts."""
     return sum(
         get(f"{cluster.service_url(f'records-{index}')}/slips").get(slip, 0)
         for index in range(cluster.service_hosts)
@@ -27,14 +31,14 @@
 
 
 def delay_services(cluster: Cluster) -> None:
-    """Make each call of the plain service take a while."""
+    """Delay each answer of the plain service by ``SLOW_CALL_MS``."""
     for index in range(cluster.service_hosts):
         url = cluster.service_url(f"records-{index}")
         post(f"{url}/control/delay/{SLOW_CALL_MS}", {})
 
 
 class BackgroundCall(threading.Thread):
-    """A slip logged on a thread of its own."""
+    """Logs a slip in a separate thread."""
 
     def __init__(self, url: str, slip: str, **headers: str) -> None:
         super().__init__(daemon=True)
@@ -43,12 +47,12 @@
         self.start()
 
     def run(self) -> None:
-        """Send the call."""
+        """Send the call and store its answer."""
         url, slip, headers = self._call_arguments
         self.answer = log_slip(url, slip, **headers)
 
     def result(self) -> Answer:
-        """Return the answer."""
+        """Wait for the answer and return it."""
         self.join(30.0)
         assert self.answer is not None
         return self.answer
@@ -184,8 +188,8 @@
 
 
 def test_call_is_not_sent_again_after_its_answer_is_lost(cluster: Cluster) -> None:
-    # A connection that has served a call before is kept alive. An HTTP client
-    # may send a request again when such a connection breaks.
+    # The first calls leave a keep-alive connection. When such a connection breaks, an
+    # HTTP client may send its request again, which would run the call twice.
     for number in range(3):
         assert log_slip(cluster.callers_url(), f"slip-{number}").status == 201
     url = f"{cluster.callers_url()}/v1/services/line-records/drops/slip-14"
--- a/tests/functional/test_planned_stops.py
+++ b/tests/functional/test_planned_stops.py
@@ -1,4 +1,8 @@
-"""A planned stop cuts nothing in flight and takes nothing new."""
+"""A planned stop lets requests in flight finish and takes no new work.
+
+The tests guard against answers that break off, and against new work on hosts that are
+about to leave, when agents and entries are stopped for maintenance.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +32,7 @@
     caller = StreamCaller(cluster_with_spares.callers_url(), "unit 1", 400)
     caller.wait_tokens(3)
     middle_host = busy_hosts(cluster_with_spares)[1]
-    # The platform's list goes on calling the host live.
+    # The platform's host list doesn't mark the host as leaving.
     post(f"{cluster_with_spares.agent_url(middle_host)}/v1/drain", {})
     for number in range(6):
         answer = generate(cluster_with_spares.callers_url(), f"unit {number}", 4)
--- a/tests/functional/test_sessions.py
+++ b/tests/functional/test_sessions.py
@@ -1,4 +1,7 @@
-"""Whole sessions of both deployments, compared with golden files."""
+"""Sessions with two deployments produce the answers in the snapshot files.
+
+Guards against unintended changes of statuses, headers and bodies that callers see.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """A deployment's shape, cut down to one host for each stage."""
+    """A deployment's domains and workspaces, reduced to one host for each stage."""
 
     name: str
     domains: tuple[str, str, str]
@@ -37,7 +40,7 @@
 
 
 def comparable_answer(answer: Answer) -> dict[str, Any]:
-    """Return what a session's golden file holds of an answer."""
+    """Return the parts of an answer that are the same in each run."""
     compared_headers = ("Railfold-Outcome", "Content-Type", "Railfold-Replayed")
     body = answer.body
     if isinstance(body, dict):
@@ -55,7 +58,10 @@
 
 
 def comparable_stream(cluster: Cluster, prompt: str) -> list[Any]:
-    """Return a streamed session; how tokens share events isn't stated."""
+    """Stream an answer; return its text and outcome.
+
+    The text is joined, because the number of tokens in an event differs between runs.
+    """
     events = list(stream_generate(cluster.callers_url(), prompt, 8))
     text = "".join(event.data["text"] for event in events if event.name == "tokens")
     outcome = {
--- a/tests/functional/test_whole_path.py
+++ b/tests/functional/test_whole_path.py
@@ -1,4 +1,7 @@
-"""Requests through real processes on loopback, without faults."""
+"""Requests pass through real processes on loopback without injected faults.
+
+Guards against tokens that are lost, repeated or changed between engines and caller.
+"""
 
 from __future__ import annotations
 
--- a/tests/unit/test_generate_driver.py
+++ b/tests/unit/test_generate_driver.py
@@ -1,4 +1,7 @@
-"""The driver of a generate request, with a paused clock and no processes."""
+"""The driver of a generate request reacts to late tokens, lost hosts and deadlines.
+
+The tests use a simulated clock and a fake agent pool instead of processes.
+"""
 
 from __future__ import annotations
 
@@ -43,7 +46,7 @@
 
 
 class FakeAgentPool:
-    """Plays the agent pool: remembers what was sent and probed."""
+    """Replaces the agent pool; records opened sequences and the times of probes."""
 
     def __init__(self) -> None:
         self.view = MembershipView()
@@ -79,7 +82,7 @@
             self.driver.hosts_lost(self.silent_hosts)
 
     def emit(self, step: int) -> None:
-        """Send the token of a step, with its lineage, to the driver."""
+        """Deliver the token of a step, with its lineage, to the driver."""
         newest_attempt = self.opened_sequences[-1]
         lineage = tuple(
             StageRun(
