--- a/src/railfold/_internal/entry/admission.py
+++ b/src/railfold/_internal/entry/admission.py
@@ -41,7 +41,7 @@
 
 
 class Admission:
-    """Admits requests within live capacity; queues or refuses the others.
+    """Admits requests within live capacity; queues or refuses others.
 
     :param rng: spreads the Retry-After values of refused requests.
     """
@@ -71,14 +71,16 @@
         deadline_s: float,
         entry_count: int,
     ) -> AsyncIterator[None]:
-        """Admit a request, waiting in the queue if necessary, for the context.
+        """Hold capacity for a request while the context is open.
+
+        The request waits in the queue first if there is no free capacity.
 
         :param cost: expected work; tokens for a pipeline, 1 for a service call.
         :param deadline_s: loop time at which the request expires.
         :param entry_count: number of entries that share the capacity.
-        :raises AdmissionRefusedError: immediately if the queue is full or the request
-            can't finish before its deadline; later if its deadline passes in the
-            queue or if it is shed because capacity was lost.
+        :raises AdmissionRefusedError: immediately if there is no live capacity, the
+            queue is full, or the request can't finish before its deadline; later if
+            its deadline passes in the queue or it is shed because capacity was lost.
         """
         ticket = Ticket(
             workspace.name,
--- a/src/railfold/_internal/entry/agents.py
+++ b/src/railfold/_internal/entry/agents.py
@@ -135,7 +135,9 @@
     def link_bytes(self) -> tuple[int, int]:
         """Return the bytes sent and the bytes received on all open links."""
         links = self._links.values()
-        return sum(x.bytes_sent for x in links), sum(x.bytes_received for x in links)
+        return sum(link.bytes_sent for link in links), sum(
+            link.bytes_received for link in links
+        )
 
     # The platform's host list.
 
@@ -302,7 +304,10 @@
         if links:
             other_link = max(
                 links,
-                key=lambda x: (x.peer.failure_domain not in domains, x.last_heard_s),
+                key=lambda link: (
+                    link.peer.failure_domain not in domains,
+                    link.last_heard_s,
+                ),
             )
             self._spawn(self._probe_link(other_link))
 
--- a/src/railfold/_internal/entry/parsing.py
+++ b/src/railfold/_internal/entry/parsing.py
@@ -253,7 +253,7 @@
         return _GenerateBody.model_validate_json(body)
     except ValidationError as error:
         problems = [
-            f"{'.'.join(str(p) for p in problem['loc']) or 'body'}: {problem['msg']}"
+            f"{'.'.join(str(part) for part in problem['loc']) or 'body'}: {problem['msg']}"
             for problem in error.errors()
         ]
         raise InvalidRequestError(
--- a/src/railfold/_internal/entry/process.py
+++ b/src/railfold/_internal/entry/process.py
@@ -270,7 +270,7 @@
                     "loaded": [str(loaded) for loaded in member.loaded],
                     "services": sorted(member.services),
                 }
-                for member in sorted(self._agents.view, key=lambda m: m.host)
+                for member in sorted(self._agents.view, key=lambda member: member.host)
             ],
             "counters": dict(self.metrics.counters),
         }
--- a/tests/functional/test_bad_input.py
+++ b/tests/functional/test_bad_input.py
@@ -1,7 +1,7 @@
 """Invalid requests get a typed error immediately and never reach an engine.
 
-They guard against malformed, oversized or slow requests that use up an entry or pass
-unchecked values on to an engine.
+The tests guard against malformed, oversized or slow requests that use up an entry or
+pass unchecked values on to an engine.
 """
 
 from __future__ import annotations
@@ -79,6 +79,7 @@
     assert_refused(answer, 504, "deadline_expired")
 
 
+# Different errors would reveal which workspaces exist.
 def test_wrong_credential_and_unknown_workspace_get_the_same_error(
     one_host_cluster: Cluster,
 ) -> None:
@@ -133,6 +134,7 @@
     return "\r\n".join([*lines, *extra_headers, "", ""]).encode()
 
 
+# A caller that never finishes its body must not hold its connection indefinitely.
 def test_slow_body_is_refused(one_host_cluster: Cluster) -> None:
     answer = send_raw(
         one_host_cluster, request_head("Content-Length: 100"), b'{"prompt"'
@@ -141,6 +143,7 @@
     assert b'"request_timeout"' in answer
 
 
+# A chunked body has no Content-Length header that could be checked before it is read.
 def test_chunked_body_over_the_limit_is_refused(one_host_cluster: Cluster) -> None:
     chunk = b"1000\r\n" + b"x" * 4096 + b"\r\n"
     head = request_head("Transfer-Encoding: chunked")
--- a/tests/functional/test_outcomes.py
+++ b/tests/functional/test_outcomes.py
@@ -1,7 +1,8 @@
 """Outcomes reported to callers are true despite lost answers, outages and pauses.
 
 The tests guard against calls that run twice, or that are reported as not run although
-they may have run, after an answer, the log, an agent or an entry was lost.
+they may have run, after an answer, the log, an agent or an entry was lost. Logging a
+slip is the call of the plain service that must not run twice.
 """
 
 from __future__ import annotations
@@ -64,6 +65,8 @@
     assert slips_logged(two_entry_cluster, "slip-1") == 1
 
 
+# A caller that retries through another entry must not run its call twice while the
+# first attempt is still in progress.
 def test_calls_with_one_key_at_two_entries_run_once(two_entry_cluster: Cluster) -> None:
     delay_services(two_entry_cluster)
     calls = [
@@ -78,6 +81,8 @@
     assert "not_run" not in outcomes
 
 
+# The entry records the answer in the log shortly after it has replied, so the first
+# retries may still get the outcome "unknown".
 def test_repeated_key_gets_the_first_answer(two_entry_cluster: Cluster) -> None:
     first = log_slip(two_entry_cluster.callers_url(0), "slip-3", Idempotency_Key="k3")
     assert first.outcome == "answered"
@@ -108,6 +113,8 @@
     assert slips_logged(two_entry_cluster, "slip-5") == 0
 
 
+# The log appends the claim but its answer is lost: the entry must find its own claim by
+# reading the log instead of taking it for another request's.
 def test_call_runs_once_if_the_answer_to_its_claim_is_lost(
     two_entry_cluster: Cluster,
 ) -> None:
@@ -121,6 +128,8 @@
     assert slips_logged(two_entry_cluster, "slip-6") == 1
 
 
+# Without the log an entry can't tell whether an earlier request with the same key ran,
+# so it doesn't send the call. Other requests don't need the log.
 def test_log_outage_refuses_only_calls_with_a_key(
     two_entry_cluster: Cluster,
 ) -> None:
@@ -135,6 +144,7 @@
     assert generate(two_entry_cluster.callers_url(), "unit 1", 4).outcome == "answered"
 
 
+# A claim that was given up during the outage must not block the key afterwards.
 def test_key_is_usable_after_a_log_outage(two_entry_cluster: Cluster) -> None:
     two_entry_cluster.fault("out")
     log_slip(two_entry_cluster.callers_url(), "slip-9", Idempotency_Key="k9")
@@ -150,6 +160,8 @@
     assert slips_logged(two_entry_cluster, "slip-9") == 1
 
 
+# A paused entry holds a claim whose call may have run. Another entry must not take the
+# claim over, since the first one continues when it is resumed.
 def test_entry_resumed_after_a_pause_runs_no_call_twice(
     two_entry_cluster: Cluster,
 ) -> None:
@@ -171,6 +183,8 @@
     assert slips_logged(two_entry_cluster, "slip-10") == 1
 
 
+# The service logged the slip, but the agent that would return the answer was killed. A
+# Retry-After header would invite the caller to run the call again.
 def test_call_is_unknown_and_not_repeated_after_its_agent_dies(
     two_entry_cluster: Cluster,
 ) -> None:
@@ -248,6 +262,7 @@
     assert answer.body["code"] == "deadline_expired"
 
 
+# A generation whose caller has disconnected must not occupy an engine until its end.
 def test_disconnected_caller_frees_the_engines() -> None:
     host = EngineHost("meter-a1", 0, 11)
     with Cluster([host]) as cluster:
@@ -267,6 +282,7 @@
         assert "Traceback" not in cluster.log_of("entry-0")
 
 
+# Nobody cancels the sequences of a crashed entry: its agents must end them themselves.
 def test_crashed_entry_frees_the_engines() -> None:
     host = EngineHost("meter-a1", 0, 11)
     with Cluster([host]) as cluster:
--- a/tests/unit/test_generate_driver.py
+++ b/tests/unit/test_generate_driver.py
@@ -117,6 +117,8 @@
     return asyncio.create_task(driver.run())
 
 
+# The first token shortens the limit. A check that is still scheduled for the longer limit
+# of first tokens would notice a hanging chain only after 2 s.
 async def test_chain_is_probed_as_soon_as_a_token_is_overdue() -> None:
     agents = FakeAgentPool()
     task = start_request(agents)
@@ -145,6 +147,7 @@
     assert await task == Answered()
 
 
+# A chain that is slow but answers its probes must not be flooded with further probes.
 async def test_slow_chain_is_probed_at_growing_intervals() -> None:
     agents = FakeAgentPool()
     task = start_request(agents)
@@ -169,6 +172,7 @@
     task.cancel()
 
 
+# No message arrives that could make the driver look at the clock, so a timer must do it.
 async def test_request_ends_at_its_deadline_while_no_token_arrives() -> None:
     agents = FakeAgentPool()
     task = start_request(agents)
