--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -1,4 +1,4 @@
-"""A forwarding entry: engines that it sends requests to pass work on by themselves."""
+"""The process of a forwarding entry, with all its parts and their connections."""
 
 from __future__ import annotations
 
@@ -29,13 +29,13 @@
 from railfold._internal.forwarding.listeners import Listeners
 from railfold._internal.forwarding.messages import Header
 from railfold._internal.forwarding.peers.peering import Peering
-from railfold._internal.forwarding.peers.proof_keeper import ProofKeeper
+from railfold._internal.forwarding.peers.proof_refresher import ProofRefresher
 from railfold._internal.forwarding.reload import SettingsWatcher
+from railfold._internal.forwarding.requests.capacity_queue import CapacityQueue
 from railfold._internal.forwarding.requests.destinations import DestinationChooser
 from railfold._internal.forwarding.requests.driver import RequestDriver
 from railfold._internal.forwarding.requests.front import ClientExchange, ClientServer
 from railfold._internal.forwarding.requests.refusals import Refusals
-from railfold._internal.forwarding.requests.room_queue import RoomQueue
 from railfold._internal.forwarding.requests.routed_request import RoutedRequest
 from railfold._internal.forwarding.router import Router
 from railfold._internal.forwarding.servers.engine_calls import EngineCalls
@@ -51,14 +51,14 @@
 )
 from railfold._internal.forwarding.store.leadership import (
     LEASE_S,
-    MEMBER_S,
-    LeadershipKeeper,
-    MembershipKeeper,
+    MEMBER_LEASE_S,
+    LeadershipController,
+    MembershipRenewer,
 )
 from railfold._internal.forwarding.store.registration_pace import (
-    calm_pace,
-    eager_pace,
-    leading_pace,
+    default_pace,
+    leader_pace,
+    missing_chain_pace,
 )
 from railfold._internal.observability.decision_log import DecisionLog
 from railfold._internal.observability.events import (
@@ -84,46 +84,50 @@
 
 _PLACEMENT_DUTY = "placement"
 
-# A read of the configuration is answered as soon as there is a newer one. That the one
-# that is known is in force is proved beside it (:class:`ProofKeeper`); with reads of
-# 1.85 s that were to prove it too, half of an entry's calls to the store were these.
-_CONFIGURATION_WAIT_S = 10.0
+# How long one read waits for a newer configuration; it is answered as soon as there is
+# one. Separate reads prove that the known configuration is in force (see
+# :class:`ProofRefresher`). If these reads had to prove it too, they would have to end
+# after 1.85 s, and would make up half of an entry's calls to the store.
+_CONFIGURATION_READ_WAIT_S = 10.0
 
 _MAX_BACKOFF_S = 0.6
 
-# Versions that come in quick succession are read in batches: of 25 in 2 s some 8. One
-# that comes alone is read at once, and all well within the seconds that operators give
-# a change.
-_CONFIGURATION_INTERVAL_S = 0.25
+# Versions in quick succession are read in batches: 25 versions within 2 s take about 8
+# reads. A single new version is read at once. Both are well within the few seconds that
+# operators allow until a change is in force.
+_CONFIGURATION_MIN_INTERVAL_S = 0.25
 
-# Clients of an installation that starts for the first time come 12 s after it.
-_FIRST_START_S = 10.0
+# How long an installation that starts for the first time counts as starting; its
+# clients connect after 12 s.
+_FIRST_START_DURATION_S = 10.0
 
-_TICK_S = 0.25
+_UPKEEP_INTERVAL_S = 0.25
 
-# Of a host's memory this share may be held for clients. A body is there up to three
-# times, while it is put together and while it is written to a server.
-_HELD_SHARE = 0.2
+# The share of the process's memory that may be reserved for clients' requests and
+# answers. A body may exist three times in memory while it is assembled and while it is
+# written to a server.
+_CLIENT_MEMORY_SHARE = 0.2
 
-# The balancer needs two probes, one a second, to send new connections elsewhere.
-# After that connections without a request are closed: a stream that began later
-# could not end within the grace time.
-_LEAVE_BALANCER_S = 2.8
+# How long the load balancer may still send new connections after the readiness probe
+# fails; it probes once a second and reacts to the second failure. After this time,
+# connections without a request are closed: a stream that began later couldn't end
+# within the grace time.
+_BALANCER_DRAIN_S = 2.8
 
-# The same while the entry is only unready: by then the balancer leads a client whose
-# connection is closed elsewhere.
-_BALANCER_ASKS_S = 2.2
+# The same for an entry that is unready but not stopping: after this time, the load
+# balancer sends a client whose connection is closed to another entry.
+_BALANCER_PROBE_S = 2.2
 
-# Kept from the grace time, to close what is left and end.
-_EXIT_S = 0.4
+# The part of the grace time reserved for closing the remaining connections and exiting.
+_EXIT_RESERVE_S = 0.4
 
 
 class ForwardingEntry:
-    """The parts of one forwarding entry, wired together.
+    """The parts of one forwarding entry and their connections.
 
-    :param source: where settings are read again, if they can change.
-    :param listeners: sockets that listen already, if there are any.
-    :param log_fd: where log lines are written.
+    :param source: the source of reloaded settings, if they can change.
+    :param listeners: sockets that already listen, if there are any.
+    :param log_fd: file descriptor that log lines are written to.
     """
 
     def __init__(
@@ -141,9 +145,9 @@
         self._draining = False
         self._started_s = self._loop.time()
         self._store_reachable = asyncio.Event()
-        founded_by_s = float("-inf")
+        initial_members_until_s = float("-inf")
         if settings.first_start:
-            founded_by_s = self._started_s + _FIRST_START_S
+            initial_members_until_s = self._started_s + _FIRST_START_DURATION_S
         self.metrics = Metrics()
         self.log = DecisionLog(settings.name, log_fd)
         rng = random.Random()
@@ -162,14 +166,16 @@
         )
         self.destinations = DestinationChooser(self.router)
         self._refusals = Refusals(self.router)
-        self._room = RoomQueue(self.router)
-        fleet = FleetSize(settings.retry_window_s, MEMBER_S, founded_by_s)
+        self._room_queue = CapacityQueue(self.router)
+        fleet = FleetSize(
+            settings.retry_window_s, MEMBER_LEASE_S, initial_members_until_s
+        )
         self._fleet_limits = FleetLimits(settings, fleet, self.router)
         calls = EngineCalls(self.router)
         self._prober = ServerProber(self.router, calls)
         self._leadership = Leadership(LEASE_S)
-        self._candidacy = Candidacy(MEMBER_S)
-        self._leadership_keeper = LeadershipKeeper(
+        self._candidacy = Candidacy(MEMBER_LEASE_S)
+        self._leadership_controller = LeadershipController(
             settings.name,
             self._leadership,
             adapter.new_lease_client(_PLACEMENT_DUTY),
@@ -179,7 +185,7 @@
             self._candidacy,
             self._on_leadership_stopped,
         )
-        self._membership = MembershipKeeper(
+        self._membership = MembershipRenewer(
             settings.name,
             adapter.new_member_client(_PLACEMENT_DUTY),
             self.metrics,
@@ -200,7 +206,7 @@
             adapter.decode_configuration,
             self._on_configuration,
         )
-        self._proofs = ProofKeeper(
+        self._proofs = ProofRefresher(
             settings.name,
             self.router,
             adapter.new_log(),
@@ -212,7 +218,7 @@
             lambda: self._configuration.reading,
         )
         self.router.others_have_proof = self._proofs.others_have_proof
-        self.router.newer_elsewhere = lambda: self._configuration_feed.newer_elsewhere
+        self.router.newer_elsewhere = lambda: self._configuration_feed.peer_has_newer
         self._configuration = self._configuration_follower()
         self._peering = Peering(
             settings,
@@ -220,33 +226,35 @@
             self.router,
             self._leadership,
             self._store_reachable,
-            on_known=self._on_quarantine,
+            on_quarantine_known=self._on_quarantine_read,
             fleet_limits=self._fleet_limits,
             on_epoch=self._on_epoch,
             proofs=self._proofs,
-            on_leadership_stopped=self._leadership_keeper.holder_stopped,
+            on_leadership_released=self._leadership_controller.holder_stopped,
         )
-        calls.on_connection_refused = self._peering.quarantine.server_refused
+        calls.on_connection_refused = self._peering.quarantine.server_refused_connection
         self._prober.on_healthy = self._peering.quarantine.server_answered
-        self._held = MemoryQuota(int(settings.memory_bytes * _HELD_SHARE))
+        self._memory_quota = MemoryQuota(
+            int(settings.memory_bytes * _CLIENT_MEMORY_SHARE)
+        )
         self._clients = ClientServer(
-            settings.clients,
+            settings.client_address,
             self,
-            self._held,
+            self._memory_quota,
             listeners.clients if listeners else None,
         )
         self._readiness = HttpServerChild(
             SmallAnswers(self._readiness_answer),
-            settings.readiness,
+            settings.readiness_address,
             listener=listeners.readiness if listeners else None,
         )
         self._drivers: dict[ClientExchange, RequestDriver] = {}
-        # Since when only this entry gets no proof of its configuration.
-        self._lapsing_since_s: float | None = None
-        self._registrations_known = False
-        self._quarantine_known = False
+        # Since when this entry alone lacks a proof that its configuration is in force.
+        self._unproven_since_s: float | None = None
+        self._registrations_read = False
+        self._quarantine_read = False
         self._registration_feed = RegistrationFeed(
-            self.router, adapter.decode_registration, self._on_copy
+            self.router, adapter.decode_registration, self._on_registrations_read
         )
         self._registrations = self._registration_follower()
 
@@ -259,7 +267,7 @@
             ChildSpec("proofs", self._proofs.run),
             ChildSpec("registrations", self._registrations.run),
             ChildSpec("membership", self._membership.run),
-            ChildSpec("leadership", self._leadership_keeper.run),
+            ChildSpec("leadership", self._leadership_controller.run),
             ChildSpec("placement", self._placement.run),
             ChildSpec("slow engines", self._slow_engines.run),
             *self._peering.children(),
@@ -270,8 +278,10 @@
         if self._source is not None:
             watcher = SettingsWatcher(self._source, self._on_settings, self.log)
             children.insert(0, ChildSpec("settings", watcher.run))
-        if settings.metrics is not None:
-            server = HttpServerChild(SmallAnswers(self._metrics_page), settings.metrics)
+        if settings.metrics_address is not None:
+            server = HttpServerChild(
+                SmallAnswers(self._metrics_page), settings.metrics_address
+            )
             children.append(ChildSpec("metrics", server.run))
         return Supervisor("forwarding", children)
 
@@ -282,8 +292,8 @@
             self._configuration_feed,
             self.metrics,
             FollowerPace(
-                wait_s=_CONFIGURATION_WAIT_S,
-                min_interval_s=_CONFIGURATION_INTERVAL_S,
+                wait_s=_CONFIGURATION_READ_WAIT_S,
+                min_interval_s=_CONFIGURATION_MIN_INTERVAL_S,
                 max_backoff_s=_MAX_BACKOFF_S,
             ),
             on_lost=self._on_store_lost,
@@ -298,7 +308,7 @@
             self._adapter.registrations_stream,
             self._registration_feed,
             self.metrics,
-            eager_pace(),
+            missing_chain_pace(),
             on_regained=self._on_registrations_regained,
             reachable=self._store_reachable,
             on_epoch=self._on_epoch,
@@ -308,73 +318,73 @@
         return SmallAnswer(_OK if self.ready() else _SERVICE_UNAVAILABLE)
 
     def _metrics_page(self, path: str) -> SmallAnswer:
-        # Imported when somebody looks: a daemon that starts after a kill pays
-        # only for what serves.
+        # Imported at the first request for metrics, so that a process that restarts
+        # after a crash only imports what it needs for serving clients.
         from railfold._internal.observability import prometheus
 
         return SmallAnswer(_OK, prometheus.render(self.metrics), prometheus.FORMAT)
 
     def ready(self) -> bool:
-        """Return whether new clients may come."""
+        """Return whether the load balancer may send new clients."""
         now_s = self._loop.time()
         known = self.router.table is not None
         return (
             known
             and not self._draining
             and self.router.lease.valid(now_s)
-            and not self._proofs.lapses_alone(now_s)
+            and not self._proofs.is_expiring_alone(now_s)
         )
 
-    def _look_whether_useful(self, now_s: float) -> None:
-        """Lead clients elsewhere while only this entry can't check credentials."""
-        lapses = self._proofs.lapses_alone(now_s)
-        if lapses != (self._lapsing_since_s is not None):
-            self._lapsing_since_s = now_s if lapses else None
-            self.metrics.count("readiness.lapses" if lapses else "readiness.regained")
+    def _update_readiness(self, now_s: float) -> None:
+        """Send clients to other entries while only this one can't check credentials."""
+        unproven = self._proofs.is_expiring_alone(now_s)
+        if unproven != (self._unproven_since_s is not None):
+            self._unproven_since_s = now_s if unproven else None
+            self.metrics.count("readiness.lapses" if unproven else "readiness.regained")
             cause = "only this entry gets no proof of its configuration"
             age_s = min(self.router.lease.age_s(now_s), 1e6)
             self.log.write(
                 ReadinessChanged(
-                    not lapses, cause if lapses else "", round(age_s * 1000, 1)
+                    not unproven, cause if unproven else "", round(age_s * 1000, 1)
                 )
             )
-        since_s = self._lapsing_since_s
-        gone = since_s is not None and now_s - since_s >= _BALANCER_ASKS_S
-        self._clients.closes_connections = self._draining or gone
+        since_s = self._unproven_since_s
+        balancer_noticed = since_s is not None and now_s - since_s >= _BALANCER_PROBE_S
+        self._clients.closes_connections = self._draining or balancer_noticed
 
     @property
     def recognizes_requests(self) -> bool:
-        """Whether requests that come again are recognized by their content."""
-        return self._peering.quarantine.ready
+        """Whether repeated requests are recognized by their content."""
+        return self._peering.quarantine.has_key
 
     def _on_settings(self, settings: ForwardingSettings) -> None:
-        """Take new bounds; addresses and the place stay until a restart."""
+        """Apply new limits; addresses, failure domain and region need a restart."""
         self._settings = self._fleet_limits.settings = settings
         self.router.lease.duration_s = settings.credential_lease_s
         self.router.predicts_chains = settings.predicts_chains
 
-    # What the store says
+    # Callbacks of the store's readers
 
     def _on_configuration(self, table: RoutingTable) -> None:
         self._clients.set_limits(table.limits)
-        self._begin_if_known()
+        self._accept_clients_if_ready()
 
-    def _on_copy(self) -> None:
-        self._registrations_known = True
-        self._begin_if_known()
+    def _on_registrations_read(self) -> None:
+        self._registrations_read = True
+        self._accept_clients_if_ready()
 
-    def _on_quarantine(self) -> None:
-        self._quarantine_known = True
-        self._begin_if_known()
+    def _on_quarantine_read(self) -> None:
+        self._quarantine_read = True
+        self._accept_clients_if_ready()
 
-    def _begin_if_known(self) -> None:
-        """Accept clients once it is known where their requests may go."""
-        known = self._registrations_known and self._quarantine_known
+    def _accept_clients_if_ready(self) -> None:
+        """Accept clients once all that is needed to route requests has been read."""
+        known = self._registrations_read and self._quarantine_read
         if self.router.table is not None and known:
             self._clients.can_answer.set()
 
     def _on_proof_failure(self) -> None:
-        """Find out at once whether the store is lost: another read may wait on it."""
+        """End the waiting read, so that an outage of the store is detected at once."""
         self._configuration.give_up_waiting()
 
     def _on_store_lost(self, error: LogUnavailableError) -> None:
@@ -388,19 +398,20 @@
     def _on_member_renewed(self, grant: LeaseGrant, sent_s: float) -> None:
         self._candidacy.record_renewal(grant, sent_s)
         if grant.assignment is not None:
-            self._fleet_limits.dealt(grant.assignment, sent_s)
+            self._fleet_limits.assignment_received(grant.assignment, sent_s)
 
     def _on_leadership_stopped(self, member: str) -> None:
-        self._peering.tell_leadership_stopped(member)
+        self._peering.announce_leadership_released(member)
 
     def _on_registrations_regained(self) -> None:
         self.router.directory.store_recovered(self._loop.time())
 
     def _on_epoch(self, epoch: int) -> None:
-        """Take the store's epoch; let go of what doesn't hold after it went back.
+        """Discard what is no longer valid if the epoch shows that the log was restored.
 
-        It may lack a configuration that took credentials away, servers that live, and
-        all that entries wrote of late, until it is written again.
+        A log that was restored from an older copy may lack a configuration that revoked
+        credentials, registrations of running servers, and everything that entries wrote
+        recently, until these records are written again.
         """
         if not self._epoch.observe(epoch):
             return
@@ -410,10 +421,10 @@
         self.router.lease.ignore_sent_before(now_s + LOG_RECOVERY_S)
         self.router.directory.store_recovered(now_s)
         self._leadership.revoke()
-        self._registration_feed.log_went_back()
+        self._registration_feed.log_restored()
         self._peering.log_went_back()
 
-    # Clients' requests
+    # Callbacks of the client server
 
     def handle_request(
         self,
@@ -423,7 +434,7 @@
         headers: Sequence[Header],
         body: bytes,
     ) -> None:
-        """Take a client's request."""
+        """Process a client's request."""
         now_s = self._loop.time()
         router = self.router
         request_id = ""
@@ -447,19 +458,19 @@
             self.destinations,
             self._prober,
             self._peering.quarantine,
-            self._room,
+            self._room_queue,
         )
         self._drivers[exchange] = driver
         driver.start()
         if len(self._drivers) > len(router.active):
-            self._forget_finished()
+            self._drop_finished_drivers()
 
-    def _forget_finished(self) -> None:
+    def _drop_finished_drivers(self) -> None:
         active = self.router.active
         self._drivers = {e: d for e, d in self._drivers.items() if d in active}
 
     def workspace_of(self, headers: Sequence[Header]) -> str:
-        """Return the workspace that a request's head names; empty if none is known."""
+        """Return the workspace of a request's credential; empty if it is unknown."""
         table = self.router.table
         if table is None or table.credentials is None:
             return ""
@@ -467,34 +478,35 @@
         return owner.workspace if owner is not None else ""
 
     def refuse_early(self, exchange: ClientExchange) -> None:
-        """Answer a request whose body there is no memory for."""
-        held_mb = self._held.total_bytes / 1e6
+        """Refuse a request because there isn't enough memory for its body."""
+        reserved_mb = self._memory_quota.total_bytes / 1e6
         error = MemoryShortError(
-            "there is no memory for the request's body",
-            why=f"{held_mb:.1f} MB are held for clients",
+            "there isn't enough memory for the request's body",
+            why=f"{reserved_mb:.1f} MB are reserved for clients",
             hint="come back after Retry-After",
         )
         self._refusals.refuse_early(exchange, error)
 
     def client_disconnected(self, exchange: ClientExchange) -> None:
-        """A client closed its connection."""
+        """Stop working on a request whose client closed its connection."""
         driver = self._drivers.pop(exchange, None)
         if driver is not None:
             self.metrics.count("clients.gone")
             driver.client_disconnected()
 
-    # Upkeep and the end
+    # Upkeep and shutdown
 
     def _on_resumed(self, suspended_s: float) -> None:
-        """Let go of what can't be relied on after the host was suspended.
+        """Discard what is no longer valid after the host was suspended.
 
-        Leases and ages are reckoned by a clock that went on meanwhile. Connections that
-        rested for longer than their servers keep them must not be met by a request.
+        Leases and ages need no correction: their clock includes suspended time. Idle
+        connections that their servers have probably closed must not be used for
+        requests.
         """
         now_s = self._loop.time()
         self.metrics.count("process.resumed")
         self.router.pool.prune(now_s)
-        self._fleet_limits.divide()
+        self._fleet_limits.update_limits()
         leading = self._leadership.current_token(now_s) is not None
         in_flight = len(self.router.active)
         event = ProcessResumed(round(suspended_s * 1000, 1), in_flight, leading)
@@ -505,13 +517,13 @@
             self._loop.call_when_resumed(self._on_resumed)
         ready.set()
         while True:
-            due_s = self._loop.time() + _TICK_S
-            await asyncio.sleep(_TICK_S)
+            due_s = self._loop.time() + _UPKEEP_INTERVAL_S
+            await asyncio.sleep(_UPKEEP_INTERVAL_S)
             now_s = self._loop.time()
             self.metrics.timing("loop.late", now_s - due_s)
             self.router.directory.expire(now_s)
             self.router.pool.prune(now_s)
-            self._fleet_limits.divide()
+            self._fleet_limits.update_limits()
             known = {entry.server_id for entry in self.router.directory}
             self.router.activity.retain_hosts(known)
             self.router.avoidance.forget(known)
@@ -521,49 +533,51 @@
             self.router.limits.upkeep(known, now_s)
             self.router.backoffs.upkeep(known, now_s)
             self._registrations.pace = self._registration_pace(now_s)
-            self._forget_finished()
-            self._look_whether_useful(now_s)
-            self._room.forget()
+            self._drop_finished_drivers()
+            self._update_readiness(now_s)
+            self._room_queue.forget()
             self._clients.forget_closed()
             self.metrics.gauge("in_flight", len(self.router.active))
-            self.metrics.gauge("memory.held_bytes", self._held.total_bytes)
+            self.metrics.gauge("memory.held_bytes", self._memory_quota.total_bytes)
             self.metrics.gauge("configuration.age_s", self.router.lease.age_s(now_s))
 
     def _registration_pace(self, now_s: float) -> FollowerPace:
         leads = self._leadership.current_token(now_s) is not None
         if leads:
-            return leading_pace()
-        starting = now_s - self._started_s < _FIRST_START_S
+            return leader_pace()
+        starting = now_s - self._started_s < _FIRST_START_DURATION_S
         if self._settings.first_start and starting:
-            # No client waits for the first placement yet.
-            return calm_pace(self._settings.drain_notice_s)
-        if self.router.chain_missing():
-            return eager_pace()
-        return calm_pace(self._settings.drain_notice_s)
+            # There are no clients yet that wait for the first placement.
+            return default_pace(self._settings.drain_notice_s)
+        if self.router.has_incomplete_domain():
+            return missing_chain_pace()
+        return default_pace(self._settings.drain_notice_s)
 
     async def drain(self) -> None:
-        """Leave the balancer, finish what is in flight, then return."""
+        """Become unready, finish the requests in flight, then return."""
         started_s = self._loop.time()
         self._draining = True
         self._clients.closes_connections = True
         self.log.write(ProcessStopping("told to stop", len(self.router.active)))
-        # The store may not answer; the rest of the stop doesn't wait for it.
-        leaving = self._loop.create_task(self._peering.leave())
+        # Runs concurrently, since the store may not answer.
+        leave_task = self._loop.create_task(self._peering.leave())
         await asyncio.gather(
-            self._leadership_keeper.release(), self._membership.release()
+            self._leadership_controller.release(), self._membership.release()
         )
-        end_s = started_s + self._settings.grace_s - _EXIT_S
-        await asyncio.sleep(_LEAVE_BALANCER_S)
+        end_s = started_s + self._settings.grace_s - _EXIT_RESERVE_S
+        await asyncio.sleep(_BALANCER_DRAIN_S)
         self._clients.stop_accepting()
-        # Connections end in tornado's callbacks, requests in drivers.
+        # There is no event to wait for: connections end in tornado's callbacks,
+        # requests in their drivers.
         while self._clients.open_connections and self._loop.time() < end_s:  # noqa: ASYNC110
-            await asyncio.sleep(_TICK_S / 5)
-        self.log.write(ProcessStopping("the process ends", len(self.router.active)))
-        # What still runs is cut visibly; waiting for it would outlast the grace.
+            await asyncio.sleep(_UPKEEP_INTERVAL_S / 5)
+        self.log.write(ProcessStopping("the process exits", len(self.router.active)))
+        # Remaining requests are aborted so that their clients notice; they couldn't
+        # end within the grace time.
         for exchange, driver in list(self._drivers.items()):
             exchange.abort()
             driver.client_disconnected()
-        leaving.cancel()
+        leave_task.cancel()
         self.log.flush()
 
 
@@ -573,7 +587,7 @@
     source: SettingsSource,
     listeners: Listeners,
 ) -> None:
-    """Run a forwarding entry until it is told to stop."""
+    """Run a forwarding entry until it receives a signal to stop."""
     entry = ForwardingEntry(settings, adapter, source, listeners)
     entry.log.write(
         ProcessStarted(
--- a/src/railfold/_internal/forwarding/reload.py
+++ b/src/railfold/_internal/forwarding/reload.py
@@ -1,4 +1,4 @@
-"""Reading the settings again: when told to, and when their file changes."""
+"""Reloads the settings on SIGHUP and when their file changes."""
 
 from __future__ import annotations
 
@@ -14,16 +14,17 @@
 
 __all__ = ["SettingsWatcher"]
 
-# A file that changes without a signal is noticed within this time.
-_LOOK_S = 1.0
+# How often the file is checked for changes.
+_CHECK_INTERVAL_S = 1.0
 
 
 class SettingsWatcher:
-    """Child that reads the settings again.
+    """Child that reloads the settings.
 
-    A file with faults is refused whole: the settings before stay in force.
+    If the file has any fault, none of it is applied and the previous settings stay in
+    force.
 
-    :param on_settings: takes new settings.
+    :param on_settings: called with the new settings.
     """
 
     def __init__(
@@ -35,27 +36,28 @@
         self._source = source
         self._on_settings = on_settings
         self._log = log
-        self._told = asyncio.Event()
+        self._reload_requested = asyncio.Event()
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Watch until cancelled."""
+        """Watch for changes until cancelled."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGHUP, self._told.set)
+        loop.add_signal_handler(signal.SIGHUP, self._reload_requested.set)
         ready.set()
         try:
             while True:
-                told = await self._wait()
-                if told or self._source.stamp() != self._source.loaded_stamp:
+                requested = await self._wait_for_request()
+                if requested or self._source.stamp() != self._source.loaded_stamp:
                     self._reload()
         finally:
             loop.remove_signal_handler(signal.SIGHUP)
 
-    async def _wait(self) -> bool:
+    async def _wait_for_request(self) -> bool:
+        """Wait for a signal or the next check; return whether a signal arrived."""
         try:
-            await asyncio.wait_for(self._told.wait(), _LOOK_S)
+            await asyncio.wait_for(self._reload_requested.wait(), _CHECK_INTERVAL_S)
         except TimeoutError:
             return False
-        self._told.clear()
+        self._reload_requested.clear()
         return True
 
     def _reload(self) -> None:
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -43,11 +43,12 @@
 from railfold._internal.forwarding.messages import ResponseHead
 from railfold._internal.forwarding.quarantine.crash_watch import (
     CLEARED_AFTER_S,
-    RunFigures,
+    RunDetails,
 )
 from railfold._internal.forwarding.quarantine.request_quarantine import (
     RequestQuarantine,
 )
+from railfold._internal.forwarding.requests.capacity_queue import CapacityQueue
 from railfold._internal.forwarding.requests.client_answer import (
     BufferedAnswer,
     ClientAnswer,
@@ -62,7 +63,6 @@
 from railfold._internal.forwarding.requests.prediction import predict
 from railfold._internal.forwarding.requests.relocation import Relocation
 from railfold._internal.forwarding.requests.request_log import RequestLog
-from railfold._internal.forwarding.requests.room_queue import RoomQueue
 from railfold._internal.forwarding.requests.routed_request import RoutedRequest
 from railfold._internal.forwarding.requests.stream_watch import Silence, StreamWatch
 from railfold._internal.forwarding.router import Router
@@ -94,7 +94,7 @@
         destinations: DestinationChooser,
         prober: ServerProber,
         quarantine: RequestQuarantine,
-        room: RoomQueue,
+        room: CapacityQueue,
     ) -> None:
         self._routed = routed
         self._request = routed.request
@@ -215,7 +215,7 @@
                     self._search.search(
                         exclude,
                         is_retry=is_retry,
-                        broke_off=self._interrupted,
+                        was_interrupted=self._interrupted,
                         begun=self._answer.head_sent,
                     )
                 case SendCall():
@@ -231,7 +231,7 @@
     def destination_refused(self, error: RailfoldError) -> None:
         """End the request, since no destination was found for its next attempt."""
         self._failure_cause = str(error)
-        self._feed(NoHost(error, self._router.return_after_s(error)))
+        self._feed(NoHost(error, self._router.retry_after_s(error)))
 
     def _send(self) -> None:
         destination = self._destination
@@ -272,7 +272,7 @@
         prediction = None
         if destination.chain is not None:
             prediction = predict(router, destination.chain, size)
-        router.count(destination, self._attempt_load)
+        router.add_load(destination, self._attempt_load)
         self._exchange = ServerExchange(
             self._request,
             plan,
@@ -307,7 +307,7 @@
         if self._loop.time() >= self._routed.deadline_s:
             raise DeadlineExpiredError("the request's deadline has passed")
         if not self._answer.head_sent:
-            self._router.require_fresh(self._route)
+            self._router.require_fresh_credentials(self._route)
         self._router.check_permission(self._route, request.path, request.credential)
         self._quarantine.check(request, self._owner, on_trial=self._routed.on_trial)
         assert self._destination is not None
@@ -353,7 +353,7 @@
         destination = self._destination
         assert destination is not None
         self._interrupted = True
-        figures = RunFigures(
+        figures = RunDetails(
             destination.service,
             destination.server_ids,
             self._sent_s,
@@ -361,7 +361,9 @@
             self._resumed_after,
             streams=self._route.kind is RouteKind.STREAM,
         )
-        self._quarantine.run_ended(self._request, self._route, self._owner, figures)
+        self._quarantine.run_interrupted(
+            self._request, self._route, self._owner, figures
+        )
 
     def answer_head(self, kind: AnswerKind, head: ResponseHead) -> None:
         """Handle the head of an answer."""
@@ -391,7 +393,7 @@
             pending_prompt_tokens=self._attempt_load.pending_prompt_tokens
         )
         if self._destination is not None and pending_prompt.pending_prompt_tokens:
-            self._router.uncount(self._destination, pending_prompt)
+            self._router.subtract_load(self._destination, pending_prompt)
             self._attempt_load = replace(self._attempt_load, pending_prompt_tokens=0)
 
     def answer_body(self, data: bytes) -> None:
@@ -562,7 +564,7 @@
             exchange.cancel()
         if destination is not None:
             ran = isinstance(self._answer_kind, ServedAnswer)
-            self._router.uncount(destination, self._attempt_load, ran=ran)
+            self._router.subtract_load(destination, self._attempt_load, ran=ran)
             self._router.backoffs.record_attempt_end(
                 destination.server.host, self._request.request_id
             )
@@ -622,11 +624,11 @@
                 self._relocation.move_from_lost_server(f"not rerouted: {outcome}")
             return
         self._router.metrics.count("streams.rerouted")
-        self._router.uncount(self._destination, self._attempt_load)
+        self._router.subtract_load(self._destination, self._attempt_load)
         self._destination = Destination(
             self._destination.service, other_chain.stages[0], other_chain
         )
-        self._router.count(self._destination, self._attempt_load)
+        self._router.add_load(self._destination, self._attempt_load)
         self._watch_chain(self._destination)
 
     # Final outcome
@@ -636,7 +638,7 @@
         self._release_attempt()
         self._router.active.discard(self)
         if self._routed.on_trial and isinstance(outcome, NotRun):
-            self._quarantine.trial_not_run(self._request, self._owner)
+            self._quarantine.withdraw_trial(self._request, self._owner)
         status = self._answer.send_outcome(outcome)
         self._log.request_ended(
             outcome,
--- a/src/railfold/_internal/forwarding/requests/relocation.py
+++ b/src/railfold/_internal/forwarding/requests/relocation.py
@@ -5,7 +5,9 @@
 import asyncio
 from typing import Protocol
 
-from railfold._internal.forwarding.requests.destination_search import PLACE_INTERVAL_S
+from railfold._internal.forwarding.requests.destination_search import (
+    RESERVATION_INTERVAL_S,
+)
 
 __all__ = ["MovableAttempt", "Relocation"]
 
@@ -73,7 +75,7 @@
             self._attempt.attempt_kept(reason)
         if self._loss_reason and self._recheck_timer is None:
             self._recheck_timer = self._loop.call_later(
-                PLACE_INTERVAL_S, self._move_again
+                RESERVATION_INTERVAL_S, self._move_again
             )
 
     def _move_again(self) -> None:
--- a/src/railfold/_internal/forwarding/servers/probes.py
+++ b/src/railfold/_internal/forwarding/servers/probes.py
@@ -141,13 +141,17 @@
         if not refusal.address:
             entry = self._router.directory.get(server_id)
             if entry is not None and not backed_off:
-                self._record_refusal(entry, request_tokens, misplaced=refusal.misplaced)
+                self._record_refusal(
+                    entry, request_tokens, misplaced=refusal.lacks_layers
+                )
             return
         entry = self._router.directory.get_by_address(refusal.address)
         if entry is not None:
             if entry.server_id != server_id or not backed_off:
-                self._record_refusal(entry, request_tokens, misplaced=refusal.misplaced)
-            if refusal.misplaced:
+                self._record_refusal(
+                    entry, request_tokens, misplaced=refusal.lacks_layers
+                )
+            if refusal.lacks_layers:
                 until_s = self._loop.time() + _MISPLACED_AVOID_S
                 self._router.avoidance.avoid(entry.server_id, until_s)
             if entry.server_id not in self._checking:
@@ -203,7 +207,9 @@
         other engines, its streams are moved at once. They don't wait for the probes,
         since they have to start again on another chain anyway.
         """
-        reroute_now = silence.stalled and not self._router.replaceable(silence.suspects)
+        reroute_now = silence.stalled and not self._router.are_mostly_replaceable(
+            silence.suspects
+        )
         if self.probe_backoff.allow_probe(chain.hosts[0], self._loop.time()):
             self._spawn(self._probe_suspects(chain, silence, request_id, reroute_now))
         if reroute_now:
@@ -239,7 +245,7 @@
         if is_other_incarnation(first, report.started_at_ms):
             await self._probe_chain(chain, chain.hosts[:1], request_id, silent_s)
             return
-        stalled = report.stalled
+        stalled = report.stalled_addresses
         stalled_hosts = tuple(
             stage.host for stage in chain.stages if stage.address in stalled
         )
--- a/src/railfold/_internal/forwarding/store/leadership.py
+++ b/src/railfold/_internal/forwarding/store/leadership.py
@@ -1,4 +1,4 @@
-"""Holding the lease of the duty to place layers."""
+"""Keeps the lease for placing layers, and the membership in the group of entries."""
 
 from __future__ import annotations
 
@@ -18,59 +18,63 @@
 
 __all__ = [
     "LEASE_S",
-    "MEMBER_S",
-    "LeadershipKeeper",
+    "MEMBER_LEASE_S",
+    "LeadershipController",
     "LeaseClient",
-    "MembershipKeeper",
+    "MembershipRenewer",
 ]
 
-# How long an entry that is lost counts as one; three renewals fit in.
-MEMBER_S = 2.4
+# How long the store counts an entry as a member after its last renewal: at least
+# three renewal intervals.
+MEMBER_LEASE_S = 2.4
 
-# How long a dead holder keeps its successor waiting; three renewals fit in.
+# How long a successor waits for the lease of a holder that crashed: at least three
+# renewal intervals.
 LEASE_S = 1.0
 
-_MEMBER_RENEW_S = 0.75
-_RENEW_S = 0.25
-# A successor finds the lease free by its next renewal.
-_STANDBY_RENEW_S = 0.4
-_RETRY_S = 0.1
-_MEMBER_RETRY_S = 0.3
-_CONFIRM_S = 0.03
+_MEMBER_RENEWAL_INTERVAL_S = 0.75
+_RENEWAL_INTERVAL_S = 0.25
+# How often a candidate without the lease requests it, and so learns whether it is free.
+_STANDBY_INTERVAL_S = 0.4
+_RETRY_DELAY_S = 0.1
+_MEMBER_RETRY_DELAY_S = 0.3
+_CONFIRMATION_DELAY_S = 0.03
 
-# The store answers within 0.24 s in its slow times.
-_CALL_S = 0.35
+# The store answers within 0.24 s when it is slow.
+_CALL_TIMEOUT_S = 0.35
 
-# A holder stops after so many failed renewals in a row, or if none that succeeded was
-# sent within this share of the lease: a successor can then begin before the lease ends.
-_MOST_FAILURES = 2
-_STOP_SHARE = 0.5
+# A holder stops after this many failed renewals in a row, or when its last successful
+# renewal was sent longer ago than this share of the lease. A successor can then start
+# before the lease expires.
+_MAX_FAILED_RENEWALS = 2
+_MAX_RENEWAL_AGE_SHARE = 0.5
 
-# Members that stopped, and whose memberships are to be ended; others lapse.
-_MOST_STOPPED = 16
+# Limits how many stopped holders' memberships are ended; others expire.
+_MAX_STOPPED_MEMBERS = 16
 
 
 class LeaseClient(Protocol):
-    """Grants the lease of the duty to one process at a time."""
+    """Grants a lease to one process at a time."""
 
     async def renew(self, holder: str, duration_s: float) -> LeaseGrant:
-        """Ask for the lease, or keep it.
+        """Request the lease, or renew it if ``holder`` holds it.
 
-        :raises LogUnavailableError: no answer came.
+        :raises LogUnavailableError: no answer arrived.
         """
 
     async def release(self, holder: str) -> None:
-        """Give the lease back.
+        """Release the lease.
 
-        :raises LogUnavailableError: no answer came.
+        :raises LogUnavailableError: no answer arrived.
         """
 
 
-class MembershipKeeper:
-    """Child that keeps this process a member of the group of all.
+class MembershipRenewer:
+    """Child that renews this entry's membership in the group of all entries.
 
-    :param on_renewed: takes each answer, and when the renewal was sent.
-    :param on_epoch: takes the epoch of the store's log that an answer tells.
+    :param on_renewed: called with each answer and the time at which its renewal was
+        sent.
+    :param on_epoch: called with the epoch of the store's log in each answer.
     """
 
     def __init__(
@@ -86,50 +90,56 @@
         self._metrics = metrics
         self._on_renewed = on_renewed
         self._on_epoch = on_epoch
-        self._newest_fencing = 0
+        self._newest_token = 0
         self._released = False
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Renew until cancelled."""
+        """Renew the membership until cancelled."""
         ready.set()
         while True:
-            delay_s = _MEMBER_RENEW_S if self._released else await self._renew()
+            delay_s = (
+                _MEMBER_RENEWAL_INTERVAL_S if self._released else await self._renew()
+            )
             await asyncio.sleep(delay_s)
 
     async def _renew(self) -> float:
         sent_s = asyncio.get_running_loop().time()
         try:
-            grant = await self._client.renew(self._name, MEMBER_S)
+            grant = await self._client.renew(self._name, MEMBER_LEASE_S)
         except LogUnavailableError:
-            # The follower of the configuration tells of the store's outages.
+            # Not logged: the follower of the configuration logs outages of the store.
             self._metrics.count("members.renewals_failed")
-            return _MEMBER_RETRY_S
+            return _MEMBER_RETRY_DELAY_S
         self._on_epoch(grant.epoch)
         self._on_renewed(grant, sent_s)
-        is_new = grant.fencing_token != self._newest_fencing
-        self._newest_fencing = grant.fencing_token
-        # A partition passes on once its former holder has named the new deal.
-        return _CONFIRM_S if is_new else _MEMBER_RENEW_S
+        is_new = grant.fencing_token != self._newest_token
+        self._newest_token = grant.fencing_token
+        # A partition moves to its new member only after its former member has renewed
+        # with the new generation, so the next renewal follows soon.
+        return _CONFIRMATION_DELAY_S if is_new else _MEMBER_RENEWAL_INTERVAL_S
 
     async def release(self) -> None:
-        """Leave, so that the others needn't wait for this one's lapse."""
+        """End the membership, so that the others needn't wait until it expires."""
         self._released = True
         try:
             await self._client.release(self._name)
         except LogUnavailableError:
-            self._metrics.count("members.release_failed")  # It lapses by itself.
+            self._metrics.count("members.release_failed")  # The membership expires.
 
 
-class LeadershipKeeper:
-    """Child that asks for the lease while this process is a candidate, and renews it.
+class LeadershipController:
+    """Child that requests the lease while this process is a candidate, and renews it.
 
-    A holder that can't renew stops at once, tells the others the member id under which
-    it held the lease, and asks again under another one. So whoever ends the membership
-    of that id, also late, ends one that isn't used any more.
+    A holder that can't renew the lease stops leading at once, reports the member id
+    under which it held the lease to the other entries, and requests the lease again
+    under a new id. The others end the membership of the reported id; they can't end a
+    current one by mistake, however late they do so.
 
-    :param on_epoch: takes the epoch of the store's log that an answer tells.
-    :param candidacy: none for a process that always asks.
-    :param on_stopped: called with the member id of a holder that stopped.
+    :param holder: name of this process.
+    :param on_epoch: called with the epoch of the store's log in each answer.
+    :param candidacy: None for a process that is always a candidate.
+    :param on_stopped: called with the member id under which this process has stopped
+        leading.
     """
 
     def __init__(
@@ -141,11 +151,11 @@
         metrics: Metrics,
         on_epoch: Callable[[int], None],
         candidacy: Candidacy | None = None,
-        on_stopped: Callable[[str], None] = lambda member: None,
+        on_stopped: Callable[[str], None] = lambda member_id: None,
     ) -> None:
         self._holder = holder
-        self._stints = itertools.count(1)
-        self._member = self._next_member()
+        self._member_numbers = itertools.count(1)
+        self._member_id = self._new_member_id()
         self._leadership = leadership
         self._on_epoch = on_epoch
         self._candidacy = candidacy
@@ -155,20 +165,20 @@
         self._metrics = metrics
         self._released = False
         self._joined = False
-        self._failures = 0
+        self._failed_renewals = 0
         self._renewed_s = float("-inf")
-        self._stopped: dict[str, float] = {}
+        self._stopped_members: dict[str, float] = {}
         self._wake = asyncio.Event()
 
-    def _next_member(self) -> str:
-        # The process may have run before under the same name.
-        return f"{self._holder}#{secrets.token_hex(4)}.{next(self._stints)}"
+    def _new_member_id(self) -> str:
+        # The random part distinguishes earlier processes with the same name.
+        return f"{self._holder}#{secrets.token_hex(4)}.{next(self._member_numbers)}"
 
     async def run(self, ready: asyncio.Event) -> None:
-        """Renew until cancelled."""
+        """Request and renew the lease until cancelled."""
         ready.set()
         while True:
-            delay_s = _RENEW_S
+            delay_s = _RENEWAL_INTERVAL_S
             self._wake.clear()
             if not self._released:
                 delay_s = await self._step()
@@ -178,30 +188,30 @@
     async def _step(self) -> float:
         now_s = asyncio.get_running_loop().time()
         leads = self._leadership.current_token(now_s) is not None
-        asks = self._candidacy is None or self._candidacy.requests_lease(now_s)
-        if leads or asks:
-            await self._end_stopped()
+        is_candidate = self._candidacy is None or self._candidacy.requests_lease(now_s)
+        if leads or is_candidate:
+            await self._end_stopped_memberships()
             return await self._renew()
         if self._joined:
-            await self._leave()
-        self._stopped.clear()
-        return _STANDBY_RENEW_S
+            await self._stand_down()
+        self._stopped_members.clear()
+        return _STANDBY_INTERVAL_S
 
     async def _renew(self) -> float:
         sent_s = asyncio.get_running_loop().time()
         self._joined = True
-        member = self._member
-        call = self._client.renew(member, self._leadership.duration_s)
+        member_id = self._member_id
+        call = self._client.renew(member_id, self._leadership.duration_s)
         try:
-            grant = await answer_within(call, _CALL_S)
+            grant = await answer_within(call, _CALL_TIMEOUT_S)
         except (LogUnavailableError, TimeoutError) as error:
             self._metrics.count("lease.renewals_failed")
-            self._failures += 1
-            self._stop_if_lapsing(str(error) or f"no answer within {_CALL_S} s")
-            return _RETRY_S
-        if self._released or member != self._member:
-            return _STANDBY_RENEW_S  # What it grants was given back meanwhile.
-        self._failures = 0
+            self._failed_renewals += 1
+            self._stop_if_lapsing(str(error) or f"no answer within {_CALL_TIMEOUT_S} s")
+            return _RETRY_DELAY_S
+        if self._released or member_id != self._member_id:
+            return _STANDBY_INTERVAL_S  # The granted lease was released meanwhile.
+        self._failed_renewals = 0
         self._renewed_s = sent_s
         self._on_epoch(grant.epoch)
         is_new = grant.fencing_token != self._leadership.newest_token
@@ -211,70 +221,71 @@
                     grant.is_holder, grant.fencing_token, "the store's answer"
                 )
             )
-        # A former holder gives the lease up by naming the new term: until all
-        # have, nobody holds it.
+        # Members confirm a new generation by their next renewal. Nobody holds the lease
+        # until the former holder has confirmed it, so the next renewal follows soon.
         if is_new:
-            return _CONFIRM_S
-        return _RENEW_S if grant.is_holder else _STANDBY_RENEW_S
+            return _CONFIRMATION_DELAY_S
+        return _RENEWAL_INTERVAL_S if grant.is_holder else _STANDBY_INTERVAL_S
 
     def _stop_if_lapsing(self, cause: str) -> None:
+        """Stop leading if renewals have failed for too long."""
         now_s = asyncio.get_running_loop().time()
-        fencing = self._leadership.current_token(now_s)
-        if fencing is None:
+        token = self._leadership.current_token(now_s)
+        if token is None:
             return
         age_s = now_s - self._renewed_s
-        is_old = age_s >= _STOP_SHARE * self._leadership.duration_s
-        if self._failures < _MOST_FAILURES and not is_old:
+        is_old = age_s >= _MAX_RENEWAL_AGE_SHARE * self._leadership.duration_s
+        if self._failed_renewals < _MAX_FAILED_RENEWALS and not is_old:
             return
-        self._leadership.record_refused_token(fencing)
+        self._leadership.record_refused_token(token)
         self._leadership.revoke()
         self._metrics.count("lease.stopped")
         why = f"not renewed for {age_s:.2f} s: {cause}"
-        self._log.write(LeadershipChanged(leading=False, fencing=fencing, cause=why))
-        stopped, self._member = self._member, self._next_member()
-        self._note_stopped(stopped)
-        self._on_stopped(stopped)
-
-    def holder_stopped(self, member: str) -> None:
-        """Another process led under this member id, and doesn't any more."""
-        if member == self._member:
+        self._log.write(LeadershipChanged(leading=False, fencing=token, cause=why))
+        stopped_id, self._member_id = self._member_id, self._new_member_id()
+        self._record_stopped(stopped_id)
+        self._on_stopped(stopped_id)
+
+    def holder_stopped(self, member_id: str) -> None:
+        """End the membership of another process, which stopped leading."""
+        if member_id == self._member_id:
             return
-        self._note_stopped(member)
+        self._record_stopped(member_id)
         self._wake.set()
 
-    def _note_stopped(self, member: str) -> None:
-        if len(self._stopped) < _MOST_STOPPED:
-            self._stopped[member] = asyncio.get_running_loop().time()
+    def _record_stopped(self, member_id: str) -> None:
+        if len(self._stopped_members) < _MAX_STOPPED_MEMBERS:
+            self._stopped_members[member_id] = asyncio.get_running_loop().time()
 
-    async def _end_stopped(self) -> None:
-        """End memberships of holders that stopped; the lease passes on by that."""
+    async def _end_stopped_memberships(self) -> None:
+        """End the memberships of stopped holders, so that the lease becomes free."""
         loop = asyncio.get_running_loop()
-        for member, stopped_s in list(self._stopped.items()):
+        for member_id, stopped_s in list(self._stopped_members.items()):
             has_lapsed = loop.time() - stopped_s >= self._leadership.duration_s
-            if not has_lapsed and not await self._end(member):
-                return  # The store doesn't answer; it is asked again.
-            self._stopped.pop(member, None)
+            if not has_lapsed and not await self._end_membership(member_id):
+                return  # The store doesn't answer; retried in the next step.
+            self._stopped_members.pop(member_id, None)
 
-    async def _end(self, member: str) -> bool:
+    async def _end_membership(self, member_id: str) -> bool:
         try:
-            await answer_within(self._client.release(member), _CALL_S)
+            await answer_within(self._client.release(member_id), _CALL_TIMEOUT_S)
         except (LogUnavailableError, TimeoutError):
-            self._metrics.count("lease.release_failed")  # It lapses by itself.
+            self._metrics.count("lease.release_failed")  # The lease expires.
             return False
         return True
 
-    async def _leave(self) -> None:
-        """Stop to ask; another candidate took this one's place."""
+    async def _stand_down(self) -> None:
+        """Stop requesting the lease, and release it if this process holds it."""
         self._joined = False
-        left, self._member = self._member, self._next_member()
+        former_id, self._member_id = self._member_id, self._new_member_id()
         newest = self._leadership.newest_token
         self._leadership.record_renewal(
             LeaseGrant(is_holder=False, fencing_token=newest), 0.0
         )
-        await self._end(left)
+        await self._end_membership(former_id)
 
     async def release(self) -> None:
-        """Give the lease back, so that a successor needn't wait."""
+        """Release the lease, so that a successor needn't wait until it expires."""
         self._released = True
         if self._joined:
-            await self._leave()
+            await self._stand_down()
--- a/tests/forwarding/test_own_lateness.py
+++ b/tests/forwarding/test_own_lateness.py
@@ -38,13 +38,13 @@
     Connection,
     Deployment,
     begin_stream,
-    events_of,
+    drain_other_domains,
     later_engine,
-    let_others_drain,
-    rest_of,
-    runs,
-    suspects,
-    take_off_the_list,
+    read_reply,
+    remove_registration,
+    run_count,
+    stream_body,
+    suspected_servers,
     until,
 )
 
@@ -65,10 +65,10 @@
 ) -> None:
     begun = [await begin_stream(deployment, f"s-{n}") for n in range(2)]
     await delay_all_answers(deployment, 0.4)
-    assert suspects(deployment) == []
-    replies = await asyncio.gather(*(rest_of(connection) for connection, _ in begun))
-    assert [reply.body for reply in replies] == [events_of(60)] * 2
-    assert [runs(deployment, f"s-{n}") for n in range(2)] == [1, 1]
+    assert suspected_servers(deployment) == []
+    replies = await asyncio.gather(*(read_reply(connection) for connection, _ in begun))
+    assert [reply.body for reply in replies] == [stream_body(60)] * 2
+    assert [run_count(deployment, f"s-{n}") for n in range(2)] == [1, 1]
 
 
 async def test_an_engine_probed_alone_is_not_suspected_while_all_answers_are_late(
@@ -79,8 +79,8 @@
         other.report_delay_s = 0.15
     deployment.entry._prober.record_broken_answer(engine.server_id)
     await asyncio.sleep(0.5)
-    assert suspects(deployment) == []
-    assert runs(deployment, "s-1") == 1
+    assert suspected_servers(deployment) == []
+    assert run_count(deployment, "s-1") == 1
     connection.close()
 
 
@@ -89,10 +89,10 @@
 ) -> None:
     connection, first = await begin_stream(deployment)
     later = later_engine(deployment, first)
-    take_off_the_list(deployment, later)
+    remove_registration(deployment, later)
     await delay_all_answers(deployment, 0.15)
-    assert (await rest_of(connection)).body == events_of(60)
-    assert runs(deployment, "s-1") == 1
+    assert (await read_reply(connection)).body == stream_body(60)
+    assert run_count(deployment, "s-1") == 1
 
 
 async def test_an_answer_of_a_replacement_does_not_prove_an_engine_alive(
@@ -105,7 +105,7 @@
     directory = deployment.entry.router.directory
     entry = directory.get(first.server_id)
     assert entry is not None
-    take_off_the_list(deployment, first)
+    remove_registration(deployment, first)
     assert await prober.calls.still_serves(stage, 0.5)
     first.layers = (4, 8)
     assert not await prober.calls.still_serves(stage, 0.5)
@@ -130,10 +130,10 @@
             for e in deployment.engines
             if e.server_id == driver._destination.server.host
         ]
-        take_off_the_list(deployment, engine)
+        remove_registration(deployment, engine)
         router.report_lost(frozenset({engine.server_id}))
         await asyncio.sleep(0.2)
-    assert runs(deployment, "s-1") == 2
+    assert run_count(deployment, "s-1") == 2
     connection.close()
 
 
@@ -143,19 +143,19 @@
     """Stop a later engine for a while; the stream of 200 events must outlast this."""
     later = later_engine(deployment, first)
     later.mode = "dead"
-    await until(lambda: bool(suspects(deployment)))
+    await until(lambda: bool(suspected_servers(deployment)))
     await asyncio.sleep(0.3)
     later.mode = "ok"
-    reply = await rest_of(connection)
-    assert (reply.whole, reply.body) == (True, events_of(200))
-    assert runs(deployment, "s-1") == 1
+    reply = await read_reply(connection)
+    assert (reply.complete, reply.body) == (True, stream_body(200))
+    assert run_count(deployment, "s-1") == 1
 
 
 async def test_a_stream_without_another_destination_waits_for_its_engine(
     deployment: Deployment,
 ) -> None:
     connection, first = await begin_stream(deployment, events=200)
-    await let_others_drain(deployment, first)
+    await drain_other_domains(deployment, first)
     await check_that_the_stream_waits(deployment, connection, first)
 
 
@@ -190,8 +190,8 @@
     monkeypatch.setattr(exchange, "connect", connect_too_late)
     reply = await deployment.ask("/draft/1", "s-1")
     assert reply.status == 503
-    assert runs(deployment, "s-1") == 0
-    assert suspects(deployment) == []
+    assert run_count(deployment, "s-1") == 0
+    assert suspected_servers(deployment) == []
 
 
 @pytest.fixture
--- a/tests/forwarding/test_rate_limits.py
+++ b/tests/forwarding/test_rate_limits.py
@@ -18,9 +18,9 @@
 from tests.lib.forwarding import (
     Deployment,
     begin_stream,
-    events_of,
-    rest_of,
+    read_reply,
     running,
+    stream_body,
     until,
 )
 from tests.lib.limits import (
@@ -53,13 +53,13 @@
     for entry in deployment.entries:
         channel = entry._peering._channel
         assert channel is not None
-        channel._send = lambda datagram, peers: None  # type: ignore[method-assign]
+        channel._send_datagram = lambda datagram, peers: None  # type: ignore[method-assign]
 
 
 @pytest.mark.parametrize("entries", [1, 5])
 async def test_limit_of_one_of_two_first_engines_is_kept(entries: int) -> None:
     async for deployment in running(Deployment(entry_count=entries)):
-        server = deployment.first_engines[0]
+        server = deployment.first_stage_engines[0]
         load = ClientLoad(deployment, STREAM, PER_S)
         outcome = await run_limit_scenario(deployment, load, {server.server_id: "1.4"})
         assert outcome.max_in_window(server) <= allowed_requests(1.4)
@@ -71,7 +71,7 @@
 async def test_limits_of_both_first_engines_are_kept() -> None:
     """Requests beyond the limits are refused at once, with a time for the retry."""
     async for deployment in running(Deployment(entry_count=3)):
-        servers = deployment.first_engines
+        servers = deployment.first_stage_engines
         load = ClientLoad(deployment, STREAM, PER_S)
         outcome = await run_limit_scenario(
             deployment, load, {s.server_id: "2.5" for s in servers}
@@ -105,7 +105,7 @@
 
 async def test_limit_is_kept_without_messages_between_entries() -> None:
     async for deployment in running(Deployment(entry_count=5)):
-        server = deployment.first_engines[0]
+        server = deployment.first_stage_engines[0]
         load = ClientLoad(deployment, STREAM, PER_S)
         await stop_messages_between_entries(deployment)
         outcome = await run_limit_scenario(deployment, load, {server.server_id: "1.4"})
@@ -117,7 +117,7 @@
 
 async def test_server_gets_usual_rate_within_six_seconds_after_its_limit() -> None:
     async for deployment in running(Deployment(entry_count=3)):
-        server = deployment.first_engines[0]
+        server = deployment.first_stage_engines[0]
         load = ClientLoad(deployment, STREAM, PER_S)
         outcome = await run_limit_scenario(
             deployment, load, {server.server_id: "1.4"}, duration_s=5.0, after_s=10.0
@@ -143,7 +143,7 @@
     two_entries: Deployment,
 ) -> None:
     deployment = two_entries
-    server = deployment.first_engines[0]
+    server = deployment.first_stage_engines[0]
     load = ClientLoad(deployment, STREAM, PER_S, shares=(1.0, 0.0))
     scenario = asyncio.create_task(
         run_limit_scenario(
@@ -178,14 +178,14 @@
     deployment: Deployment,
 ) -> None:
     connection, engine = await begin_stream(deployment, events=100)
-    (other,) = [e for e in deployment.first_engines if e is not engine]
+    (other,) = [e for e in deployment.first_stage_engines if e is not engine]
     other.rate_limit = "4"
     for number in range(6):
         reply = await deployment.ask(STREAM, f"n-{number}")
         assert reply.status == 200
     engine.crash()
-    reply = await rest_of(connection)
-    assert (reply.whole, reply.body) == (True, events_of(100))
+    reply = await read_reply(connection)
+    assert (reply.complete, reply.body) == (True, stream_body(100))
 
 
 async def test_malformed_limit_has_no_effect(deployment: Deployment) -> None:
--- a/tests/forwarding/test_server_backoff.py
+++ b/tests/forwarding/test_server_backoff.py
@@ -25,8 +25,8 @@
 from tests.lib.forwarding import (
     ZONES,
     Deployment,
+    keep_one_plain_server,
     later_engine,
-    only_plain_server,
     running,
     until,
 )
@@ -58,7 +58,7 @@
 
 def first_servers(deployment: Deployment, path: str) -> list[Engine]:
     """Return the servers that receive a route's requests from entries."""
-    return deployment.first_engines if path == STREAM else deployment.plain
+    return deployment.first_stage_engines if path == STREAM else deployment.plain
 
 
 @pytest.mark.parametrize("path", ROUTES)
@@ -160,7 +160,7 @@
 
 
 async def test_backoff_doesnt_apply_to_new_incarnation(deployment: Deployment) -> None:
-    server = await only_plain_server(deployment, born=5_000)
+    server = await keep_one_plain_server(deployment, born=5_000)
     server.mode, server.retry_after = "shed", "30"
     assert (await deployment.ask(SAFE, "c-1")).status == 503
     server.mode = "ok"
@@ -190,7 +190,7 @@
 async def test_unusable_retry_after_value_leaves_usual_pause(
     deployment: Deployment, value: str
 ) -> None:
-    first = deployment.first_engines[0]
+    first = deployment.first_stage_engines[0]
     first.mode, first.retry_after = "shed", value
     for number in range(12):
         assert (await deployment.ask(STREAM, f"s-{number}")).status == 200
@@ -205,7 +205,7 @@
 async def test_backoff_applies_to_answering_server_even_if_it_blames_another(
     deployment: Deployment,
 ) -> None:
-    first = deployment.first_engines[0]
+    first = deployment.first_stage_engines[0]
     later = later_engine(deployment, first)
     first.mode, first.retry_after, first.blames = "shed", "3", later.address
     for number in range(12):
@@ -229,7 +229,7 @@
     await until(deployment.all_known)
     whole.mode, whole.retry_after = "shed", "5"
     replies = [await deployment.ask(STREAM, f"s-{n}") for n in range(6)]
-    assert {(reply.status, reply.whole) for reply in replies} == {(200, True)}
+    assert {(reply.status, reply.complete) for reply in replies} == {(200, True)}
     assert len(whole.arrivals) <= 1
     chains = [seen["Railfold-Hop-Count"] for seen in deployment.engines[-2].seen]
     assert all(whole.address in chain for chain in chains)
--- a/tests/functional/test_outcomes.py
+++ b/tests/functional/test_outcomes.py
@@ -245,7 +245,7 @@
     caller = StreamCaller(
         cluster_with_spares.callers_url(), "unit 5", 400, Railfold_Repeatable="false"
     )
-    caller.wait_tokens(3)
+    caller.wait_for_tokens(3)
     busy_hosts = [
         agent["host"]
         for agent in cluster_with_spares.status()["agents"]
@@ -288,7 +288,7 @@
     with Cluster([host]) as cluster:
         url = f"{cluster.engine_url(host.host)}/v1/status"
         caller = StreamCaller(cluster.callers_url(), "unit 7", 8000)
-        caller.wait_tokens(2)
+        caller.wait_for_tokens(2)
         assert get(url)["open_sequences"] == 1
         cluster.processes["entry-0"].kill()
         cluster.wait_until(lambda: get(url)["open_sequences"] == 0, "the orphan's end")
@@ -300,7 +300,7 @@
         for index in range(16)
     ]
     for caller in callers:
-        caller.assert_whole()
+        caller.assert_complete()
 
 
 def test_service_status_is_returned_to_the_caller(cluster: Cluster) -> None:
--- a/tests/functional/test_planned_stops.py
+++ b/tests/functional/test_planned_stops.py
@@ -21,16 +21,16 @@
 
 def test_stopped_agent_finishes_its_sequences(cluster_with_spares: Cluster) -> None:
     caller = StreamCaller(cluster_with_spares.callers_url(), "unit 1", TOKEN_COUNT)
-    caller.wait_tokens(3)
+    caller.wait_for_tokens(3)
     middle_host = busy_hosts(cluster_with_spares)[1]
     assert cluster_with_spares.processes[f"agent-{middle_host}"].stop() == 0
-    caller.assert_whole()
+    caller.assert_complete()
     assert caller.outcome["attempts"] == 1
 
 
 def test_draining_agent_gets_no_new_work(cluster_with_spares: Cluster) -> None:
     caller = StreamCaller(cluster_with_spares.callers_url(), "unit 1", 400)
-    caller.wait_tokens(3)
+    caller.wait_for_tokens(3)
     middle_host = busy_hosts(cluster_with_spares)[1]
     # The platform's host list doesn't mark the host as leaving.
     post(f"{cluster_with_spares.agent_url(middle_host)}/v1/drain", {})
@@ -38,7 +38,7 @@
         answer = generate(cluster_with_spares.callers_url(), f"unit {number}", 4)
         assert answer.outcome == "answered"
         assert middle_host not in [stage["host"] for stage in answer.body["lineage"]]
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_host_listed_as_leaving_gets_no_new_work(
@@ -57,12 +57,12 @@
 
 def test_stopped_entry_finishes_its_answers(two_entry_cluster: Cluster) -> None:
     caller = StreamCaller(two_entry_cluster.callers_url(0), "unit 1", 200)
-    caller.wait_tokens(3)
+    caller.wait_for_tokens(3)
     post(f"{two_entry_cluster.entry_url(0)}/v1/drain", {})
     readiness = send(f"{two_entry_cluster.callers_url(0)}/readyz", method="GET")
     assert readiness.status == 503
     assert two_entry_cluster.processes["entry-0"].stop() == 0
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 @pytest.mark.parametrize("name", ["agent-meter-a1", "entry-0"])
--- a/tests/functional/test_recovery.py
+++ b/tests/functional/test_recovery.py
@@ -16,7 +16,7 @@
 
 def start_stream(cluster: Cluster, prompt: str = "unit 7") -> StreamCaller:
     caller = StreamCaller(cluster.callers_url(), prompt, TOKENS)
-    caller.wait_tokens(3)
+    caller.wait_for_tokens(3)
     return caller
 
 
@@ -24,7 +24,7 @@
     caller = start_stream(cluster_with_spares)
     middle = serving_hosts(cluster_with_spares)[1]
     cluster_with_spares.processes[f"agent-{middle}"].kill()
-    caller.assert_whole()
+    caller.assert_complete()
     assert caller.outcome["attempts"] == 2
 
 
@@ -34,21 +34,21 @@
     caller = start_stream(cluster_with_spares)
     last = serving_hosts(cluster_with_spares)[2]
     cluster_with_spares.processes[f"engine-{last}"].kill()
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answer_goes_on_after_its_agent_freezes(cluster_with_spares: Cluster) -> None:
     caller = start_stream(cluster_with_spares)
     first = serving_hosts(cluster_with_spares)[0]
     cluster_with_spares.processes[f"agent-{first}"].freeze()
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answer_goes_on_after_its_engine_freezes(cluster_with_spares: Cluster) -> None:
     caller = start_stream(cluster_with_spares)
     middle = serving_hosts(cluster_with_spares)[1]
     post(f"{cluster_with_spares.engine_url(middle)}/control/freeze", {})
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answer_goes_on_after_its_engine_lost_its_caches(
@@ -57,7 +57,7 @@
     caller = start_stream(cluster_with_spares)
     middle = serving_hosts(cluster_with_spares)[1]
     post(f"{cluster_with_spares.engine_url(middle)}/control/restart", {})
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answer_goes_on_after_an_engine_lost_an_answer(
@@ -67,7 +67,7 @@
     caller = start_stream(cluster_with_spares)
     middle = serving_hosts(cluster_with_spares)[1]
     post(f"{cluster_with_spares.engine_url(middle)}/control/drop", {})
-    caller.assert_whole()
+    caller.assert_complete()
     assert caller.outcome["attempts"] == 2
 
 
@@ -78,7 +78,7 @@
     hosts = serving_hosts(cluster_with_spares)
     for host in (hosts[0], hosts[2]):
         cluster_with_spares.processes[f"agent-{host}"].kill()
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_answers_go_on_after_a_failure_domain_dies(
@@ -90,7 +90,7 @@
             cluster_with_spares.processes[f"agent-{host.host}"].kill()
             cluster_with_spares.processes[f"engine-{host.host}"].kill()
     for caller in callers:
-        caller.assert_whole()
+        caller.assert_complete()
 
 
 def test_answer_goes_on_while_the_log_is_out(cluster_with_spares: Cluster) -> None:
@@ -98,7 +98,7 @@
     caller = start_stream(cluster_with_spares)
     middle = serving_hosts(cluster_with_spares)[1]
     cluster_with_spares.processes[f"agent-{middle}"].kill()
-    caller.assert_whole()
+    caller.assert_complete()
 
 
 def test_woken_agent_takes_up_new_work_only(cluster_with_spares: Cluster) -> None:
@@ -106,18 +106,18 @@
     middle = serving_hosts(cluster_with_spares)[1]
     agent = cluster_with_spares.processes[f"agent-{middle}"]
     agent.freeze()
-    caller.assert_whole()
+    caller.assert_complete()
     agent.thaw()
     cluster_with_spares.wait_until(
         lambda: cluster_with_spares.serving() == 6, "six agents"
     )
     again = start_stream(cluster_with_spares, "unit 8")
-    again.assert_whole()
+    again.assert_complete()
 
 
 def test_no_spare_stage_gives_a_failure_at_once(cluster: Cluster) -> None:
     caller = StreamCaller(cluster.callers_url(), "unit 9", 5000)
-    caller.wait_tokens(3)
+    caller.wait_for_tokens(3)
     cluster.processes["agent-meter-b1"].kill()
     caller.finish()
     assert caller.outcome["outcome"] == "failed"
--- a/tests/unit/test_leadership_handover.py
+++ b/tests/unit/test_leadership_handover.py
@@ -19,8 +19,8 @@
 from railfold._internal.errors import LogUnavailableError
 from railfold._internal.forwarding.store.leadership import (
     LEASE_S,
-    MEMBER_S,
-    LeadershipKeeper,
+    MEMBER_LEASE_S,
+    LeadershipController,
 )
 from railfold._internal.observability.decision_log import DecisionLog
 from railfold._internal.observability.metrics import Metrics
@@ -103,7 +103,7 @@
 
     def __post_init__(self) -> None:
         self.leadership = Leadership(LEASE_S)
-        self.keeper = LeadershipKeeper(
+        self.keeper = LeadershipController(
             self.name,
             self.leadership,
             self,
@@ -266,7 +266,7 @@
     async def refuse_leader() -> tuple[str, set[str]]:
         async with candidates(2) as (group, processes):
             (leader,) = leaders(processes)
-            given_up = leader.keeper._member
+            given_up = leader.keeper._member_id
             leader.inject_fault("refused", 0.6)
             await asyncio.sleep(0.6)
             group.confirmed_generations.clear()
@@ -325,7 +325,7 @@
 
 
 def test_former_candidate_requests_the_lease_for_a_limited_time() -> None:
-    candidacy = Candidacy(MEMBER_S)
+    candidacy = Candidacy(MEMBER_LEASE_S)
     assert not candidacy.requests_lease(0.0)
     candidacy.record_renewal(LeaseGrant(False, 1, is_candidate=True), 10.0)
     assert candidacy.requests_lease(10.1)
@@ -338,6 +338,6 @@
 
 def test_candidate_without_renewals_stops_requesting_the_lease() -> None:
     """The store no longer counts it as a member and has selected other candidates."""
-    candidacy = Candidacy(MEMBER_S)
+    candidacy = Candidacy(MEMBER_LEASE_S)
     candidacy.record_renewal(LeaseGrant(False, 1, is_candidate=True), 10.0)
-    assert not candidacy.requests_lease(10.0 + MEMBER_S)
+    assert not candidacy.requests_lease(10.0 + MEMBER_LEASE_S)
--- a/tests/unit/test_peers.py
+++ b/tests/unit/test_peers.py
@@ -19,28 +19,28 @@
 from railfold._internal.decisions.peers import Peer, PeerView, SeenMessages
 from railfold._internal.errors import PeerMessageError
 from railfold._internal.forwarding.peers.peer_messages import (
-    MOST_CRASHES_SENT,
+    MAX_CRASHES_SENT,
     ArrivalsNotice,
-    ContentCleared,
     CrashesNotice,
     CrashNotice,
     DomainLoadNotice,
     EntryStarted,
     Envelope,
-    LoadPartNotice,
+    LoadContributionNotice,
     LoadRows,
     LoadSumNotice,
     PeerMessageCodec,
     PermitReply,
     PermitRequest,
-    PlacementLed,
+    PlacementLeaderNotice,
     RateLimitNotice,
-    TrialBegun,
+    SuccessNotice,
+    TrialStarted,
 )
 from railfold._internal.forwarding.store.shared_records import (
     decode_entry,
     decode_hold,
-    decode_key,
+    decode_peer_key,
 )
 
 NOW_S = 1_764_000_000.0
@@ -140,7 +140,7 @@
     "llm",
     "draft",
     "quality",
-    [CrashNotice("i-" + "7" * 40, 10, 5, "v" * 30, 2**40)] * MOST_CRASHES_SENT,
+    [CrashNotice("i-" + "7" * 40, 10, 5, "v" * 30, 2**40)] * MAX_CRASHES_SENT,
 )
 
 
@@ -148,16 +148,16 @@
     "message",
     [
         CRASHES,
-        ContentCleared(DIGEST, 10),
-        TrialBegun(DIGEST),
+        SuccessNotice(DIGEST, 10),
+        TrialStarted(DIGEST),
         EntryStarted("entry-1", "10.0.0.1:7355", 1),
-        PlacementLed("entry-1"),
+        PlacementLeaderNotice("entry-1"),
         ArrivalsNotice("entry-1", {"s" * 30 + str(n): 1.5 for n in range(16)}),
         RateLimitNotice("i-1@5", 1.4, 20),
         RateLimitNotice("i-1@5", None, 20),
         PermitRequest("entry-1", 7, RateLimitNotice("i-1@5", 1.4, 20), 100),
         PermitReply("entry-1", 7, granted=True, wait_ms=20),
-        LoadPartNotice("entry-1", 3, LoadRows([[6, 50, 1, 40, 1], [7, 900]])),
+        LoadContributionNotice("entry-1", 3, LoadRows([[6, 50, 1, 40, 1], [7, 900]])),
         LoadSumNotice("entry-1", 3, [5], 2, LoadRows([[6, 5]], 1, 2), 5, {"west-a": 1}),
         DomainLoadNotice("west-b", 3, 2, LoadRows([]), {"west-a": 1}, hops=1),
     ],
@@ -181,7 +181,7 @@
 
 
 def test_message_with_a_wrong_key_is_refused(codec: PeerMessageCodec) -> None:
-    envelope = Envelope("entry-1", b"8 bytes.", int(NOW_S * 1000), TrialBegun(DIGEST))
+    envelope = Envelope("entry-1", b"8 bytes.", int(NOW_S * 1000), TrialStarted(DIGEST))
     forged = PeerMessageCodec(b"x" * 32).encode(envelope)
     with pytest.raises(PeerMessageError, match="authentication"):
         codec.decode(forged, NOW_S)
@@ -190,7 +190,7 @@
 def test_replayed_message_is_refused(
     codec: PeerMessageCodec,
 ) -> None:
-    envelope = Envelope("entry-1", b"8 bytes.", int(NOW_S * 1000), TrialBegun(DIGEST))
+    envelope = Envelope("entry-1", b"8 bytes.", int(NOW_S * 1000), TrialStarted(DIGEST))
     datagram = codec.encode(envelope)
     codec.decode(datagram, NOW_S + 5.0)
     with pytest.raises(PeerMessageError, match="too old"):
@@ -238,14 +238,14 @@
         }
     )
     with pytest.raises(PeerMessageError):
-        codec.decode(codec._code(body) + body, NOW_S)
+        codec.decode(codec._mac(body) + body, NOW_S)
 
 
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=2000))
 def test_arbitrary_bytes_raise_only_peer_message_errors(data: bytes) -> None:
     codec = PeerMessageCodec(b"k" * 32)
-    for datagram in (data, codec._code(data) + data):
+    for datagram in (data, codec._mac(data) + data):
         with pytest.raises(PeerMessageError):
             codec.decode(datagram, NOW_S)
 
@@ -253,7 +253,7 @@
 @settings(max_examples=200, deadline=None)
 @given(st.binary(max_size=200))
 def test_arbitrary_records_raise_only_peer_message_errors(value: bytes) -> None:
-    for decode in (decode_hold, decode_key, lambda v: decode_entry("e", v, 0.0)):
+    for decode in (decode_hold, decode_peer_key, lambda v: decode_entry("e", v, 0.0)):
         with pytest.raises(PeerMessageError):
             decode(value)
 
@@ -261,8 +261,8 @@
 @pytest.mark.parametrize(
     ("decode", "value"),
     [
-        (decode_key, b'{"key":"c2hvcnQ="}'),
-        (decode_key, b'{"key":"no base64 at all!"}'),
+        (decode_peer_key, b'{"key":"c2hvcnQ="}'),
+        (decode_peer_key, b'{"key":"no base64 at all!"}'),
         (
             lambda value: decode_entry("entry-1", value, 0.0),
             b'{"address":"nowhere","started_at_ms":1,"written_at_unix_ms":1}',
@@ -286,5 +286,5 @@
 
 def test_row_of_an_entry_that_is_gone_is_skipped() -> None:
     row = b'{"address":"10.0.0.1:7355","started_at_ms":1,"written_at_unix_ms":5000}'
-    assert decode_entry("entry-1", row, oldest_unix_s=4.0) == peer("entry-1")
-    assert decode_entry("entry-1", row, oldest_unix_s=6.0) is None
+    assert decode_entry("entry-1", row, not_before_unix_s=4.0) == peer("entry-1")
+    assert decode_entry("entry-1", row, not_before_unix_s=6.0) is None
