--- a/src/railfold/_internal/entry/parsing.py
+++ b/src/railfold/_internal/entry/parsing.py
@@ -252,13 +252,13 @@
     try:
         return _GenerateBody.model_validate_json(body)
     except ValidationError as error:
-        problems = [
-            f"{'.'.join(str(part) for part in problem['loc']) or 'body'}: {problem['msg']}"
-            for problem in error.errors()
+        issues = [
+            f"{'.'.join(str(part) for part in issue['loc']) or 'body'}: {issue['msg']}"
+            for issue in error.errors()
         ]
         raise InvalidRequestError(
             "the request's body is invalid",
-            why="; ".join(problems),
+            why="; ".join(issues),
             hint='send JSON like {"prompt": "...", "max_tokens": 64}',
         ) from error
 
--- a/tests/unit/test_generate_driver.py
+++ b/tests/unit/test_generate_driver.py
@@ -117,8 +117,8 @@
     return asyncio.create_task(driver.run())
 
 
-# The first token shortens the limit. A check that is still scheduled for the longer limit
-# of first tokens would notice a hanging chain only after 2 s.
+# The first token shortens the limit. A check that is still scheduled for the longer
+# limit of first tokens would notice a hanging chain only after 2 s.
 async def test_chain_is_probed_as_soon_as_a_token_is_overdue() -> None:
     agents = FakeAgentPool()
     task = start_request(agents)
@@ -172,7 +172,7 @@
     task.cancel()
 
 
-# No message arrives that could make the driver look at the clock, so a timer must do it.
+# No message arrives that could make the driver look at the clock: a timer must do it.
 async def test_request_ends_at_its_deadline_while_no_token_arrives() -> None:
     agents = FakeAgentPool()
     task = start_request(agents)
