--- a/src/railfold/_internal/entry/agents.py
+++ b/src/railfold/_internal/entry/agents.py
@@ -349,9 +349,7 @@
                 for host, link in list(self._links.items()):
                     link.send(self._probe_message(0))
                     if link.unheard_looks() >= _INTERVALS_PER_LEASE:
-                        logging.warning(
-                            "closing the link to agent %s: it is silent", host
-                        )
+                        logging.warning("closing the link to silent agent %s", host)
                         link.close()
         finally:
             await self._close()
--- a/src/railfold/_internal/entry/probes.py
+++ b/src/railfold/_internal/entry/probes.py
@@ -42,7 +42,8 @@
     An agent is silent if it doesn't answer within the time-out after another agent
     has answered a probe that was sent later. Without such an answer the cause may be
     local: while this process is blocked or its own link is full, it receives no
-    answers even from healthy agents.
+    answers even from healthy agents. An agent is then silent only after
+    ``_TIMEOUTS_IF_ALL_SILENT`` more time-outs.
 
     :param timeout_s: how long an agent may take to answer.
     :param make_probe: returns the probe message for a nonce.
