--- a/src/railfold/__init__.py
+++ b/src/railfold/__init__.py
@@ -1,7 +1,7 @@
 """railfold routes model pipelines over mixed accelerators.
 
-The names exported here are the coordination parts that others may embed: state
-machines and functions without I/O or clock. All else is private.
+The public names are state machines and functions for coordination, without I/O or a
+clock of their own, which other programs may embed. Everything else is private.
 """
 
 from __future__ import annotations
@@ -132,9 +132,10 @@
     "plan_chain",
 ]
 
-# Modules under ``railfold._internal`` and what they export. They are imported
-# when a name is first used: a daemon that starts pays only for what it runs.
-_MODULES = {
+# Modules under ``railfold._internal`` and the public names that they define. A module
+# is imported when one of its names is first used, so that a process starts without the
+# import time of modules that it doesn't use.
+_NAMES_BY_MODULE = {
     "core": (
         "Answered",
         "AttemptId",
@@ -215,12 +216,17 @@
     ),
 }
 
-_MODULE_OF = {name: module for module, names in _MODULES.items() for name in names}
+_MODULE_BY_NAME = {
+    name: module for module, names in _NAMES_BY_MODULE.items() for name in names
+}
 
 
 def __getattr__(name: str) -> Any:
-    """Import an exported name on its first use."""
-    module = _MODULE_OF.get(name)
+    """Return a public name and import its module on first use.
+
+    :raises AttributeError: the package has no such public name.
+    """
+    module = _MODULE_BY_NAME.get(name)
     if module is None:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
     return getattr(importlib.import_module(f"railfold._internal.{module}"), name)
--- a/src/railfold/_internal/entry/agents.py
+++ b/src/railfold/_internal/entry/agents.py
@@ -125,7 +125,9 @@
 
     def peer_versions(self) -> dict[str, int]:
         """Return each linked agent's configuration version."""
-        return {host: link.peer_version for host, link in self._links.items()}
+        return {
+            host: link.peer_configuration_version for host, link in self._links.items()
+        }
 
     def broadcast(self, message: LinkMessage) -> None:
         """Send a message to every linked agent."""
@@ -306,7 +308,7 @@
                 links,
                 key=lambda link: (
                     link.peer.failure_domain not in domains,
-                    link.last_heard_s,
+                    link.last_received_s,
                 ),
             )
             self._spawn(self._probe_link(other_link))
@@ -348,7 +350,7 @@
                 await asyncio.sleep(interval_s)
                 for host, link in list(self._links.items()):
                     link.send(self._probe_message(0))
-                    if link.unheard_looks() >= _INTERVALS_PER_LEASE:
+                    if link.check_silence() >= _INTERVALS_PER_LEASE:
                         logging.warning("closing the link to silent agent %s", host)
                         link.close()
         finally:
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -21,7 +21,7 @@
 from railfold._internal.decisions.routing_table import RoutingTable, require_table
 from railfold._internal.errors import (
     LogUnavailableError,
-    MemoryShortError,
+    MemoryQuotaExceededError,
     RequestError,
 )
 from railfold._internal.forwarding.adapter import PlatformAdapter
@@ -480,7 +480,7 @@
     def refuse_early(self, exchange: ClientExchange) -> None:
         """Refuse a request because there isn't enough memory for its body."""
         reserved_mb = self._memory_quota.total_bytes / 1e6
-        error = MemoryShortError(
+        error = MemoryQuotaExceededError(
             "there isn't enough memory for the request's body",
             why=f"{reserved_mb:.1f} MB are reserved for clients",
             hint="come back after Retry-After",
