--- a/src/railfold/_internal/entry/callers.py
+++ b/src/railfold/_internal/entry/callers.py
@@ -1,4 +1,4 @@
-"""HTTP interface towards callers."""
+"""HTTP interface for callers."""
 
 from __future__ import annotations
 
@@ -40,9 +40,11 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerServices:
-    """What the handlers need.
+    """Dependencies of the request handlers.
 
-    :param missing: returns what is missing for taking requests.
+    :param configuration: returns the configuration in force.
+    :param refusal_reasons: returns why this entry takes no requests now; empty if it
+        does.
     """
 
     dispatcher: Dispatcher
@@ -50,22 +52,24 @@
     limits: CallerLimits
     metrics: Metrics
     configuration: Callable[[], Configuration]
-    missing: Callable[[], list[str]]
+    refusal_reasons: Callable[[], list[str]]
 
 
 @stream_request_body
 class _CallerHandler(RequestHandler):
-    """Reads a bounded body in bounded time; writes replies."""
+    """Reads the body within limits of size and time, and writes replies."""
 
     def initialize(self, services: CallerServices) -> None:
         self.services = services
         self._body = bytearray()
-        self._slow_timer: asyncio.TimerHandle | None = None
+        self._body_timer: asyncio.TimerHandle | None = None
 
     def prepare(self) -> None:
-        """Check what can be checked before the body is read."""
+        """Check the headers and the entry's readiness before the body is read."""
         limits = self.services.limits
-        size = sum(len(k) + len(v) + 4 for k, v in self.request.headers.get_all())
+        size = sum(
+            len(name) + len(value) + 4 for name, value in self.request.headers.get_all()
+        )
         if size > limits.max_header_bytes:
             self.refuse(
                 HeadersTooLargeError(
@@ -74,48 +78,51 @@
                 )
             )
             return
-        missing = self.services.missing()
-        if missing:
+        refusal_reasons = self.services.refusal_reasons()
+        if refusal_reasons:
             error = NotReadyError(
                 "this entry takes no requests now",
-                why="; ".join(missing),
+                why="; ".join(refusal_reasons),
                 hint="send it again; the balancer will choose another entry",
             )
             self.refuse(error, _NOT_READY_RETRY_S)
             return
-        length = self.request.headers.get("Content-Length", "0")
-        if length.isdigit() and int(length) > limits.max_body_bytes:
-            self.refuse(self._too_large(int(length)))
+        content_length = self.request.headers.get("Content-Length", "0")
+        if content_length.isdigit() and int(content_length) > limits.max_body_bytes:
+            self.refuse(self._body_too_large(int(content_length)))
             return
         loop = asyncio.get_running_loop()
-        self._slow_timer = loop.call_later(limits.body_timeout_s, self._too_slow)
+        self._body_timer = loop.call_later(limits.body_timeout_s, self._body_timed_out)
 
     def data_received(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
+        """Append a chunk to the body; refuse the request if it becomes too large."""
         if self._finished:
             return
         self._body += chunk
         if len(self._body) > self.services.limits.max_body_bytes:
-            self.refuse(self._too_large(len(self._body)))
+            self.refuse(self._body_too_large(len(self._body)))
 
     def take_body(self) -> bytes:
-        """Return the whole body; called by the methods, which run after it."""
-        if self._slow_timer is not None:
-            self._slow_timer.cancel()
+        """Return the complete body and stop the timer that limits its duration.
+
+        HTTP method handlers call this; tornado runs them after the last chunk.
+        """
+        if self._body_timer is not None:
+            self._body_timer.cancel()
         return bytes(self._body)
 
     def on_finish(self) -> None:
-        """Stop the timer of slow bodies."""
-        if self._slow_timer is not None:
-            self._slow_timer.cancel()
+        """Stop the timer that limits the duration of the body."""
+        if self._body_timer is not None:
+            self._body_timer.cancel()
 
     def refuse(self, error: RequestError, retry_after_s: float | None = None) -> None:
-        """Answer with a request error."""
+        """Count the refusal and reply with the error."""
         self.services.metrics.count(f"refused.{error.code}")
         self.reply(refused_reply("", error, retry_after_s))
 
     def reply(self, reply: Reply) -> None:
-        """Write a whole answer."""
+        """Write a complete reply, unless one was written before."""
         if self._finished:
             return
         self.set_status(reply.status)
@@ -125,15 +132,15 @@
             self.set_header(name, value)
         self.finish(reply.body)
 
-    def _too_slow(self) -> None:
+    def _body_timed_out(self) -> None:
         self.refuse(
             RequestTimeoutError(
-                "the request's body came too slowly",
-                why=f"it wasn't whole after {self.services.limits.body_timeout_s} s",
+                "the request's body wasn't received in time",
+                why=f"it was incomplete after {self.services.limits.body_timeout_s} s",
             )
         )
 
-    def _too_large(self, size: int) -> BodyTooLargeError:
+    def _body_too_large(self, size: int) -> BodyTooLargeError:
         return BodyTooLargeError(
             f"the request's body is {size} bytes or more",
             why=f"the limit is {self.services.limits.max_body_bytes}",
@@ -141,7 +148,7 @@
         )
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer what tornado itself refuses, in our form."""
+        """Reply to a request that tornado itself refuses, in the form of our errors."""
         error = RequestError(
             f"the request was refused with status {status_code}", why=self._reason
         )
@@ -151,21 +158,20 @@
 
 
 class GenerateHandler(_CallerHandler):
-    """``POST /v1/pipelines/<name>/generate``."""
+    """Handles ``POST /v1/pipelines/<name>/generate``."""
 
     def initialize(self, services: CallerServices) -> None:
-        """Set up."""
         super().initialize(services)
         self._driver: GenerateDriver | None = None
-        self._tokens: list[Token] = []
-        self._wake = asyncio.Event()
+        self._unsent_tokens: list[Token] = []
+        self._stream_changed = asyncio.Event()
 
     async def post(self, name: str) -> None:
-        """Run the request."""
+        """Run a generate request; reply at once or as an event stream."""
         body = self.take_body()
         services = self.services
         try:
-            parsed = services.parser.generate(
+            parsed = services.parser.parse_generate(
                 services.configuration(),
                 name,
                 self.request.headers,
@@ -179,13 +185,13 @@
         if parsed.stream:
             await self._stream(parsed, body)
         else:
-            self.reply(await self._dispatch(parsed, body, _ignore))
+            self.reply(await self._dispatch(parsed, body, _ignore_token))
 
     def on_connection_close(self) -> None:
-        """The caller went away: cancel its work."""
+        """Cancel the request after the caller closed its connection."""
         if self._driver is not None:
             self.services.metrics.count("callers.gone")
-            self._driver.caller_gone()
+            self._driver.caller_disconnected()
 
     async def _dispatch(
         self, parsed: ParsedGenerate, body: bytes, on_token: Callable[[Token], None]
@@ -198,28 +204,28 @@
         self._driver = driver
 
     async def _stream(self, parsed: ParsedGenerate, body: bytes) -> None:
-        task = asyncio.create_task(self._dispatch(parsed, body, self._take_token))
-        task.add_done_callback(lambda _: self._wake.set())
+        task = asyncio.create_task(self._dispatch(parsed, body, self._buffer_token))
+        task.add_done_callback(lambda _: self._stream_changed.set())
         while True:
-            await self._wake.wait()
-            self._wake.clear()
-            if self._tokens:
+            await self._stream_changed.wait()
+            self._stream_changed.clear()
+            if self._unsent_tokens:
                 await self._write_tokens()
-            if task.done() and not self._tokens:
+            if task.done() and not self._unsent_tokens:
                 break
         self._end_stream(task.result())
 
-    def _take_token(self, token: Token) -> None:
-        self._tokens.append(token)
-        self._wake.set()
+    def _buffer_token(self, token: Token) -> None:
+        self._unsent_tokens.append(token)
+        self._stream_changed.set()
 
     async def _write_tokens(self) -> None:
-        # What has gathered while the last flush waited leaves as one event.
-        tokens, self._tokens = self._tokens, []
-        self._start_stream()
-        first = tokens[0].step
+        # All tokens that arrived during the previous flush are sent as one event.
+        tokens, self._unsent_tokens = self._unsent_tokens, []
+        self._set_stream_headers()
+        first_step = tokens[0].step
         event = {
-            "first_step": first,
+            "first_step": first_step,
             "token_ids": [token.token_id for token in tokens],
             "text": "".join(token.text for token in tokens),
         }
@@ -229,9 +235,9 @@
         except StreamClosedError:
             return
 
-    def _start_stream(self) -> None:
-        # Headers wait for the first token, so that a request that is refused
-        # before it gets a plain answer with its own status.
+    def _set_stream_headers(self) -> None:
+        # Headers aren't sent before the first token, so that a request that is refused
+        # earlier gets a plain reply with an error status.
         if not self._headers_written:
             self.set_header("Content-Type", "text/event-stream")
             self.set_header("Cache-Control", "no-store")
@@ -245,16 +251,16 @@
 
 
 class ServiceHandler(_CallerHandler):
-    """``/v1/services/<name>/<path>``, any method."""
+    """Handles ``/v1/services/<name>/<path>`` for any method."""
 
-    async def _pass_on(self, name: str, path: str) -> None:
-        """Pass a call on, whatever its method."""
+    async def _forward_call(self, name: str, path: str) -> None:
+        """Forward a call of any method to the service."""
         body = self.take_body()
         if self.request.query:
             path = f"{path}?{self.request.query}"
         services = self.services
         try:
-            parsed = services.parser.service(
+            parsed = services.parser.parse_service(
                 services.configuration(),
                 name,
                 self.request.method or "",
@@ -269,14 +275,14 @@
         self.set_header(REQUEST_ID_HEADER, parsed.request.request_id)
         self.reply(await services.dispatcher.call(parsed))
 
-    get = head = post = put = patch = delete = _pass_on
+    get = head = post = put = patch = delete = _forward_call
 
 
 class NotFoundHandler(_CallerHandler):
-    """Any other path."""
+    """Handles all other paths."""
 
     def prepare(self) -> None:
-        """Refuse."""
+        """Refuse the request."""
         self.refuse(
             UnknownTargetError(
                 f"there is nothing at {self.request.path}",
@@ -285,5 +291,5 @@
         )
 
 
-def _ignore(token: Token) -> None:
-    """Tokens of a plain answer are gathered by the dispatcher."""
+def _ignore_token(token: Token) -> None:
+    """Do nothing: the dispatcher collects the tokens of a plain reply."""
--- a/src/railfold/_internal/entry/claims.py
+++ b/src/railfold/_internal/entry/claims.py
@@ -1,4 +1,4 @@
-"""Claiming idempotency keys in the platform's log."""
+"""Claim idempotency keys in the platform's log."""
 
 from __future__ import annotations
 
@@ -22,14 +22,19 @@
 from railfold._internal.store.follower import SettlingAppender
 from railfold._internal.store.records import LogRecord
 
-__all__ = ["ClaimKeeper"]
+__all__ = ["ClaimManager"]
 
 _MAX_KEPT_ANSWER_BYTES = 16 * 1024
 _MAX_ABANDONED = 10_000
 
 
-class ClaimKeeper:
-    """Reads the claims stream and writes this entry's claims to it."""
+class ClaimManager:
+    """Reads the claims stream and writes this entry's claims to it.
+
+    Each claim is appended to the log and read back before its request is sent.
+
+    :param entry: the name of this entry, which its claims carry.
+    """
 
     def __init__(
         self,
@@ -43,16 +48,16 @@
         self._appender = appender
         self._metrics = metrics
         self._abandoned: dict[str, ClaimKey] = {}
-        self.current = False
+        self.caught_up_once = False
 
-    # Reading the stream.
+    # Reading the claims stream.
 
     def next_offset(self) -> int:
         """Return the offset to read from."""
         return self._ledger.next_offset
 
     def record(self, record: LogRecord) -> None:
-        """Fold one record."""
+        """Apply one record to the ledger; skip it if it is unreadable."""
         try:
             write_id, claim = decode_claim(record.body)
         except msgspec.ValidationError:
@@ -68,26 +73,26 @@
                 pass
 
     def caught_up(self, next_offset: int, sent_s: float) -> None:
-        """The ledger is as new as the log."""
-        self.current = True
+        """Note that the ledger has caught up with the log at least once."""
+        self.caught_up_once = True
 
     def expired(self, first_offset: int) -> int:
-        """Go on after records that were lost to retention."""
+        """Skip records that the log has dropped; return the offset to continue from."""
         self._ledger.skip_to(first_offset)
         return first_offset
 
-    # Claims of this entry's requests.
+    # Claims for this entry's requests.
 
-    def standing(self, key: ClaimKey) -> Claim | None:
-        """Return the standing claim of ``key`` as far as this entry has read."""
+    def current_claim(self, key: ClaimKey) -> Claim | None:
+        """Return the current claim of ``key`` in the part of the log read so far."""
         return self._ledger.get(key)
 
     async def claim(self, write: ClaimWrite, timeout_s: float) -> ClaimVerdict:
-        """Claim a key and return what the log says of it.
+        """Claim a key and return the result according to the log.
 
         :raises LogUnavailableError: the log didn't answer in time. The request
-            must not be sent then; if the claim turns out to stand after all,
-            it is released.
+            must not be sent then. If the claim is read from the log later, it is
+            released.
         """
         if self._ledger.get(write.key) is not None:
             return self._ledger.verdict(write)
@@ -99,7 +104,7 @@
         return self._ledger.verdict(write)
 
     def release(self, key: ClaimKey, request_id: str) -> None:
-        """The request provably didn't run: free its key."""
+        """Free a key, because its request is proven not to have run."""
         self._append_later(ReleaseWrite(key, request_id))
 
     def complete(
@@ -112,9 +117,9 @@
         answer: bytes,
     ) -> None:
         """Record the request's outcome for later callers with the same key."""
-        kept = answer if len(answer) <= _MAX_KEPT_ANSWER_BYTES else b""
+        kept_answer = answer if len(answer) <= _MAX_KEPT_ANSWER_BYTES else b""
         self._append_later(
-            CompletionWrite(key, request_id, outcome, status, content_type, kept)
+            CompletionWrite(key, request_id, outcome, status, content_type, kept_answer)
         )
 
     async def _append(self, record: ClaimRecord, timeout_s: float) -> None:
--- a/tests/unit/test_blocked_event_loop.py
+++ b/tests/unit/test_blocked_event_loop.py
@@ -135,7 +135,7 @@
     def __init__(self) -> None:
         self.lost_hosts: set[str] = set()
 
-    def message(self, host: str, message: object) -> None:
+    def message_received(self, host: str, message: object) -> None:
         pass
 
     def hosts_lost(self, hosts: frozenset[str]) -> None:
@@ -174,7 +174,7 @@
         metrics,
         lambda: None,
     )
-    agent_pool.hosts_listed(agent_thread.listed)
+    agent_pool.host_list_received(agent_thread.listed)
     await wait_until(lambda: sum(member.routable for member in agent_pool.view) == 2)
     yield agent_pool
     await agent_pool._close()
