--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -1,8 +1,8 @@
-"""The choice of link: a grpcio stream against a tornado stream.
+"""Comparison of links between stages: a grpcio stream and a tornado stream.
 
-Two processes exchange frames as they travel between stages, with their real
-encoding. Gives the round trip, the frames a second with many on the way, and
-the threads each process runs.
+Two processes exchange frames like those between stages, in the real encoding. Measures
+the round trip time, the frames per second with many in flight, and the number of
+threads.
 """
 
 from __future__ import annotations
@@ -32,22 +32,22 @@
 
 SEQUENCES = (1, 8, 64)
 STATE_BYTES = 64
-SERIAL = 1000
-PIPELINED = 5000
-WINDOW = 64
-LENGTH = struct.Struct(">I")
+ROUND_TRIPS = 1000
+PIPELINED_FRAMES = 5000
+MAX_FRAMES_IN_FLIGHT = 64
+LENGTH_PREFIX = struct.Struct(">I")
 
 
 @dataclass(frozen=True)
 class Channel:
-    """One end of a link under test."""
+    """One end of a measured link."""
 
     send: Callable[[bytes], Awaitable[None]]
     receive: Callable[[], Awaitable[bytes]]
 
 
 def frame(sequences: int) -> Frame:
-    """Return a frame of activations from the second stage of a chain."""
+    """Return a frame of activations that the second stage of a chain sends."""
     lineage = tuple(
         StageRun(f"meter-{i}", 1, 1, LayerRange(i * 4, i * 4 + 3)) for i in range(2)
     )
@@ -61,7 +61,7 @@
 
 
 async def grpc_echo(port: Any) -> None:
-    """Serve an echo over a grpcio stream."""
+    """Serve an echo over a grpcio stream; put its port number into ``port``."""
 
     async def echo(requests: Any, context: Any) -> Any:
         async for data in requests:
@@ -78,7 +78,7 @@
 
 
 async def grpc_channel(port: int) -> Channel:
-    """Open a grpcio stream."""
+    """Open a grpcio stream to a loopback port."""
     call = grpc.aio.insecure_channel(f"127.0.0.1:{port}").stream_stream(
         "/Link/Frames"
     )()
@@ -86,17 +86,19 @@
 
 
 async def tornado_echo(port: Any) -> None:
-    """Serve an echo over a tornado stream."""
+    """Serve an echo over a tornado stream; put its port number into ``port``."""
 
     class Echo(TCPServer):
         async def handle_stream(self, stream: Any, address: Any) -> None:
             stream.set_nodelay(True)
             try:
                 while True:
-                    (size,) = LENGTH.unpack(await stream.read_bytes(LENGTH.size))
+                    (size,) = LENGTH_PREFIX.unpack(
+                        await stream.read_bytes(LENGTH_PREFIX.size)
+                    )
                     data = await stream.read_bytes(size)
-                    answer = encode_frame(decode_frame(data))
-                    stream.write(LENGTH.pack(len(answer)) + answer)
+                    response = encode_frame(decode_frame(data))
+                    stream.write(LENGTH_PREFIX.pack(len(response)) + response)
             except StreamClosedError:
                 return
 
@@ -108,70 +110,73 @@
 
 
 async def tornado_channel(port: int) -> Channel:
-    """Open a tornado stream."""
+    """Open a tornado stream to a loopback port."""
     stream = await TCPClient().connect("127.0.0.1", port)
     stream.set_nodelay(True)
 
     async def send(data: bytes) -> None:
-        stream.write(LENGTH.pack(len(data)) + data)
+        stream.write(LENGTH_PREFIX.pack(len(data)) + data)
 
     async def receive() -> bytes:
-        (size,) = LENGTH.unpack(await stream.read_bytes(LENGTH.size))
+        (size,) = LENGTH_PREFIX.unpack(await stream.read_bytes(LENGTH_PREFIX.size))
         return await stream.read_bytes(size)
 
     return Channel(send, receive)
 
 
 def serve(kind: str, port: Any) -> None:
-    """Run an echo server; the child process's main function."""
+    """Run an echo server, as the main function of the child process."""
     asyncio.run(grpc_echo(port) if kind == "grpcio" else tornado_echo(port))
 
 
 async def measure(channel: Channel, sequences: int) -> tuple[float, float, float]:
-    """Return round trip us, frames/s and processor us a frame of this end."""
-    one = frame(sequences)
+    """Return the round trip in us, frames per second and processor us per frame.
+
+    The processor time is that of this end.
+    """
+    sample_frame = frame(sequences)
 
     async def exchange() -> None:
-        await channel.send(encode_frame(one))
+        await channel.send(encode_frame(sample_frame))
         decode_frame(await channel.receive())
 
     for _ in range(100):
         await exchange()
     started_s = time.perf_counter()
-    for _ in range(SERIAL):
+    for _ in range(ROUND_TRIPS):
         await exchange()
-    round_trip_s = (time.perf_counter() - started_s) / SERIAL
-    room = asyncio.Semaphore(WINDOW)
+    round_trip_s = (time.perf_counter() - started_s) / ROUND_TRIPS
+    window = asyncio.Semaphore(MAX_FRAMES_IN_FLIGHT)
 
     async def send_all() -> None:
-        for _ in range(PIPELINED):
-            await room.acquire()
-            await channel.send(encode_frame(one))
+        for _ in range(PIPELINED_FRAMES):
+            await window.acquire()
+            await channel.send(encode_frame(sample_frame))
 
     async def receive_all() -> None:
-        for _ in range(PIPELINED):
+        for _ in range(PIPELINED_FRAMES):
             decode_frame(await channel.receive())
-            room.release()
+            window.release()
 
     started_s, cpu_s = time.perf_counter(), time.process_time()
     await asyncio.gather(send_all(), receive_all())
     wall_s = time.perf_counter() - started_s
-    cpu_us = (time.process_time() - cpu_s) / PIPELINED * 1e6
-    return round_trip_s * 1e6, PIPELINED / wall_s, cpu_us
+    cpu_us = (time.process_time() - cpu_s) / PIPELINED_FRAMES * 1e6
+    return round_trip_s * 1e6, PIPELINED_FRAMES / wall_s, cpu_us
 
 
 async def main() -> None:
-    """Measure and print."""
+    """Run the measurements and print the table."""
     rows = []
     context = multiprocessing.get_context("spawn")
-    opened = {"tornado": tornado_channel, "grpcio": grpc_channel}
+    connectors = {"tornado": tornado_channel, "grpcio": grpc_channel}
     for sequences in SEQUENCES:
-        for kind, connect in opened.items():
+        for kind, connect in connectors.items():
             port = context.Queue()
             server = context.Process(target=serve, args=(kind, port), daemon=True)
             server.start()
-            number = await asyncio.to_thread(port.get)
-            channel = await connect(number)
+            port_number = await asyncio.to_thread(port.get)
+            channel = await connect(port_number)
             figures = await measure(channel, sequences)
             size = len(encode_frame(frame(sequences)))
             rows.append([kind, sequences, size, *figures, threading.active_count()])
--- a/benchmarks/recovery.py
+++ b/benchmarks/recovery.py
@@ -1,10 +1,9 @@
-"""Time from a stage's death to the next token, as a ratio to the step time.
+"""Time from the failure of a stage to the next token, relative to the token time.
 
-Kills and freezes agents under streams that are under way, and takes the
-longest gap between tokens that each stream saw. The time of one token over the
-whole chain, measured before the fault, is the unit. Also compares the ways of
-going on: prefill from prompt plus emitted tokens (what railfold does) against
-beginning the whole answer again, which the callers do where recovery is off.
+Kills and suspends agents while streams run, and measures the longest gap between tokens
+of each stream. The unit is the median time of a token over the complete chain. Also
+compares two ways to recover: railfold's prefill from the prompt and the emitted tokens,
+and a retry of the complete request by the callers, with recovery turned off.
 """
 
 from __future__ import annotations
@@ -35,7 +34,7 @@
 
 
 def hosts() -> list[EngineHost]:
-    """Nine hosts: each third of the layers in each failure domain."""
+    """Return nine hosts: each third of the layers has one in every failure domain."""
     return [
         EngineHost(
             f"meter-{stage}{copy}",
@@ -50,25 +49,25 @@
     ]
 
 
-def busy(cluster: Cluster) -> list[str]:
-    """Return hosts with sequences, in layer order."""
+def busy_hosts(cluster: Cluster) -> list[str]:
+    """Return the hosts that run sequences, in layer order."""
     agents = cluster.status()["agents"]
     return sorted(agent["host"] for agent in agents if agent["load"] > 0)
 
 
-def kill_one(cluster: Cluster, names: list[str]) -> None:
+def kill_middle_agent(cluster: Cluster, names: list[str]) -> None:
     """Kill the agent of the middle stage."""
-    cluster.processes[f"agent-{middle(names)}"].kill()
+    cluster.processes[f"agent-{middle_host(names)}"].kill()
 
 
-def kill_two(cluster: Cluster, names: list[str]) -> None:
-    """Kill the agents of the first and last stage together."""
+def kill_outer_agents(cluster: Cluster, names: list[str]) -> None:
+    """Kill the agents of the first and the last stage at the same time."""
     for name in (names[0], names[-1]):
         cluster.processes[f"agent-{name}"].kill()
 
 
 def kill_domain(cluster: Cluster, names: list[str]) -> None:
-    """Kill a whole failure domain, agents and engines."""
+    """Kill all agents and engines of one failure domain."""
     domain = next(h.failure_domain for h in cluster.engines if h.host == names[0])
     for host in cluster.engines:
         if host.failure_domain == domain:
@@ -76,54 +75,56 @@
             cluster.processes[f"engine-{host.host}"].kill()
 
 
-def kill_one_without_log(cluster: Cluster, names: list[str]) -> None:
-    """Kill the agent of the middle stage while the platform is out."""
+def kill_middle_agent_without_log(cluster: Cluster, names: list[str]) -> None:
+    """Kill the agent of the middle stage while the platform is unavailable."""
     cluster.fault("out")
-    kill_one(cluster, names)
+    kill_middle_agent(cluster, names)
 
 
 def freeze_agent(cluster: Cluster, names: list[str]) -> None:
-    """Freeze the agent of the middle stage."""
-    cluster.processes[f"agent-{middle(names)}"].freeze()
+    """Suspend the agent of the middle stage."""
+    cluster.processes[f"agent-{middle_host(names)}"].freeze()
 
 
 def freeze_engine(cluster: Cluster, names: list[str]) -> None:
-    """Freeze the engine of the middle stage."""
-    post(f"{cluster.engine_url(middle(names))}/control/freeze", {})
+    """Make the engine of the middle stage stop running steps."""
+    post(f"{cluster.engine_url(middle_host(names))}/control/freeze", {})
 
 
-def middle(names: list[str]) -> str:
+def middle_host(names: list[str]) -> str:
     """Return the busy host that holds the middle layers."""
     return next(name for name in names if name.startswith("meter-1"))
 
 
 FAULTS: dict[str, Fault] = {
-    "agent killed": kill_one,
-    "two agents killed": kill_two,
+    "agent killed": kill_middle_agent,
+    "two agents killed": kill_outer_agents,
     "failure domain killed": kill_domain,
-    "agent killed, log out": kill_one_without_log,
+    "agent killed, log out": kill_middle_agent_without_log,
     "agent frozen": freeze_agent,
     "engine frozen": freeze_engine,
 }
 
 
 @dataclass(frozen=True)
-class Case:
-    """What one fault did to the streams.
+class FaultResult:
+    """The effect of one fault on the streams.
 
-    :param stalls_s: for each stream that was hit, its wait for the next token.
+    :param answered_count: number of streams that completed.
+    :param token_s: median time between tokens.
+    :param stalls_s: the longest wait for a token of each affected stream.
     """
 
-    whole: int
+    answered_count: int
     token_s: float
     stalls_s: list[float]
 
     def row(self, name: str) -> list[object]:
-        """Return the table's row."""
+        """Return the table row."""
         stall_s = median(self.stalls_s)
         return [
             name,
-            f"{self.whole}/{STREAMS}",
+            f"{self.answered_count}/{STREAMS}",
             len(self.stalls_s),
             self.token_s * 1000,
             stall_s * 1000,
@@ -132,8 +133,8 @@
         ]
 
 
-async def play(fault: Fault) -> Case:
-    """Run streams, apply the fault, and wait for the answers."""
+async def run_with_fault(fault: Fault) -> FaultResult:
+    """Run streams, apply the fault during them, and wait for the responses."""
     with Cluster(hosts()) as cluster:
         http = new_client()
         url = cluster.callers_url()
@@ -142,18 +143,18 @@
             for n in range(STREAMS)
         ]
         await asyncio.sleep(FAULT_AFTER_S)
-        names = await asyncio.to_thread(busy, cluster)
+        names = await asyncio.to_thread(busy_hosts, cluster)
         await asyncio.to_thread(fault, cluster, names)
         answers = await asyncio.gather(*tasks)
     token_s = median([median(t.gaps_s) for t in answers])
     stalls_s = [max(t.gaps_s) for t in answers if t.attempts > 1]
-    return Case(sum(t.outcome == "answered" for t in answers), token_s, stalls_s)
+    return FaultResult(sum(t.outcome == "answered" for t in answers), token_s, stalls_s)
 
 
-async def begin_again() -> Case:
-    """Kill an agent, without recovery: the callers send the request again.
+async def run_with_caller_retry() -> FaultResult:
+    """Kill an agent with recovery turned off; callers retry the complete request.
 
-    The wait ends when the second answer passes the first one's length.
+    The stall ends when the second response has one token more than the first.
     """
     overrides = {"routing": {"max_attempts": 1}}
     with Cluster(hosts(), entry_overrides=overrides) as cluster:
@@ -171,18 +172,18 @@
 
         tasks = [asyncio.create_task(with_caller_retry(n)) for n in range(STREAMS)]
         await asyncio.sleep(FAULT_AFTER_S)
-        names = await asyncio.to_thread(busy, cluster)
-        await asyncio.to_thread(kill_one, cluster, names)
+        names = await asyncio.to_thread(busy_hosts, cluster)
+        await asyncio.to_thread(kill_middle_agent, cluster, names)
         results = await asyncio.gather(*tasks)
     token_s = median([median(times.gaps_s) for times, _ in results])
     stalls_s = [stall_s for _, stall_s in results if stall_s]
-    return Case(len(results), token_s, stalls_s)
+    return FaultResult(len(results), token_s, stalls_s)
 
 
 async def main() -> None:
-    """Measure and print."""
-    rows = [(await play(fault)).row(name) for name, fault in FAULTS.items()]
-    rows.append((await begin_again()).row("agent killed, begun again"))
+    """Run the measurements and print the table."""
+    rows = [(await run_with_fault(fault)).row(name) for name, fault in FAULTS.items()]
+    rows.append((await run_with_caller_retry()).row("agent killed, begun again"))
     print_table(
         f"{STREAMS} streams over 3 stages of {FIXED_MS} ms; stalls in token times",
         [
--- a/benchmarks/without.py
+++ b/benchmarks/without.py
@@ -1,8 +1,8 @@
-"""Which tests fail when a mechanism is taken out.
+"""Checks that tests fail when the mechanism that they cover is removed.
 
-For each row of ``tests/mechanisms.toml`` the tree is copied, the mechanism's
-line is replaced, and the named test is run on the copy. The test must fail
-there: this shows that the test sees the failure that the mechanism prevents.
+For each row of ``tests/mechanisms.toml``, copies the tree, replaces the mechanism's
+line, and runs the named test on the copy. The test must fail there, which shows that it
+detects the failure that the mechanism prevents.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 from benchmarks.lib import print_table
 
 PROJECT = Path(__file__).parent.parent
-COPIED = ("src", "tests", "standins", "soak", "benchmarks", "pyproject.toml")
+COPIED_PATHS = ("src", "tests", "standins", "soak", "benchmarks", "pyproject.toml")
 
 
 @dataclass(frozen=True)
 class Mechanism:
-    """A mechanism, how to take it out, and the test that must see it."""
+    """A mechanism, the replacement that removes it, and the test that must fail."""
 
     name: str
     file: str
@@ -33,17 +33,21 @@
     test: str
 
 
-def mechanisms() -> list[Mechanism]:
-    """Return all rows."""
+def load_mechanisms() -> list[Mechanism]:
+    """Return all mechanisms of ``tests/mechanisms.toml``."""
     data = tomllib.loads((PROJECT / "tests" / "mechanisms.toml").read_text())
     return [Mechanism(**row) for row in data["mechanism"]]
 
 
-def verdict(mechanism: Mechanism) -> str:
-    """Return what the test says without the mechanism."""
+def run_test_without(mechanism: Mechanism) -> str:
+    """Run the test without the mechanism and return its result.
+
+    ``fails`` is the expected result; ``not applied`` means that the line wasn't found
+    exactly once.
+    """
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder)
-        for name in COPIED:
+        for name in COPIED_PATHS:
             source = PROJECT / name
             if source.is_dir():
                 ignored = shutil.ignore_patterns("__pycache__")
@@ -56,7 +60,7 @@
             return "not applied"
         target.write_text(text.replace(mechanism.old, mechanism.new))
         environment = {**os.environ, "PYTHONPATH": f"{copy / 'src'}:{copy}"}
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-m", "pytest", "-n", "0", "-x", mechanism.test],
             cwd=copy,
             env=environment,
@@ -64,16 +68,19 @@
             check=False,
             timeout=300,
         )
-    return {0: "PASSES", 1: "fails"}.get(done.returncode, f"exit {done.returncode}")
+    return {0: "PASSES", 1: "fails"}.get(result.returncode, f"exit {result.returncode}")
 
 
 def main() -> int:
-    """Run all rows, or those whose names contain the argument."""
-    wanted = sys.argv[1] if len(sys.argv) > 1 else ""
+    """Run all rows, or those whose names contain the argument.
+
+    Returns 1 if a test didn't fail, else 0.
+    """
+    name_filter = sys.argv[1] if len(sys.argv) > 1 else ""
     rows = [
-        [m.name, m.test.rpartition("::")[2], verdict(m)]
-        for m in mechanisms()
-        if wanted in m.name
+        [m.name, m.test.rpartition("::")[2], run_test_without(m)]
+        for m in load_mechanisms()
+        if name_filter in m.name
     ]
     print_table("tests without their mechanism", ["without", "test", "it"], rows)
     return int(any(row[2] != "fails" for row in rows))
--- a/standins/chaining_engine.py
+++ b/standins/chaining_engine.py
@@ -1,9 +1,9 @@
 """Stand-in for engines and plain services that clients' requests are sent to.
 
-An engine holds a range of layers, forwards requests over the chain that they
-name by itself, and registers what it holds in the store. Only the first engine
-of a chain streams; it looks at the others as the platform's engines do: a dead
-one makes the stream stand still. Faults are attributes.
+An engine holds a range of layers, forwards requests itself along the chain that they
+name, and registers its layers in the store. Only the first engine of a chain streams.
+Like the platform's engines it checks the others: its stream stalls while one of them is
+dead. Tests inject faults by setting attributes.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request that reached a backend server, whatever became of it."""
+    """A request that reached a backend server, whether or not it ran."""
 
     request_id: str
     at_s: float
@@ -47,30 +47,32 @@
 class Engine:
     """One engine or plain service.
 
-    ``arrivals`` holds all requests sent to it, refused ones too; ``streamed`` when
-    it made each request's last event; ``paths`` the chains that running requests
-    were ordered onto.
-
-    :param mode: ``"ok"``, ``"dead"`` (streams over it stand still, probes get no
-        answer), ``"shed"`` (refuses unrun), ``"error"`` (fails what it ran),
-        ``"lose"`` (runs, and closes without an answer), ``"foreign"`` (sends
-        another request's answer first), ``"surplus"`` (sends a second answer).
-    :param runs: how often each request ran here.
-    :param pace: how many times longer than usual its steps take, as it tells.
-    :param born: when it started, in Unix milliseconds, as it tells; ``None`` if it
-        doesn't.
-    :param crash_body: a request with this body ends it ``crash_after_s`` after it has
-        begun to run there, whatever else runs; ``on_crash`` is called then, and
-        ``crashed_by`` is its path.
-    :param rate_limit: what it names as the requests a second that it takes, in the
-        heads of answers to requests; it serves all the same.
-    :param retry_after: value of Retry-After in its refusals in mode ``"shed"``.
-    :param sheds_only: how ids of the requests begin that it refuses in that mode.
-    :param blames: the address that those refusals name as the one at fault.
-    :param shed: its refusals with Retry-After.
-    :param leaving: whether all its answers say that it leaves; it serves all the same.
-    :param reports_to_drop: how many calls for its report it answers by closing the
-        connection, as one that was idle for too long.
+    ``arrivals`` holds all requests sent to it, including refused ones.
+    ``last_event_at_s`` holds the time at which it sent the last event of each request,
+    and ``paths`` the chains that running requests were rerouted to. ``stalled_on``
+    holds the address of the dead engine that each stalled request waits for.
+
+    :param mode: ``"ok"``, ``"dead"`` (its streams stall, probes get no response),
+        ``"shed"`` (refuses requests without running them), ``"error"`` (runs requests
+        and fails them), ``"lose"`` (runs requests and closes the connection without a
+        response), ``"foreign"`` (sends another request's response first),
+        ``"surplus"`` (sends the response twice).
+    :param run_counts: how often each request ran on this server.
+    :param pace: the factor by which it reports that its steps are slower than usual.
+    :param born: the start time that it reports, in Unix milliseconds; ``None`` if it
+        reports none.
+    :param crash_body: a request with this body crashes the server ``crash_after_s``
+        after it starts to run there, even while others run. ``crash_path`` is then
+        set to its path and ``on_crash`` is called.
+    :param rate_limit: the rate limit, in requests per second, that it announces in the
+        headers of responses; it doesn't enforce it.
+    :param retry_after: the value of Retry-After in its refusals in mode ``"shed"``.
+    :param refused_id_prefix: it refuses only requests with this id prefix in that mode.
+    :param blamed_address: the address that those refusals name as the one at fault.
+    :param refusals: its refusals with Retry-After.
+    :param leaving: whether all its responses announce that it leaves; it still serves.
+    :param reports_to_drop: the number of next report requests at which it closes the
+        connection, as if that had been idle for too long.
     """
 
     server_id: str
@@ -81,7 +83,7 @@
     model: str = ""
     kind: str = ""
     layers: tuple[int, int] | None = None
-    event_s: float = 0.01
+    event_interval_s: float = 0.01
     report_delay_s: float = 0.0
     pace: float = 1.0
     born: int | None = None
@@ -89,45 +91,45 @@
     leaving: bool = False
     rate_limit: str | None = None
     retry_after: str | None = None
-    sheds_only: str = ""
-    blames: str = ""
-    shed: list[Refusal] = field(default_factory=list)
+    refused_id_prefix: str = ""
+    blamed_address: str = ""
+    refusals: list[Refusal] = field(default_factory=list)
     crash_body: bytes | None = None
     crash_after_s: float = 0.08
     on_crash: Callable[[Engine], None] | None = None
-    crashed_by: str = ""
+    crash_path: str = ""
     mode: str = "ok"
     state: str = "ready"
     port: int = 0
-    orders: int = 0
-    fence: int = -1
-    runs: Counter[str] = field(default_factory=Counter)
-    seen: list[dict[str, str]] = field(default_factory=list)
+    accepted_orders: int = 0
+    highest_fence_token: int = -1
+    run_counts: Counter[str] = field(default_factory=Counter)
+    received_headers: list[dict[str, str]] = field(default_factory=list)
     cancelled: list[str] = field(default_factory=list)
-    stalled: dict[str, str] = field(default_factory=dict)
+    stalled_on: dict[str, str] = field(default_factory=dict)
     problems: list[str] = field(default_factory=list)
     run_at_s: list[float] = field(default_factory=list)
     arrivals: list[Arrival] = field(default_factory=list)
-    streamed: dict[str, float] = field(default_factory=dict)
+    last_event_at_s: dict[str, float] = field(default_factory=dict)
     paths: dict[str, str] = field(default_factory=dict)
     draining_since_s: float | None = None
     leaving_since_s: float | None = None
-    told_address: str = ""
-    given: list[dict[str, Any]] = field(default_factory=list)
+    advertised_address: str = ""
+    received_orders: list[dict[str, Any]] = field(default_factory=list)
     _server: HTTPServer | None = None
 
     @property
     def address(self) -> str:
-        """The address that it registers: its own, or a proxy's before it."""
-        return self.told_address or f"127.0.0.1:{self.port}"
+        """The address that it registers: its own, or that of a proxy in front of it."""
+        return self.advertised_address or f"127.0.0.1:{self.port}"
 
     @property
-    def runs_now(self) -> bool:
-        """Whether it listens."""
+    def is_listening(self) -> bool:
+        """Whether the server listens."""
         return self._server is not None
 
     def start(self) -> None:
-        """Listen and register."""
+        """Listen for requests and register in the store."""
         sockets = bind_sockets(self.port, "127.0.0.1")
         self.port = sockets[0].getsockname()[1]
         application = Application(
@@ -148,13 +150,13 @@
         """Stop listening and close connections, as a crash does."""
         if self._server is not None:
             self._server.stop()
-            # A request that stands still for ever must not hold the crash up.
+            # A request that never finishes must not delay the crash.
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(self._server.close_all_connections(), 1.0)
         self.fleet.pop(self.address, None)
 
     def crash(self) -> None:
-        """End at once; its registration stays, as after a real crash."""
+        """Close all connections at once; the registration stays, as in a real crash."""
         server, self._server = self._server, None
         if server is None:
             return
@@ -166,7 +168,7 @@
             self.on_crash(self)
 
     def register(self) -> None:
-        """Write what it is into the store."""
+        """Write the registration to the store."""
         entry: dict[str, Any] = {
             "service": self.service,
             "address": self.address,
@@ -180,40 +182,42 @@
         if self.model:
             entry["models"] = [{"name": self.model, "version": 1, "adapters": []}]
             entry["kind"] = self.kind
-            entry["layers"] = self.told_layers()
-        self.store.put("keyed.servers", self.server_id, {**entry, **self.told_start()})
+            entry["layers"] = self.reported_layers()
+        self.store.put(
+            "keyed.servers", self.server_id, {**entry, **self.start_time_fields()}
+        )
 
-    def told_start(self) -> dict[str, int]:
-        """Return its start as it tells it in all that it says."""
+    def start_time_fields(self) -> dict[str, int]:
+        """Return the start time field of its messages; empty without ``born``."""
         return {} if self.born is None else {"born": self.born}
 
     async def restart(self, born: int) -> None:
-        """Crash, and start again under the same id."""
+        """Crash and restart with the same id."""
         await self.stop()
-        self.start_again(born)
+        self.start_without_state(born)
 
-    def start_again(self, born: int) -> None:
-        """Start under the same id, knowing nothing of before."""
+    def start_without_state(self, born: int) -> None:
+        """Start with the same id and without the previous state."""
         self.born = born
         self.state = "ready"
         self.leaving = False
         self.leaving_since_s = None
-        self.shed.clear()
+        self.refusals.clear()
         self.rate_limit = self.retry_after = None
-        self.orders = 0
-        self.fence = -1
+        self.accepted_orders = 0
+        self.highest_fence_token = -1
         self.layers = None
         self.start()
 
-    def told_layers(self) -> dict[str, int] | None:
-        """Return the held layers as reports tell them."""
+    def reported_layers(self) -> dict[str, int] | None:
+        """Return the loaded layers as reports have them, or ``None``."""
         if self.layers is None:
             return None
         first, end = self.layers
         return {"from": first, "target_version": end, "version": 1}
 
     def deregister(self) -> None:
-        """Let its entry disappear."""
+        """Delete the registration from the store."""
         self.store.put("keyed.servers", self.server_id, None)
 
 
@@ -222,12 +226,12 @@
         self.engine = engine
 
     async def prepare(self) -> None:
-        self.say_if_leaving()
+        self.set_leaving_header()
         if self.engine.mode == "dead":
             await asyncio.Event().wait()
 
-    def say_if_leaving(self) -> None:
-        """Set the header that a leaving server sets in all its answers."""
+    def set_leaving_header(self) -> None:
+        """Set the header that a leaving server sends in all responses."""
         if self.engine.leaving:
             self.set_header("Server-Leaving", "1")
 
@@ -241,14 +245,14 @@
             self._finished = True
             return
         await asyncio.sleep(engine.report_delay_s)
-        stalled = [{"id": i, "address": a} for i, a in engine.stalled.items()]
+        stalled = [{"id": i, "address": a} for i, a in engine.stalled_on.items()]
         self.finish(
             {
-                "seq": engine.orders,
-                "layers": engine.told_layers(),
+                "seq": engine.accepted_orders,
+                "layers": engine.reported_layers(),
                 "stalled": stalled,
                 "pace": engine.pace,
-                **engine.told_start(),
+                **engine.start_time_fields(),
             }
         )
 
@@ -256,38 +260,38 @@
 class _Order(_Handler):
     def post(self) -> None:
         engine, order = self.engine, json.loads(self.request.body)
-        engine.given.append(order)
+        engine.received_orders.append(order)
         if order["operation"] == "repath":
             engine.paths[order["id"]] = order["path"]
             self.set_status(202)
-            self.finish(engine.told_start())
+            self.finish(engine.start_time_fields())
             return
-        if order["fence_token"] < engine.fence:
+        if order["fence_token"] < engine.highest_fence_token:
             self.set_status(412)
-        elif order["expected_rev"] != engine.orders:
+        elif order["expected_rev"] != engine.accepted_orders:
             self.set_status(409)
         else:
-            engine.fence = order["fence_token"]
-            engine.orders += 1
+            engine.highest_fence_token = order["fence_token"]
+            engine.accepted_orders += 1
             engine.layers = (order["from"], order["target_version"])
             engine.register()
             self.set_status(202)
-        self.finish(engine.told_start())
+        self.finish(engine.start_time_fields())
 
 
 class _Health(_Handler):
     def get(self) -> None:
         if self.engine.mode == "shed" and self.engine.retry_after is not None:
-            # A health check waits for a slot, or is refused, as a request is.
+            # An overloaded server refuses health checks like requests.
             self.set_header("Retry-After", self.engine.retry_after)
             self.set_status(503)
-        self.finish(self.engine.told_start() or "ok")
+        self.finish(self.engine.start_time_fields() or "ok")
 
 
 class _Request(_Handler):
     async def prepare(self) -> None:
-        """Name a limit; streams of a dead engine stand still."""
-        self.say_if_leaving()
+        """Announce the rate limit; requests to a dead engine wait in the handler."""
+        self.set_leaving_header()
         if self.engine.rate_limit is not None:
             self.set_header("Server-Limit", self.engine.rate_limit)
 
@@ -303,23 +307,23 @@
     async def _answer(self) -> None:
         engine, headers = self.engine, self.request.headers
         request_id = headers["Railfold-Attempt-Id"]
-        engine.seen.append(dict(headers.get_all()))
+        engine.received_headers.append(dict(headers.get_all()))
         now_s = asyncio.get_running_loop().time()
         engine.arrivals.append(Arrival(request_id, now_s))
         if headers.get("Railfold-Target-Instance") != engine.server_id:
             self._refuse(421)
             return
-        if engine.mode == "shed" and request_id.startswith(engine.sheds_only):
+        if engine.mode == "shed" and request_id.startswith(engine.refused_id_prefix):
             if engine.retry_after is not None:
                 self.set_header("Retry-After", engine.retry_after)
-                engine.shed.append(Refusal(request_id, now_s, engine.retry_after))
-            if engine.blames:
-                self.set_header("At-Server", engine.blames)
+                engine.refusals.append(Refusal(request_id, now_s, engine.retry_after))
+            if engine.blamed_address:
+                self.set_header("At-Server", engine.blamed_address)
             self._refuse(503)
             return
         if engine.mode == "dead":
             await asyncio.Event().wait()
-        engine.runs[request_id] += 1
+        engine.run_counts[request_id] += 1
         engine.run_at_s.append(asyncio.get_running_loop().time())
         if engine.crash_body is not None and self.request.body == engine.crash_body:
             await self._crash()
@@ -339,7 +343,7 @@
             await self._plain(request_id)
 
     async def _crash(self) -> None:
-        """Begin an answer if it is a stream, and end the engine."""
+        """Start the response if the request is a stream, then crash the engine."""
         if "Railfold-Hop-Count" in self.request.headers:
             self.set_header("Railfold-Attempt-Id", self._request_id)
             self.set_header("Railfold-Response-Seal", SEAL)
@@ -347,7 +351,7 @@
             await self.flush()
         await asyncio.sleep(self.engine.crash_after_s)
         self._finished = True
-        self.engine.crashed_by = self.request.path
+        self.engine.crash_path = self.request.path
         self.engine.crash()
 
     @property
@@ -368,7 +372,7 @@
             await self._raw(request_id, body)
             self._finished = True
             return
-        await asyncio.sleep(self.engine.event_s)
+        await asyncio.sleep(self.engine.event_interval_s)
         self.finish(body)
 
     async def _raw(self, request_id: str, body: bytes) -> None:
@@ -381,13 +385,13 @@
 
     async def _stream(self, chain: str) -> None:
         try:
-            at_fault = server_without_its_part(chain, self.engine.fleet)
+            at_fault = server_missing_layers(chain, self.engine.fleet)
         except ChainError as error:
             self.engine.problems.append(str(error))
             at_fault = self.engine.address
         if at_fault:
             self.set_header("At-Server", at_fault)
-            self.engine.runs.pop(self.request.headers["Railfold-Attempt-Id"])
+            self.engine.run_counts.pop(self.request.headers["Railfold-Attempt-Id"])
             self._refuse(421)
             return
         self.set_header("Content-Type", "text/event-stream")
@@ -395,25 +399,25 @@
         last = int(self.request.headers["Railfold-Token-Counts"].split(",")[1])
         try:
             for number in range(first, last + 1):
-                await asyncio.sleep(self.engine.event_s)
+                await asyncio.sleep(self.engine.event_interval_s)
                 await self._wait_for(chain)
                 self.write(f"id: {number}\ndata: token {number}\n\n")
                 now_s = asyncio.get_running_loop().time()
-                self.engine.streamed[self.request.headers["Railfold-Attempt-Id"]] = (
-                    now_s
-                )
+                self.engine.last_event_at_s[
+                    self.request.headers["Railfold-Attempt-Id"]
+                ] = now_s
                 await self.flush()
             self.finish()
         except StreamClosedError:
             return
 
     async def _wait_for(self, chain: str) -> None:
-        """Stand still while an engine of the chain is dead."""
+        """Wait while an engine of the chain is dead."""
         request_id = self.request.headers["Railfold-Attempt-Id"]
         while dead := self._first_dead(self.engine.paths.get(request_id, chain)):
-            self.engine.stalled[request_id] = dead
+            self.engine.stalled_on[request_id] = dead
             await asyncio.sleep(0.01)
-        self.engine.stalled.pop(request_id, None)
+        self.engine.stalled_on.pop(request_id, None)
 
     def _first_dead(self, chain: str) -> str:
         members = [part.partition("=")[0] for part in chain.split(",")]
@@ -425,13 +429,13 @@
 
 
 class ChainError(Exception):
-    """A chain doesn't run every layer once and in order."""
+    """A chain doesn't run every layer exactly once and in order."""
 
 
-def server_without_its_part(chain: str, fleet: dict[str, Engine]) -> str:
-    """Return the address of an engine that doesn't hold its part, if any.
+def server_missing_layers(chain: str, fleet: dict[str, Engine]) -> str:
+    """Return the address of the first engine that lacks layers of its part, or ``""``.
 
-    :raises ChainError: a layer is missing, or runs twice or out of order.
+    :raises ChainError: a layer is missing, repeated or out of order.
     """
     position = 0
     for part in chain.split(","):
--- a/standins/metadata_store.py
+++ b/standins/metadata_store.py
@@ -1,10 +1,11 @@
-"""Stand-in for the users' metadata store, as its pages tell it.
+"""Stand-in for the users' metadata store, as its documentation describes it.
 
 Topics whose names begin with ``keyed.`` keep the newest record of each key.
-Faults are attributes: ``mode`` is ``"ok"``, ``"out"`` (answers 503), ``"silent"``
-(no answer) or ``"reset"`` (closes the connection); ``turned_away`` holds the
-members whose joins get no answer. :meth:`MetadataStore.go_back` lets it come back
-from an older copy: what was written since is gone, and its era rises by one.
+Tests inject faults by setting attributes: ``mode`` is ``"ok"``, ``"out"`` (answers
+503), ``"silent"`` (no response) or ``"reset"`` (closes the connection), and
+``ignored_members`` holds the members whose joins get no response.
+:meth:`MetadataStore.restore_copy` restores an older copy: later writes are lost, and
+the era increases by one.
 """
 
 from __future__ import annotations
@@ -22,25 +23,25 @@
 
 PARTITIONS = 12
 
-# Of a group's topics no more are dealt out, as the platform's store does.
-MOST_TOPICS_DEALT = 20
+# The platform's store assigns partitions of at most this many topics of a group.
+MAX_ASSIGNED_TOPICS = 20
 
-# A read returns no more than this, but one record at least.
-MOST_READ_KB = 1024
+# Default size limit of a read, which returns at least one record even if it is larger.
+MAX_READ_KB = 1024
 
 
 @dataclass
 class Topic:
-    """One partition of records: key, value (empty if the key is gone)."""
+    """One partition of (key, value) records; an empty value deletes the key."""
 
     first: int = 0
     records: list[tuple[str, bytes]] = field(default_factory=list)
     newest: dict[str, tuple[int, bytes]] = field(default_factory=dict)
-    grown: asyncio.Event = field(default_factory=asyncio.Event)
+    append_event: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
     def end(self) -> int:
-        """The offset that the next record gets."""
+        """The offset of the next record."""
         return self.first + len(self.records)
 
     def append(self, key: str, value: bytes) -> None:
@@ -49,55 +50,64 @@
         if not value:
             del self.newest[key]
         self.records.append((key, value))
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.append_event.set()
+        self.append_event = asyncio.Event()
 
     def forget(self) -> None:
-        """Drop all history; the newest record of each key stays."""
+        """Drop the history but keep the newest record of each key."""
         self.first = self.end
         self.records = []
 
 
 @dataclass
 class Group:
-    """Members of a group and the time each was last heard."""
+    """A consumer group: its members, their last joins and acknowledged generations."""
 
     generation: int = 0
-    heard_s: dict[str, float] = field(default_factory=dict)
+    last_heartbeat_s: dict[str, float] = field(default_factory=dict)
     ttl_s: float = 1.0
-    confirmed: dict[str, int] = field(default_factory=dict)
+    acknowledged: dict[str, int] = field(default_factory=dict)
 
     def join(self, member: str, ttl_s: float, generation: int) -> None:
-        """Hear of a member."""
+        """Add a member or renew it, and drop members whose time to live is over.
+
+        :param generation: the generation that the member acknowledges.
+        """
         now_s = time.monotonic()
         self.ttl_s = ttl_s
-        known = set(self.heard_s)
-        self.heard_s = {
-            m: at for m, at in self.heard_s.items() if now_s - at < ttl_s or m == member
+        members_before = set(self.last_heartbeat_s)
+        self.last_heartbeat_s = {
+            m: at
+            for m, at in self.last_heartbeat_s.items()
+            if now_s - at < ttl_s or m == member
         }
-        self.heard_s[member] = now_s
-        if set(self.heard_s) != known:
+        self.last_heartbeat_s[member] = now_s
+        if set(self.last_heartbeat_s) != members_before:
             self.generation += 1
-        self.confirmed[member] = generation
+        self.acknowledged[member] = generation
 
     def leave(self, member: str) -> None:
-        """A member goes."""
-        if self.heard_s.pop(member, None) is not None:
+        """Remove a member."""
+        if self.last_heartbeat_s.pop(member, None) is not None:
             self.generation += 1
 
     def rows(self, member: str, topics: list[str]) -> list[list[Any]]:
-        """Return the partitions dealt to a member, once all know the deal."""
-        members = sorted(self.heard_s)
-        behind = [m for m in members if self.confirmed.get(m) != self.generation]
-        dealt = topics[:MOST_TOPICS_DEALT]
-        parts = [[topic, part, 0] for topic in dealt for part in range(PARTITIONS)]
-        mine = parts[members.index(member) :: len(members)]
-        return mine if not behind or behind == [member] else []
+        """Return the partitions of a member once the others know the generation.
+
+        Empty until all other members have acknowledged it, so that no partition has
+        two owners.
+        """
+        members = sorted(self.last_heartbeat_s)
+        behind = [m for m in members if self.acknowledged.get(m) != self.generation]
+        assigned = topics[:MAX_ASSIGNED_TOPICS]
+        parts = [[topic, part, 0] for topic in assigned for part in range(PARTITIONS)]
+        own_partitions = parts[members.index(member) :: len(members)]
+        return own_partitions if not behind or behind == [member] else []
 
 
 @dataclass
 class StoreCopy:
-    """What a store held at some time."""
+    """A copy of a store's contents."""
 
     topics: dict[str, Topic]
     groups: dict[str, Group]
@@ -105,46 +115,48 @@
 
 @dataclass
 class MetadataStore:
-    """What the store holds, and its faults."""
+    """The contents of the store, its era and its fault mode."""
 
     topics: dict[str, Topic] = field(default_factory=dict)
     groups: dict[str, Group] = field(default_factory=dict)
     mode: str = "ok"
-    turned_away: set[str] = field(default_factory=set)
+    ignored_members: set[str] = field(default_factory=set)
     calls: int = 0
     era: int = 0
 
     def topic(self, name: str) -> Topic:
-        """Return a topic, made at its first use."""
+        """Return a topic; create it if it doesn't exist."""
         return self.topics.setdefault(name, Topic())
 
     def put(self, topic: str, key: str, document: Any) -> None:
-        """Write a record, as operators and backend servers do."""
+        """Append a JSON record, or a deletion if ``document`` is ``None``."""
         value = b"" if document is None else json.dumps(document).encode()
         self.topic(topic).append(key, value)
 
     def copy(self) -> StoreCopy:
-        """Return what it holds now."""
+        """Return a copy of the topics and groups."""
         topics = {
             name: Topic(topic.first, list(topic.records), dict(topic.newest))
             for name, topic in self.topics.items()
         }
         groups = {
             name: replace(
-                group, heard_s=dict(group.heard_s), confirmed=dict(group.confirmed)
+                group,
+                last_heartbeat_s=dict(group.last_heartbeat_s),
+                acknowledged=dict(group.acknowledged),
             )
             for name, group in self.groups.items()
         }
         return StoreCopy(topics, groups)
 
-    def go_back(self, copy: StoreCopy) -> None:
-        """Come back from a copy; calls that wait are answered from it."""
-        waiting = [topic.grown for topic in self.topics.values()]
+    def restore_copy(self, copy: StoreCopy) -> None:
+        """Restore a copy and increment the era; waiting reads get its records."""
+        waiting = [topic.append_event for topic in self.topics.values()]
         self.topics = copy.topics
         self.groups = copy.groups
         self.era += 1
-        for grown in waiting:
-            grown.set()
+        for append_event in waiting:
+            append_event.set()
 
     def application(self) -> Application:
         """Return the HTTP application."""
@@ -167,15 +179,15 @@
 
     async def prepare(self) -> None:
         self.store.calls += 1
-        self.tell_era()
-        await self.fault()
+        self.set_era_header()
+        await self.apply_fault()
 
-    def tell_era(self) -> None:
-        """Say which of its histories the answer is of."""
+    def set_era_header(self) -> None:
+        """Set the header with the era that the response belongs to."""
         self.set_header("Store-Era", str(self.store.era))
 
-    async def fault(self) -> None:
-        """Do what the mode says."""
+    async def apply_fault(self) -> None:
+        """Apply the fault mode to the request."""
         match self.store.mode:
             case "out":
                 self.set_status(503)
@@ -194,22 +206,22 @@
         wait_s = float(self.get_query_argument("wait_ms", "0")) / 1000.0
         if start >= topic.end and wait_s > 0:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(topic.grown.wait(), wait_s)
-            await self.fault()
+                await asyncio.wait_for(topic.append_event.wait(), wait_s)
+            await self.apply_fault()
             if self._finished:
                 return
-            self.tell_era()
+            self.set_era_header()
             topic = self.store.topic(self.get_query_argument("topic"))
         if not topic.first <= start <= topic.end:
             self.set_status(410)
             self.finish({"first": topic.first})
             return
-        most_bytes = 1024 * int(self.get_query_argument("max_kb", str(MOST_READ_KB)))
+        max_bytes = 1024 * int(self.get_query_argument("max_kb", str(MAX_READ_KB)))
         body = struct.pack(">QQ", topic.end, topic.first)
         body_has_record = False
         for key, value in topic.records[start - topic.first :]:
             record = bytes([len(key)]) + key.encode() + value
-            if body_has_record and len(body) + len(record) > most_bytes:
+            if body_has_record and len(body) + len(record) > max_bytes:
                 break
             body += struct.pack(">I", len(record)) + record
             body_has_record = True
@@ -247,7 +259,7 @@
     async def post(self) -> None:
         body = json.loads(self.request.body)
         member = body["member"]
-        if member in self.store.turned_away:
+        if member in self.store.ignored_members:
             await asyncio.Event().wait()
         group = self.store.groups.setdefault(body["group"], Group())
         group.join(member, body["ttl_ms"] / 1000.0, body["generation"])
--- a/tests/functional/test_outcomes.py
+++ b/tests/functional/test_outcomes.py
@@ -279,7 +279,7 @@
             lambda: get(status_url)["open_sequences"] == 0, "the sequence's end"
         )
         assert cluster.status()["counters"]["callers.gone"] == 1
-        assert "Traceback" not in cluster.log_of("entry-0")
+        assert "Traceback" not in cluster.read_log("entry-0")
 
 
 # Nobody cancels the sequences of a crashed entry: its agents must end them themselves.
