--- a/src/railfold/_internal/commands/held.py
+++ b/src/railfold/_internal/commands/held.py
@@ -1,4 +1,4 @@
-"""``railfold held`` and ``railfold lift``: requests that are held back."""
+"""``railfold held`` and ``railfold lift``: show and release held-back requests."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 
 from railfold._internal import clock
 from railfold._internal.cli.options import as_json, print_json, run
-from railfold._internal.errors import PeerMessageError, RequestNotHeldError
+from railfold._internal.errors import PeerMessageError, RequestNotQuarantinedError
 from railfold._internal.forwarding.store.shared_records import (
     PEER_KEY_RECORD,
     HoldRecord,
     decode_hold,
 )
-from railfold._internal.platform.adapter import UsersPlatform
+from railfold._internal.platform.adapter import MetadataStorePlatform
 from railfold._internal.platform.settings import load_platform_settings, settings_path
 from railfold._internal.store.records import NEWEST_OF_EACH_KEY
 
 __all__ = ["held", "lift"]
 
 
-class _Held(msgspec.Struct, frozen=True):
-    """One content that is held back, as it is shown."""
+class _HeldContent(msgspec.Struct, frozen=True):
+    """A held-back content and its record; this is also the form of the JSON output."""
 
     content: str
     record: HoldRecord
@@ -38,69 +38,69 @@
 @settings_argument
 @as_json
 def held(settings: Path | None, json_output: bool) -> None:
-    """Show which requests are held back since backend servers ended under them.
+    """Show which requests are held back because they crashed backend servers.
 
-    SETTINGS is the platform's settings file of any entry; by default the one that the
-    environment names.
+    SETTINGS is the platform's settings file of any entry. It defaults to the file that
+    the environment names.
     """
-    found = run(_read(_platform(settings)))
+    held_contents = run(_read_held_contents(_load_platform(settings)))
     if json_output:
-        print_json(msgspec.to_builtins(found))
+        print_json(msgspec.to_builtins(held_contents))
         return
-    if not found:
+    if not held_contents:
         click.echo("nothing is held back")
-    for item in found:
-        click.echo(_text(item))
+    for item in held_contents:
+        click.echo(_format_held_content(item))
 
 
 @click.command()
 @click.argument("content")
 @settings_argument
 def lift(content: str, settings: Path | None) -> None:
-    """Let requests of CONTENT, as 'railfold held' shows it, run again everywhere."""
-    run(_lift(_platform(settings), content))
+    """Let requests with CONTENT, as shown by 'railfold held', run again everywhere."""
+    run(_delete_hold_record(_load_platform(settings), content))
     click.echo(f"{content}: lifted")
 
 
-def _platform(settings: Path | None) -> UsersPlatform:
+def _load_platform(settings: Path | None) -> MetadataStorePlatform:
     loaded = load_platform_settings(settings or settings_path())
-    return UsersPlatform(loaded.store, loaded.store_partitions)
+    return MetadataStorePlatform(loaded.store, loaded.store_partitions)
 
 
-async def _read(platform: UsersPlatform) -> list[_Held]:
+async def _read_held_contents(platform: MetadataStorePlatform) -> list[_HeldContent]:
     page = await platform.new_log().read(
         platform.quarantine_stream, NEWEST_OF_EACH_KEY, 0.0
     )
-    found = []
+    held_contents = []
     for record in page.records:
         item = record.body
         if item.key == PEER_KEY_RECORD or not item.value:
             continue
         try:
-            found.append(_Held(item.key, decode_hold(item.value)))
+            held_contents.append(_HeldContent(item.key, decode_hold(item.value)))
         except PeerMessageError as error:
             click.echo(f"{item.key}: {error}", err=True)
-    return found
+    return held_contents
 
 
-async def _lift(platform: UsersPlatform, content: str) -> None:
-    """Take a content's record away; entries read that at once.
+async def _delete_hold_record(platform: MetadataStorePlatform, content: str) -> None:
+    """Delete the record of a held-back content, which releases it at all entries.
 
-    :raises RequestNotHeldError: there is none.
+    :raises RequestNotQuarantinedError: the content has no record.
     """
-    if content not in {item.content for item in await _read(platform)}:
-        raise RequestNotHeldError(
+    if content not in {item.content for item in await _read_held_contents(platform)}:
+        raise RequestNotQuarantinedError(
             f"content {content} isn't held back", hint="see 'railfold held'"
         )
     await platform.new_log().put(platform.quarantine_stream, content, b"")
 
 
-def _text(item: _Held) -> str:
+def _format_held_content(item: _HeldContent) -> str:
     record = item.record
     age_s = max(0.0, clock.unix_time_s() - record.held_at_unix_ms / 1000.0)
     servers = ", ".join(crash.server_id for crash in record.crashes)
     return (
         f"{item.content}  route {record.route}  workspace {record.workspace or '-'}"
         f"  held back {age_s:.0f} s ago, {record.holds} in a row\n"
-        f"    ended under it: {servers}"
+        f"    crashed servers: {servers}"
     )
--- a/src/railfold/_internal/engines/http_engine.py
+++ b/src/railfold/_internal/engines/http_engine.py
@@ -1,6 +1,6 @@
-"""Adapter of engines that speak msgpack over HTTP.
+"""Client of model engines with an HTTP interface that carries msgpack and JSON.
 
-This is the one module that knows the engines' protocol.
+No other module depends on the engines' protocol.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 _LOAD_TIMEOUT_S = 600.0
 
 
-class _Item(msgspec.Struct, omit_defaults=True):
+class _WireItem(msgspec.Struct, omit_defaults=True):
     sequence: str
     step: int
     begins: bool = False
@@ -42,7 +42,7 @@
     activation: bytes | None = None
 
 
-class _Result(msgspec.Struct):
+class _WireResult(msgspec.Struct):
     activation: bytes | None = None
     token_id: int | None = None
     text: str = ""
@@ -50,7 +50,7 @@
     error: str = ""
 
 
-class _Status(msgspec.Struct):
+class _WireStatus(msgspec.Struct):
     engine_id: str
     model: str = ""
     version: str = ""
@@ -61,26 +61,28 @@
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_RESULTS = msgspec.msgpack.Decoder(list[_Result])
+_RESULT_DECODER = msgspec.msgpack.Decoder(list[_WireResult])
 
 
 @dataclass(frozen=True, slots=True)
 class HttpEngine:
-    """An engine at ``url``.
+    """Client of the engine at ``url``.
 
-    :param http: client for what may be repeated.
-    :param step_http: client for steps, which doesn't repeat them.
+    :param http: HTTP client for idempotent requests, which may send them twice.
+    :param single_use_http: HTTP client for steps and load orders, which sends each
+        request at most once.
     """
 
     url: str
     http: AsyncHTTPClient
-    step_http: AsyncHTTPClient
+    single_use_http: AsyncHTTPClient
     step_timeout_s: float
 
     async def status(self) -> EngineStatus:
-        """Return what the engine has loaded.
+        """Return the engine's status.
 
-        :raises EngineError: it doesn't answer.
+        :raises EngineUnavailableError: the engine doesn't answer or its answer is
+            invalid.
         """
         try:
             response = await self.http.fetch(
@@ -88,10 +90,10 @@
                 connect_timeout=CONNECT_TIMEOUT_S,
                 request_timeout=_STATUS_TIMEOUT_S,
             )
-            status = msgspec.json.decode(response.body, type=_Status)
+            status = msgspec.json.decode(response.body, type=_WireStatus)
         except (HTTPError, OSError, msgspec.DecodeError) as error:
             raise EngineUnavailableError(
-                "the engine doesn't give its status", why=str(error)
+                "the engine didn't return its status", why=str(error)
             ) from error
         layers = None
         if status.first_layer >= 0:
@@ -106,9 +108,9 @@
         )
 
     async def load(self, order: LoadOrder) -> None:
-        """Give an order to load layers; it replaces what is loaded.
+        """Order the engine to load layers, which replace those it has loaded.
 
-        :raises EngineError: the engine refused, or didn't answer.
+        :raises EngineError: the engine refused the order or didn't answer.
         """
         body = {
             "model": order.model,
@@ -118,7 +120,7 @@
             "fencing": order.fencing_token,
         }
         try:
-            await self.step_http.fetch(
+            await self.single_use_http.fetch(
                 f"{self.url}/v1/load",
                 method="POST",
                 body=msgspec.json.encode(body),
@@ -128,17 +130,18 @@
             )
         except (HTTPError, OSError) as error:
             raise EngineError(
-                "the engine didn't carry out an order", why=str(error)
+                "the engine didn't execute an order to load layers", why=str(error)
             ) from error
 
     async def step(self, items: Sequence[StepItem]) -> list[StepResult]:
-        """Run one step for several sequences; results are in items' order.
+        """Run one step for several sequences; return the results in the same order.
 
-        :raises EngineUnavailableError: no answer; the step may have run.
+        :raises EngineUnavailableError: there was no valid answer; the step may have
+            run.
         """
-        body = _ENCODER.encode([_wire_item(item) for item in items])
+        body = _ENCODER.encode([_to_wire(item) for item in items])
         try:
-            response = await self.step_http.fetch(
+            response = await self.single_use_http.fetch(
                 f"{self.url}/v1/step",
                 method="POST",
                 body=body,
@@ -146,22 +149,22 @@
                 connect_timeout=CONNECT_TIMEOUT_S,
                 request_timeout=self.step_timeout_s,
             )
-            results = _RESULTS.decode(response.body)
+            results = _RESULT_DECODER.decode(response.body)
         except (HTTPError, OSError, msgspec.DecodeError) as error:
             raise EngineUnavailableError(
-                "the engine didn't answer a step", why=str(error)
+                "the engine didn't return the results of a step", why=str(error)
             ) from error
         if len(results) != len(items):
             raise EngineUnavailableError(
-                "the engine answered another number of sequences than it was given"
+                "the engine returned a wrong number of results for a step"
             )
         pairs = zip(items, results, strict=True)
-        return [_result(item, result) for item, result in pairs]
+        return [_from_wire(item, result) for item, result in pairs]
 
     async def close(self, sequences: Sequence[str]) -> None:
-        """Free sequences' KV caches.
+        """Make the engine free the KV caches of sequences.
 
-        :raises EngineError: the engine doesn't answer.
+        :raises EngineError: the engine refused or didn't answer.
         """
         try:
             await self.http.fetch(
@@ -174,23 +177,23 @@
             )
         except (HTTPError, OSError) as error:
             raise EngineError(
-                "the engine didn't free sequences", why=str(error)
+                "the engine didn't free the caches of sequences", why=str(error)
             ) from error
 
 
-def _wire_item(item: StepItem) -> _Item:
-    wire = _Item(item.sequence, item.step, item.begins)
+def _to_wire(item: StepItem) -> _WireItem:
+    wire_item = _WireItem(item.sequence, item.step, item.begins)
     match item.payload:
         case PrefillInput(prompt=prompt, emitted=emitted):
-            wire.prompt, wire.emitted = prompt, emitted
+            wire_item.prompt, wire_item.emitted = prompt, emitted
         case DecodeInput(token_id=token_id):
-            wire.token_id = token_id
+            wire_item.token_id = token_id
         case ActivationInput(data=data):
-            wire.activation = data
-    return wire
+            wire_item.activation = data
+    return wire_item
 
 
-def _result(item: StepItem, result: _Result) -> StepResult:
+def _from_wire(item: StepItem, result: _WireResult) -> StepResult:
     if result.error:
         return StepFailure(result.error)
     if result.activation is not None:
--- a/src/railfold/_internal/forwarding/router.py
+++ b/src/railfold/_internal/forwarding/router.py
@@ -70,7 +70,7 @@
 from railfold._internal.forwarding.servers.pool import ConnectionPool
 from railfold._internal.forwarding.servers.rate_limits import RateLimits
 from railfold._internal.observability.decision_log import DecisionLog
-from railfold._internal.observability.events import PipeShareCut
+from railfold._internal.observability.events import PipeShareReduced
 from railfold._internal.observability.metrics import Metrics
 
 __all__ = ["ActiveRequest", "Router"]
@@ -457,7 +457,7 @@
                 self.metrics.count("pipes.cut")
                 share = round(self.pipes.quota_share(domain, other_domain), 3)
                 self.log.write(
-                    PipeShareCut(domain, other_domain, share, round(late_s * 1000))
+                    PipeShareReduced(domain, other_domain, share, round(late_s * 1000))
                 )
 
     def registered_id(self, server_id: str) -> str:
--- a/tests/unit/test_server_statements.py
+++ b/tests/unit/test_server_statements.py
@@ -1,7 +1,8 @@
-"""Each name that servers or the platform send is read, or its reason stands.
+"""Headers and fields from servers and the platform are read, or listed with a reason.
 
-Rate limits, Retry-After and leaving each went unread until servers got what they had
-said that they don't want.
+Guards against a statement of a server that no code reads, such as a rate limit, a
+Retry-After or an announcement of leaving: entries would then send the server requests
+that it has asked not to get. The documented table must match the decoders.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 import pytest
 
 from railfold._internal.platform import configuration, engines
-from railfold._internal.platform.answer_headers import READ, UNREAD
+from railfold._internal.platform.answer_headers import IGNORED_HEADERS, READ_HEADERS
 
 ROOT = Path(__file__).parent.parent.parent
 TABLE = ROOT / "docs" / "design" / "server-statements.md"
@@ -22,8 +23,8 @@
 _ROW = re.compile(r"\| `([^`]+)` \| (yes|no) \|(.*)\|")
 
 
-def listed(section: str, *, read: bool) -> set[str]:
-    """Return the names of a section of the table that are read, or that aren't."""
+def documented_names(section: str, *, read: bool) -> set[str]:
+    """Return the names in a section of the table that are documented as (not) read."""
     text = TABLE.read_text().split(f"## {section}\n")[1].split("\n## ")[0]
     rows = [_ROW.fullmatch(line) for line in text.splitlines()]
     found = [row for row in rows if row is not None]
@@ -36,7 +37,7 @@
 
 
 def standard_headers_read() -> set[str]:
-    """Return the names of standard headers that the sources look up in answers."""
+    """Return the names of the standard headers that the sources read from answers."""
     texts = [
         path.read_text()
         for folder in ("forwarding", "platform")
@@ -49,30 +50,34 @@
     return found
 
 
-def test_headers_of_answers() -> None:
+def test_answer_headers_match_the_documented_ones() -> None:
     section = "Headers in answers of backend servers"
     standard = {name.lower() for name in standard_headers_read()}
-    read = {name.lower() for name in listed(section, read=True)}
-    unread = {name.lower() for name in listed(section, read=False)}
-    assert read == READ | standard
-    assert unread == UNREAD
+    read = {name.lower() for name in documented_names(section, read=True)}
+    unread = {name.lower() for name in documented_names(section, read=False)}
+    assert read == READ_HEADERS | standard
+    assert unread == IGNORED_HEADERS
 
 
 @pytest.mark.parametrize(
     ("section", "struct", "checked_only"),
     [
-        ("Registrations", engines._Entry, {"cold_left_ms", "seq", "stage"}),
+        (
+            "Registrations",
+            engines._RegistrationRecord,
+            {"cold_left_ms", "seq", "stage"},
+        ),
         ("Reports of engines", engines._Report, set()),
     ],
 )
-def test_registrations_and_reports(
+def test_registration_and_report_fields_match_the_documented_ones(
     section: str, struct: type[msgspec.Struct], checked_only: set[str]
 ) -> None:
-    assert listed(section, read=True) | checked_only == fields_of(struct)
-    assert checked_only <= listed(section, read=False)
+    assert documented_names(section, read=True) | checked_only == fields_of(struct)
+    assert checked_only <= documented_names(section, read=False)
 
 
-def test_configuration() -> None:
+def test_configuration_fields_match_the_documented_ones() -> None:
     parts = {
         "": configuration._Configuration,
         "route.": configuration._Route,
@@ -83,4 +88,4 @@
     fields = {
         prefix + name for prefix, struct in parts.items() for name in fields_of(struct)
     }
-    assert listed("Configuration", read=True) == fields
+    assert documented_names("Configuration", read=True) == fields
