--- a/tests/forwarding/test_repeated_crashes.py
+++ b/tests/forwarding/test_repeated_crashes.py
@@ -245,7 +245,7 @@
     stream = two_entries.store.topic("keyed.railfold-quarantine")
     await until(lambda: content in stream.newest)
     settings = tmp_path_factory.mktemp("held") / "settings.toml"
-    port = two_entries._adapter._store.port
+    port = two_entries._adapter._store_address.port
     settings.write_text(
         'node = "operator"\nip = "127.0.0.1"\nzone = "hall-a"\n'
         '[listen]\nfront = "127.0.0.1:1"\nready = "127.0.0.1:2"\n'
--- a/tests/forwarding/test_store_goes_back.py
+++ b/tests/forwarding/test_store_goes_back.py
@@ -211,7 +211,7 @@
 
 async def test_a_fencing_token_never_decreases(deployment: Deployment) -> None:
     """The group's generation decreases with the restored store, and is used again."""
-    port = deployment._adapter._store.port
+    port = deployment._adapter._store_address.port
     lease = GroupLease(Address("127.0.0.1", port), "test", PARTITIONS)
     other = GroupLease(Address("127.0.0.1", port), "test", PARTITIONS)
     copy = deployment.store.copy()
