--- a/src/railfold/_internal/commands/held.py
+++ b/src/railfold/_internal/commands/held.py
@@ -49,8 +49,8 @@
         return
     if not held_contents:
         click.echo("nothing is held back")
-    for item in held_contents:
-        click.echo(_format_held_content(item))
+    for held_content in held_contents:
+        click.echo(_format_held_content(held_content))
 
 
 @click.command()
@@ -63,8 +63,8 @@
 
 
 def _load_platform(settings: Path | None) -> UsersPlatform:
-    loaded = load_platform_settings(settings or settings_path())
-    return UsersPlatform(loaded.store, loaded.store_partitions)
+    platform_settings = load_platform_settings(settings or settings_path())
+    return UsersPlatform(platform_settings.store, platform_settings.store_partitions)
 
 
 async def _read_held_contents(platform: UsersPlatform) -> list[_HeldContent]:
@@ -95,12 +95,13 @@
     await platform.new_log().put(platform.quarantine_stream, content, b"")
 
 
-def _format_held_content(item: _HeldContent) -> str:
-    record = item.record
+def _format_held_content(held_content: _HeldContent) -> str:
+    record = held_content.record
     age_s = max(0.0, clock.unix_time_s() - record.held_at_unix_ms / 1000.0)
     servers = ", ".join(crash.server_id for crash in record.crashes)
     return (
-        f"{item.content}  route {record.route}  workspace {record.workspace or '-'}"
+        f"{held_content.content}  route {record.route}"
+        f"  workspace {record.workspace or '-'}"
         f"  held back {age_s:.0f} s ago, {record.holds} in a row\n"
         f"    crashed servers: {servers}"
     )
--- a/src/railfold/_internal/supervision/supervisor.py
+++ b/src/railfold/_internal/supervision/supervisor.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RestartLimit:
-    """Limit of ``max_restarts`` in ``window_s`` seconds; further ones escalate."""
+    """Limit of restarts in a time window; failures beyond it escalate."""
 
     max_restarts: int = 5
     window_s: float = 10.0
