--- a/src/railfold/_internal/commands/forward.py
+++ b/src/railfold/_internal/commands/forward.py
@@ -65,7 +65,9 @@
     source: SettingsSource, platform_settings: PlatformSettings, listeners: Listeners
 ) -> None:
     from railfold._internal.forwarding.process import run_forwarding_entry
-    from railfold._internal.platform.adapter import UsersPlatform
+    from railfold._internal.platform.adapter import MetadataStorePlatform
 
-    adapter = UsersPlatform(platform_settings.store, platform_settings.store_partitions)
+    adapter = MetadataStorePlatform(
+        platform_settings.store, platform_settings.store_partitions
+    )
     await run_forwarding_entry(platform_settings.forwarding, adapter, source, listeners)
--- a/src/railfold/_internal/commands/held.py
+++ b/src/railfold/_internal/commands/held.py
@@ -15,7 +15,7 @@
     HoldRecord,
     decode_hold,
 )
-from railfold._internal.platform.adapter import UsersPlatform
+from railfold._internal.platform.adapter import MetadataStorePlatform
 from railfold._internal.platform.settings import load_platform_settings, settings_path
 from railfold._internal.store.records import NEWEST_OF_EACH_KEY
 
@@ -62,12 +62,12 @@
     click.echo(f"{content}: lifted")
 
 
-def _load_platform(settings: Path | None) -> UsersPlatform:
+def _load_platform(settings: Path | None) -> MetadataStorePlatform:
     platform_settings = load_platform_settings(settings or settings_path())
-    return UsersPlatform(platform_settings.store, platform_settings.store_partitions)
+    return MetadataStorePlatform(platform_settings.store, platform_settings.store_partitions)
 
 
-async def _read_held_contents(platform: UsersPlatform) -> list[_HeldContent]:
+async def _read_held_contents(platform: MetadataStorePlatform) -> list[_HeldContent]:
     page = await platform.new_log().read(
         platform.quarantine_stream, NEWEST_OF_EACH_KEY, 0.0
     )
@@ -83,7 +83,7 @@
     return held_contents
 
 
-async def _delete_hold_record(platform: UsersPlatform, content: str) -> None:
+async def _delete_hold_record(platform: MetadataStorePlatform, content: str) -> None:
     """Delete the record of a held-back content, which releases it at all entries.
 
     :raises RequestNotQuarantinedError: the content has no record.
