--- a/src/railfold/_internal/commands/held.py
+++ b/src/railfold/_internal/commands/held.py
@@ -64,7 +64,9 @@
 
 def _load_platform(settings: Path | None) -> MetadataStorePlatform:
     platform_settings = load_platform_settings(settings or settings_path())
-    return MetadataStorePlatform(platform_settings.store, platform_settings.store_partitions)
+    return MetadataStorePlatform(
+        platform_settings.store, platform_settings.store_partitions
+    )
 
 
 async def _read_held_contents(platform: MetadataStorePlatform) -> list[_HeldContent]:
