--- a/benchmarks/fleet_load.py
+++ b/benchmarks/fleet_load.py
@@ -1,7 +1,7 @@
-"""What the exchange of load costs an entry: bytes and processor time a second.
+"""Cost of the load exchange per entry: bytes and processor time per second.
 
-Runs the exchange of many entries in one process, over a channel that encodes, counts
-and delivers datagrams in memory.
+Runs the load exchange of many entries in one process. A channel encodes and counts the
+datagrams and delivers them in memory.
 
     .venv/bin/python -m benchmarks.fleet_load [seconds]
 """
@@ -27,7 +27,8 @@
 )
 from railfold._internal.observability.metrics import Metrics
 
-# Entries, failure domains, engines, requests in flight at an entry, workspaces.
+# Numbers of entries, failure domains, engines, requests in flight per entry, and
+# workspaces.
 _SIZES = (
     (4, 2, 12, 20, 8),
     (11, 3, 52, 30, 24),
@@ -36,16 +37,17 @@
     (380, 10, 600, 14, 610),
 )
 _STAGES = 8
-_NETWORK_BYTES = 28
+# IP and UDP headers of a datagram.
+_HEADER_BYTES = 28
 
 
 @dataclass
-class Channel:
-    """A channel between entries in one process."""
+class InMemoryChannel:
+    """An in-memory channel of one entry to the other entries in the process."""
 
     name: str
     codec: PeerMessageCodec
-    fleet: dict[str, Channel]
+    fleet: dict[str, InMemoryChannel]
     names_by_domain: dict[str, list[str]]
     exchange: Any = None
     sent_bytes: int = 0
@@ -55,26 +57,26 @@
 
     @property
     def peers(self) -> tuple[str, ...]:
-        """All entries' names."""
+        """Names of all entries."""
         return tuple(self.fleet)
 
     def send_to(self, name: str, message: PeerMessage) -> None:
-        """Send to one entry."""
+        """Send a message to one entry."""
         self.send_to_each((name,), message)
 
     def send_to_each(self, names: Any, message: PeerMessage) -> None:
-        """Send to some entries."""
+        """Send a message to several entries as one encoded datagram each."""
         sent_ms = int(clock.unix_time_s() * 1000)
         envelope = Envelope(self.name, self.rng.randbytes(8), sent_ms, message, True)
         datagram = self.codec.encode(envelope)
         self.largest_bytes = max(self.largest_bytes, len(datagram))
         for name in names:
-            self.sent_bytes += len(datagram) + _NETWORK_BYTES
+            self.sent_bytes += len(datagram) + _HEADER_BYTES
             asyncio.get_running_loop().call_soon(self.fleet[name].receive, datagram)
 
     def receive(self, datagram: bytes) -> None:
-        """Take a datagram."""
-        self.received_bytes += len(datagram) + _NETWORK_BYTES
+        """Decode a datagram and pass it to the exchange."""
+        self.received_bytes += len(datagram) + _HEADER_BYTES
         envelope = self.codec.decode(datagram, clock.unix_time_s())
         self.exchange.message_received(envelope.message)
 
@@ -96,7 +98,11 @@
 async def measure(
     size: tuple[int, int, int, int, int], seconds: float
 ) -> dict[str, float]:
-    """Run a fleet for some seconds; return what it cost."""
+    """Run a fleet for 1.5 times ``seconds`` and measure the last ``seconds``.
+
+    Returns the bytes per second of an entry, the processor share, and the state of
+    the exchange.
+    """
     entries, domains, engine_count, in_flight, workspaces = size
     rng = random.Random(1)
     servers = [f"i-{rng.randbytes(4).hex()}@{n}" for n in range(engine_count)]
@@ -105,12 +111,12 @@
     for n in range(entries):
         members.setdefault(f"domain-{n % domains}", []).append(f"front-hall-{n}")
     codec = PeerMessageCodec(b"k" * 32)
-    fleet: dict[str, Channel] = {}
+    fleet: dict[str, InMemoryChannel] = {}
     routers = []
     for domain, names in members.items():
         for name in names:
             router = _router(domain, entries, engines, rng)
-            channel = Channel(name, codec, fleet, members)
+            channel = InMemoryChannel(name, codec, fleet, members)
             channel.exchange = LoadExchange(name, router, channel)  # type: ignore[arg-type]
             fleet[name] = channel
             routers.append(router)
@@ -128,21 +134,21 @@
     ]
     await asyncio.sleep(seconds / 2)
     before = [(c.sent_bytes, c.received_bytes) for c in fleet.values()]
-    began_s, busy_s = time.monotonic(), time.process_time()
+    started_s, cpu_s = time.monotonic(), time.process_time()
     await asyncio.sleep(seconds)
-    took_s = time.monotonic() - began_s
-    busy_s = time.process_time() - busy_s
+    elapsed_s = time.monotonic() - started_s
+    cpu_s = time.process_time() - cpu_s
     for task in tasks:
         task.cancel()
     rates = [
-        (c.sent_bytes - sent + c.received_bytes - received) / took_s
+        (c.sent_bytes - sent + c.received_bytes - received) / elapsed_s
         for c, (sent, received) in zip(fleet.values(), before, strict=True)
     ]
     now_s = asyncio.get_running_loop().time()
     return {
         "bytes_per_s": sum(rates) / len(rates),
         "most_bytes_per_s": max(rates),
-        "core_share": busy_s / took_s / entries,
+        "core_share": cpu_s / elapsed_s / entries,
         "interval_s": routers[0].metrics.gauges["load.interval_s"],
         "known_share": min(r.fleet_load.known_entries(now_s) for r in routers)
         / entries,
@@ -151,7 +157,7 @@
 
 
 def main() -> None:
-    """Print one line a size."""
+    """Print one line per fleet size."""
     seconds = float(sys.argv[1]) if len(sys.argv) > 1 else 20.0
     for size in _SIZES:
         cost = asyncio.run(measure(size, seconds))
--- a/benchmarks/isolation.py
+++ b/benchmarks/isolation.py
@@ -1,7 +1,8 @@
-"""A quiet workspace beside a flooding one, and load beyond capacity.
+"""Isolation of workspaces, and goodput under overload.
 
-First a quiet workspace's latencies alone and beside a flood; then goodput at
-several multiples of capacity, as a ratio to the goodput at full load.
+Measures the latencies of a quiet workspace alone and while another one floods the
+entry. Then measures goodput at several multiples of capacity, as a ratio to the goodput
+at full load.
 """
 
 from __future__ import annotations
@@ -35,62 +36,65 @@
 ]
 WORKSPACES = {"quiet": {}, "flood": {}, **{f"load-{n}": {} for n in range(10)}}
 QUIET_REQUESTS = 60
-QUIET_EVERY_S = 0.15
-LOADS = (0.8, 1.0, 1.5, 2.0)
-LOAD_SECONDS = 8.0
+QUIET_INTERVAL_S = 0.15
+LOAD_MULTIPLES = (0.8, 1.0, 1.5, 2.0)
+LOAD_DURATION_S = 8.0
 DEADLINE_S = 2.0
 
 
 @dataclass
-class Load:
-    """Requests sent at a rate, and what came of them."""
+class LoadResult:
+    """The responses to requests that were sent at a fixed rate."""
 
-    answers: list[StreamTimes]
+    responses: list[StreamTimes]
 
     def goodput(self, seconds: float) -> float:
-        """Tokens a second of whole answers within their deadline."""
-        good = [
+        """Return the tokens per second of complete responses within the deadline."""
+        in_time = [
             t
-            for t in self.answers
+            for t in self.responses
             if t.outcome == "answered" and t.total_s <= DEADLINE_S
         ]
-        return sum(t.tokens for t in good) / seconds
+        return sum(t.tokens for t in in_time) / seconds
 
 
-async def quiet(http: AsyncHTTPClient, url: str) -> list[StreamTimes]:
-    """Send the quiet workspace's requests one after the other."""
+async def run_quiet_workspace(http: AsyncHTTPClient, url: str) -> list[StreamTimes]:
+    """Send the quiet workspace's requests in sequence and return their times."""
     times = []
     for number in range(QUIET_REQUESTS):
         times.append(await stream(http, url, prompt(number), TOKENS, "quiet"))
-        await asyncio.sleep(QUIET_EVERY_S)
+        await asyncio.sleep(QUIET_INTERVAL_S)
     return times
 
 
 async def flood(http: AsyncHTTPClient, url: str, stop: asyncio.Event) -> int:
-    """Keep many requests of the flooding workspace waiting."""
+    """Keep many requests of the flooding workspace queued until ``stop`` is set.
+
+    Returns the number of requests sent.
+    """
     sent = 0
 
-    async def one() -> None:
+    async def send_repeatedly() -> None:
         nonlocal sent
         while not stop.is_set():
             sent += 1
             await stream(http, url, prompt(sent), TOKENS, "flood")
 
-    await asyncio.gather(*(one() for _ in range(CAPACITY * 5)))
+    await asyncio.gather(*(send_repeatedly() for _ in range(CAPACITY * 5)))
     return sent
 
 
 async def measure_quiet(url: str) -> list[list[object]]:
-    """Return the quiet workspace's rows, alone and beside the flood."""
-    alone = await quiet(new_client(), url)
+    """Return the quiet workspace's rows: alone, during the flood, and their ratio."""
+    alone = await run_quiet_workspace(new_client(), url)
     stop = asyncio.Event()
     flooding = asyncio.create_task(flood(new_client(), url, stop))
     await asyncio.sleep(1.0)
-    beside = await quiet(new_client(), url)
+    during_flood = await run_quiet_workspace(new_client(), url)
     stop.set()
     await flooding
     rows = []
-    for name, times in (("alone", alone), ("beside a flood", beside)):
+    for name, times in (("alone", alone), ("beside a flood", during_flood)):
         firsts = [t.first_token_s for t in times if t.outcome == "answered"]
         totals = [t.total_s for t in times if t.outcome == "answered"]
         rows.append(
@@ -106,14 +110,14 @@
     return [*rows, ["ratio", "", *ratio]]
 
 
-async def offer(url: str, rate: float) -> Load:
-    """Send requests of ten workspaces at ``rate`` a second."""
+async def offer_load(url: str, rate: float) -> LoadResult:
+    """Send ``rate`` requests per second, spread over ten workspaces."""
     http = new_client(4096)
     rng = random.Random(1)
     tasks = []
     started_s = time.perf_counter()
     number = 0
-    while time.perf_counter() - started_s < LOAD_SECONDS:
+    while time.perf_counter() - started_s < LOAD_DURATION_S:
         number += 1
         headers = {"Railfold_Deadline_Ms": str(int(DEADLINE_S * 1000))}
         workspace = f"load-{number % 10}"
@@ -123,30 +127,30 @@
             )
         )
         await asyncio.sleep(rng.expovariate(rate))
-    return Load(list(await asyncio.gather(*tasks)))
+    return LoadResult(list(await asyncio.gather(*tasks)))
 
 
-async def full_rate(url: str) -> float:
-    """Return the requests a second that a closed loop at capacity gets."""
+async def measure_closed_loop_rate(url: str) -> float:
+    """Return the requests per second that a closed loop at capacity completes."""
     http = new_client()
-    stop_s = time.perf_counter() + LOAD_SECONDS
-    done = 0
+    stop_s = time.perf_counter() + LOAD_DURATION_S
+    completed = 0
 
-    async def one(first: int) -> None:
-        nonlocal done
+    async def send_repeatedly(first: int) -> None:
+        nonlocal completed
         number = first
         while time.perf_counter() < stop_s:
             number += CAPACITY
             workspace = f"load-{first % 10}"
-            answer = await stream(http, url, prompt(number), TOKENS, workspace)
-            done += answer.outcome == "answered"
+            response_times = await stream(http, url, prompt(number), TOKENS, workspace)
+            completed += response_times.outcome == "answered"
 
-    await asyncio.gather(*(one(n) for n in range(CAPACITY)))
-    return done / LOAD_SECONDS
+    await asyncio.gather(*(send_repeatedly(n) for n in range(CAPACITY)))
+    return completed / LOAD_DURATION_S
 
 
 async def main() -> None:
-    """Measure and print."""
+    """Run the measurements and print the tables."""
     with Cluster(HOSTS, workspaces=WORKSPACES) as cluster:
         url = cluster.callers_url()
         print_table(
@@ -154,15 +158,17 @@
             ["", "answered", "first p50 ms", "first p95 ms", "total p95 ms"],
             await measure_quiet(url),
         )
-        rate = await full_rate(url)
-        full = rate * TOKENS
+        rate = await measure_closed_loop_rate(url)
+        full_goodput = rate * TOKENS
         rows = []
-        for multiple in LOADS:
-            load = await offer(url, rate * multiple)
-            outcomes = [t.outcome for t in load.answers]
-            goodput = load.goodput(LOAD_SECONDS)
-            refusals = [t.total_s for t in load.answers if t.outcome == "not_run"]
-            firsts = [t.first_token_s for t in load.answers if t.outcome == "answered"]
+        for multiple in LOAD_MULTIPLES:
+            load = await offer_load(url, rate * multiple)
+            outcomes = [t.outcome for t in load.responses]
+            goodput = load.goodput(LOAD_DURATION_S)
+            refusals = [t.total_s for t in load.responses if t.outcome == "not_run"]
+            firsts = [
+                t.first_token_s for t in load.responses if t.outcome == "answered"
+            ]
             rows.append(
                 [
                     multiple,
@@ -173,7 +179,7 @@
                     - outcomes.count("answered")
                     - outcomes.count("not_run"),
                     goodput,
-                    goodput / full,
+                    goodput / full_goodput,
                     percentile(firsts, 0.95) * 1000,
                     median(refusals) * 1000,
                 ]
--- a/benchmarks/lib.py
+++ b/benchmarks/lib.py
@@ -1,4 +1,4 @@
-"""What several benchmarks share: tables, process figures and load."""
+"""Functions that benchmarks share: tables, process usage and load generation."""
 
 from __future__ import annotations
 
@@ -45,14 +45,14 @@
 
 @dataclass(frozen=True)
 class Usage:
-    """A process's processor time and memory at one moment."""
+    """The processor time and resident memory of a process at one moment."""
 
     cpu_s: float
     resident_mib: float
 
 
-def usage(cluster: Cluster, name: str) -> Usage:
-    """Return a process's usage."""
+def read_usage(cluster: Cluster, name: str) -> Usage:
+    """Return the current usage of a process of the cluster."""
     process = psutil.Process(cluster.processes[name].popen.pid)
     times = process.cpu_times()
     return Usage(times.user + times.system, process.memory_info().rss / MEBIBYTE)
@@ -60,7 +60,10 @@
 
 @dataclass
 class StreamTimes:
-    """When one streamed answer's pieces came, in seconds from its start."""
+    """Timing of one streamed response, in seconds from the start of the request.
+
+    ``gaps_s`` holds the time between successive tokens.
+    """
 
     first_token_s: float = 0.0
     gaps_s: list[float] = field(default_factory=list)
@@ -78,16 +81,16 @@
     workspace: str = "quality",
     **headers: str,
 ) -> StreamTimes:
-    """Stream one answer and time its pieces."""
+    """Send one streaming request; return the timing of its response."""
     times = StreamTimes()
     started_s = time.perf_counter()
     last_s = started_s
-    rest = b""
+    pending = b""
 
-    def take(chunk: bytes) -> None:
-        nonlocal last_s, rest
-        rest += chunk
-        *events, rest = rest.split(b"\n\n")
+    def handle_chunk(chunk: bytes) -> None:
+        nonlocal last_s, pending
+        pending += chunk
+        *events, pending = pending.split(b"\n\n")
         for event in events:
             now_s = time.perf_counter()
             name, _, data = event.partition(b"\ndata: ")
@@ -109,7 +112,7 @@
         method="POST",
         headers=caller_headers(workspace, **headers),
         body=json.dumps({"prompt": prompt, "max_tokens": max_tokens, "stream": True}),
-        streaming_callback=take,
+        streaming_callback=handle_chunk,
         request_timeout=300.0,
         raise_error=False,
     )
@@ -118,14 +121,14 @@
     return times
 
 
-def new_client(most: int = 512) -> AsyncHTTPClient:
-    """Return a client for load."""
+def new_client(max_clients: int = 512) -> AsyncHTTPClient:
+    """Return an HTTP client with at most ``max_clients`` concurrent requests."""
     AsyncHTTPClient.configure("tornado.curl_httpclient.CurlAsyncHTTPClient")
-    return AsyncHTTPClient(force_instance=True, max_clients=most)
+    return AsyncHTTPClient(force_instance=True, max_clients=max_clients)
 
 
 def median(values: Sequence[float]) -> float:
-    """Return the median, or 0 of nothing."""
+    """Return the median, or 0 if there are no values."""
     return statistics.median(values) if values else 0.0
 
 
@@ -135,5 +138,5 @@
 
 
 def run(coroutine) -> object:
-    """Run a benchmark's coroutine."""
+    """Run a benchmark's coroutine and return its result."""
     return asyncio.run(coroutine)
--- a/benchmarks/throughput.py
+++ b/benchmarks/throughput.py
@@ -1,9 +1,9 @@
-"""Tokens a second through real processes, as a ratio to the engines' bound.
+"""Tokens per second through real processes, relative to the bound of the engines.
 
-The bound is what the engines alone could do: with ``k`` cohorts in flight over
+The bound is the throughput of the engines alone: with ``k`` cohorts in flight over
 ``S`` stages, one round takes ``max(S, k)`` step times of ``fixed + per_sequence
-* n / k``; the bound is the best over ``k``. Also gives what the router adds to
-each token and to the first one, and processor time and memory as slopes.
+* n / k``; the bound is the maximum over ``k``. Also measures the latency that the
+router adds to each token and to the first one, and processor time and memory.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
     percentile,
     print_table,
     prompt,
+    read_usage,
     run,
     stream,
-    usage,
 )
 from standins.cluster import Cluster, EngineHost
 
@@ -46,22 +46,22 @@
 
 
 @dataclass(frozen=True)
-class Measured:
-    """One run's figures."""
+class Measurement:
+    """The results of one run, with usage by process name."""
 
     tokens: int
     wall_s: float
     times: list[StreamTimes]
-    used: dict[str, Usage]
+    after: dict[str, Usage]
     before: dict[str, Usage]
 
     def cpu_s(self, name: str) -> float:
-        """Processor time that a process took."""
-        return self.used[name].cpu_s - self.before[name].cpu_s
+        """Return the processor seconds that a process used during the run."""
+        return self.after[name].cpu_s - self.before[name].cpu_s
 
 
 def bound_tokens_per_s(streams: int) -> float:
-    """Return the most tokens a second that the engines can give."""
+    """Return the maximum tokens per second that the engines can generate."""
     best = 0.0
     for cohorts in range(1, streams + 1):
         step_ms = FIXED_MS + PER_SEQUENCE_MS * streams / cohorts
@@ -70,27 +70,29 @@
     return best
 
 
-async def measure(cluster: Cluster, streams: int, tokens: int) -> Measured:
-    """Run ``streams`` answers at a time until each has come twice."""
+async def measure(cluster: Cluster, streams: int, tokens: int) -> Measurement:
+    """Run ``streams`` concurrent requests of ``tokens`` tokens and measure them."""
     http = new_client()
     names = ["entry-0", *(f"agent-{host.host}" for host in HOSTS)]
     await stream(http, cluster.callers_url(), "warm", 4)
-    before = {name: usage(cluster, name) for name in names}
+    before = {name: read_usage(cluster, name) for name in names}
     started_s = time.perf_counter()
     url = cluster.callers_url()
     times = await asyncio.gather(
         *(stream(http, url, prompt(number), tokens) for number in range(streams))
     )
     wall_s = time.perf_counter() - started_s
-    used = {name: usage(cluster, name) for name in names}
+    after = {name: read_usage(cluster, name) for name in names}
     assert all(t.outcome == "answered" for t in times)
-    return Measured(sum(t.tokens for t in times), wall_s, times, used, before)
+    return Measurement(sum(t.tokens for t in times), wall_s, times, after, before)
 
 
 async def main() -> None:
-    """Measure and print."""
+    """Run the measurements and print the tables."""
     with Cluster(HOSTS) as cluster:
-        idle = {n: usage(cluster, n).resident_mib for n in ("entry-0", "agent-meter-1")}
+        idle_mib = {
+            n: read_usage(cluster, n).resident_mib for n in ("entry-0", "agent-meter-1")
+        }
         results = {n: await measure(cluster, n, TOKENS) for n in CONCURRENCY}
         short = await measure(cluster, 64, 1)
         rows = []
@@ -128,7 +130,7 @@
         )
         last = results[CONCURRENCY[-1]]
         rows = []
-        for name in last.used:
+        for name in last.after:
             per_token_us = last.cpu_s(name) / last.tokens * 1e6
             per_request_us = short.cpu_s(name) / len(short.times) * 1e6
             rows.append(
@@ -137,8 +139,8 @@
                     per_token_us,
                     per_request_us,
                     last.cpu_s(name) / last.wall_s * 100,
-                    idle.get(name, float("nan")),
-                    last.used[name].resident_mib,
+                    idle_mib.get(name, float("nan")),
+                    last.after[name].resident_mib,
                 ]
             )
         print_table(
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: one streamed request through a small deployment."""
+"""Demonstration that streams one request through a small deployment."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 def main() -> int:
-    """Start everything, send the request, print the answer and its lineage."""
+    """Start the deployment, send the request and print the response and its lineage.
+
+    Returns the exit status: 0 if all tokens are as expected, else 1.
+    """
     print("starting a log, an entry and three agents with engines ...")
     with Cluster(THREE_STAGES) as cluster:
         token_ids: list[int] = []
@@ -24,9 +27,9 @@
     print(f"\noutcome: {outcome['outcome']} (attempts: {outcome['attempts']})")
     for stage in outcome["lineage"]:
         print(f"  layers {stage['layers']:>5} ran on {stage['host']}")
-    whole = token_ids == expected_tokens(PROMPT, LAYER_COUNT, TOKENS)
-    print(f"every token as the whole model gives it: {whole}")
-    return 0 if whole and outcome["outcome"] == "answered" else 1
+    matches_model = token_ids == expected_tokens(PROMPT, LAYER_COUNT, TOKENS)
+    print(f"every token as the whole model gives it: {matches_model}")
+    return 0 if matches_model and outcome["outcome"] == "answered" else 1
 
 
 if __name__ == "__main__":
--- a/tests/functional/test_recovery.py
+++ b/tests/functional/test_recovery.py
@@ -23,94 +23,104 @@
     return caller
 
 
-def test_answer_continues_after_its_agent_is_killed(spare_cluster: Cluster) -> None:
-    caller = start_stream(spare_cluster)
-    middle_host = serving_hosts(spare_cluster)[1]
-    spare_cluster.processes[f"agent-{middle_host}"].kill()
+def test_answer_continues_after_its_agent_is_killed(
+    cluster_with_spares: Cluster,
+) -> None:
+    caller = start_stream(cluster_with_spares)
+    middle_host = serving_hosts(cluster_with_spares)[1]
+    cluster_with_spares.processes[f"agent-{middle_host}"].kill()
     caller.assert_complete()
     assert caller.outcome["attempts"] == 2
 
 
-def test_answer_continues_after_its_engine_is_killed(spare_cluster: Cluster) -> None:
-    caller = start_stream(spare_cluster)
-    last_host = serving_hosts(spare_cluster)[2]
-    spare_cluster.processes[f"engine-{last_host}"].kill()
+def test_answer_continues_after_its_engine_is_killed(
+    cluster_with_spares: Cluster,
+) -> None:
+    caller = start_stream(cluster_with_spares)
+    last_host = serving_hosts(cluster_with_spares)[2]
+    cluster_with_spares.processes[f"engine-{last_host}"].kill()
     caller.assert_complete()
 
 
-def test_answer_continues_after_its_agent_freezes(spare_cluster: Cluster) -> None:
-    caller = start_stream(spare_cluster)
-    first_host = serving_hosts(spare_cluster)[0]
-    spare_cluster.processes[f"agent-{first_host}"].freeze()
+def test_answer_continues_after_its_agent_freezes(cluster_with_spares: Cluster) -> None:
+    caller = start_stream(cluster_with_spares)
+    first_host = serving_hosts(cluster_with_spares)[0]
+    cluster_with_spares.processes[f"agent-{first_host}"].freeze()
     caller.assert_complete()
 
 
-def test_answer_continues_after_its_engine_freezes(spare_cluster: Cluster) -> None:
-    caller = start_stream(spare_cluster)
-    middle_host = serving_hosts(spare_cluster)[1]
-    post(f"{spare_cluster.engine_url(middle_host)}/control/freeze", {})
+def test_answer_continues_after_its_engine_freezes(
+    cluster_with_spares: Cluster,
+) -> None:
+    caller = start_stream(cluster_with_spares)
+    middle_host = serving_hosts(cluster_with_spares)[1]
+    post(f"{cluster_with_spares.engine_url(middle_host)}/control/freeze", {})
     caller.assert_complete()
 
 
 def test_answer_continues_after_its_engine_loses_its_caches(
-    spare_cluster: Cluster,
+    cluster_with_spares: Cluster,
 ) -> None:
-    caller = start_stream(spare_cluster)
-    middle_host = serving_hosts(spare_cluster)[1]
-    post(f"{spare_cluster.engine_url(middle_host)}/control/restart", {})
+    caller = start_stream(cluster_with_spares)
+    middle_host = serving_hosts(cluster_with_spares)[1]
+    post(f"{cluster_with_spares.engine_url(middle_host)}/control/restart", {})
     caller.assert_complete()
 
 
 def test_answer_continues_after_an_answer_of_an_engine_is_lost(
-    spare_cluster: Cluster,
+    cluster_with_spares: Cluster,
 ) -> None:
     # The fixture checks that the step wasn't sent to the engine again.
-    caller = start_stream(spare_cluster)
-    middle_host = serving_hosts(spare_cluster)[1]
-    post(f"{spare_cluster.engine_url(middle_host)}/control/drop", {})
+    caller = start_stream(cluster_with_spares)
+    middle_host = serving_hosts(cluster_with_spares)[1]
+    post(f"{cluster_with_spares.engine_url(middle_host)}/control/drop", {})
     caller.assert_complete()
     assert caller.outcome["attempts"] == 2
 
 
 def test_answer_continues_after_two_agents_are_killed_together(
-    spare_cluster: Cluster,
+    cluster_with_spares: Cluster,
 ) -> None:
-    caller = start_stream(spare_cluster)
-    hosts = serving_hosts(spare_cluster)
+    caller = start_stream(cluster_with_spares)
+    hosts = serving_hosts(cluster_with_spares)
     for host in (hosts[0], hosts[2]):
-        spare_cluster.processes[f"agent-{host}"].kill()
+        cluster_with_spares.processes[f"agent-{host}"].kill()
     caller.assert_complete()
 
 
 def test_answers_continue_after_a_failure_domain_is_lost(
-    spare_cluster: Cluster,
+    cluster_with_spares: Cluster,
 ) -> None:
-    callers = [start_stream(spare_cluster, f"unit {i}") for i in range(6)]
-    for host in spare_cluster.engines:
+    callers = [start_stream(cluster_with_spares, f"unit {i}") for i in range(6)]
+    for host in cluster_with_spares.engines:
         if host.failure_domain == "hall-a":
-            spare_cluster.processes[f"agent-{host.host}"].kill()
-            spare_cluster.processes[f"engine-{host.host}"].kill()
+            cluster_with_spares.processes[f"agent-{host.host}"].kill()
+            cluster_with_spares.processes[f"engine-{host.host}"].kill()
     for caller in callers:
         caller.assert_complete()
 
 
-def test_answer_continues_while_the_log_is_unavailable(spare_cluster: Cluster) -> None:
-    spare_cluster.fault("out")
-    caller = start_stream(spare_cluster)
-    middle_host = serving_hosts(spare_cluster)[1]
-    spare_cluster.processes[f"agent-{middle_host}"].kill()
+def test_answer_continues_while_the_log_is_unavailable(
+    cluster_with_spares: Cluster,
+) -> None:
+    cluster_with_spares.fault("out")
+    caller = start_stream(cluster_with_spares)
+    middle_host = serving_hosts(cluster_with_spares)[1]
+    cluster_with_spares.processes[f"agent-{middle_host}"].kill()
     caller.assert_complete()
 
 
-def test_resumed_agent_serves_new_requests(spare_cluster: Cluster) -> None:
-    caller = start_stream(spare_cluster)
-    middle_host = serving_hosts(spare_cluster)[1]
-    agent = spare_cluster.processes[f"agent-{middle_host}"]
+def test_resumed_agent_serves_new_requests(cluster_with_spares: Cluster) -> None:
+    caller = start_stream(cluster_with_spares)
+    middle_host = serving_hosts(cluster_with_spares)[1]
+    agent = cluster_with_spares.processes[f"agent-{middle_host}"]
     agent.freeze()
     caller.assert_complete()
     agent.thaw()
-    spare_cluster.wait_until(lambda: spare_cluster.serving() == 6, "six agents")
-    second_caller = start_stream(spare_cluster, "unit 8")
+    cluster_with_spares.wait_until(
+        lambda: cluster_with_spares.serving() == 6, "six agents"
+    )
+    second_caller = start_stream(cluster_with_spares, "unit 8")
     second_caller.assert_complete()
 
 
