--- a/src/railfold/_internal/decisions/chain_costs.py
+++ b/src/railfold/_internal/decisions/chain_costs.py
@@ -136,7 +136,7 @@
 
     These are one request of each entry whose load isn't known, and the requests that
     arrived at all entries since the oldest load announcement, as far as they may have
-    gone to this server.
+    been sent to this server.
 
     :param entries: number of entries.
     :param arriving_rps: requests per second that arrive at all entries together.
--- a/src/railfold/_internal/decisions/client_retry_after.py
+++ b/src/railfold/_internal/decisions/client_retry_after.py
@@ -43,12 +43,12 @@
 _MIN_OUTAGE_DELAY_S = 0.3
 _MAX_OUTAGE_DELAY_S = 1.0
 
-# Delay while most requests find room. A refused client can then still be served within
-# its latency objective.
+# Delay while most requests find capacity. A refused client can then still be served
+# within its latency objective.
 _ROOM_SHORT_DELAY_S = 0.2
 
-# Longest delay if room is short, as a share of the time until the client's deadline.
-# The client needs the rest of the time to be served when it returns.
+# Longest delay if capacity is short, as a share of the time until the client's
+# deadline. The client needs the rest of the time to be served when it returns.
 _MAX_TIME_LEFT_SHARE = 0.2
 
 # Servers that shed load recover gradually. Clients that were refused because of
@@ -120,9 +120,9 @@
 
 @dataclass(frozen=True, slots=True)
 class RoomShort:
-    """Engines have room for only a part of the arriving requests.
+    """Engines have capacity for only a part of the arriving requests.
 
-    :param served_share: share of similar requests that found room recently, 0 to 1.
+    :param served_share: share of similar requests that found capacity recently, 0 to 1.
     :param left_s: time until the client's deadline.
     """
 
--- a/src/railfold/_internal/decisions/coverage.py
+++ b/src/railfold/_internal/decisions/coverage.py
@@ -103,7 +103,7 @@
         case Uncovered(layers=layers):
             return f"layers {describe_layers(layers)} not covered"
         case Unavailable(layers=(), available_in_s=_):
-            return "the live ranges don't join up"
+            return "the layer ranges of live servers don't form a chain"
         case Unavailable(layers=layers, available_in_s=None):
             return f"layers {describe_layers(layers)} full"
         case Unavailable(layers=layers, available_in_s=available_in_s):
--- a/src/railfold/_internal/decisions/eligibility.py
+++ b/src/railfold/_internal/decisions/eligibility.py
@@ -71,7 +71,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Full:
-    """The server rejected a request of some entry because it had no room."""
+    """The server rejected a request of some entry because it had no capacity."""
 
 
 IneligibleReason = (
--- a/src/railfold/_internal/decisions/fleet_size.py
+++ b/src/railfold/_internal/decisions/fleet_size.py
@@ -35,7 +35,7 @@
 _MAX_UNEVENNESS = 0.2
 
 # The part of its share that an entry which has just joined may use. Together, new
-# members use at most this part of the whole, in addition to the shares of earlier
+# members use at most this part of the total, in addition to the shares of earlier
 # members or, after a restart of all entries, to what those used before. Since entries
 # divide 0.8 of a limit, a quarter of that is what remains.
 _NEW_MEMBER_SHARE = 0.25
--- a/src/railfold/_internal/decisions/load_rounds.py
+++ b/src/railfold/_internal/decisions/load_rounds.py
@@ -230,7 +230,7 @@
     def domain_sum_received(self, received: DomainSum, now_s: float) -> None:
         """Store the sum of another domain."""
         known = self._other_domain_sums.get(received.domain)
-        # Round numbers start anew after a restart of all entries of a domain, so that
+        # Round numbers start again after a restart of all entries of a domain, so that
         # an older number is accepted once the known sum has expired.
         lifetime_s = _DOMAIN_SUM_LIFETIME_INTERVALS * self.interval_s
         is_fresh = known is not None and now_s - known.received_s < lifetime_s
--- a/src/railfold/_internal/decisions/load_shedding/requested.py
+++ b/src/railfold/_internal/decisions/load_shedding/requested.py
@@ -32,7 +32,7 @@
 _TRIAL_TIMEOUT_S = 1.0
 
 # Time in which most trial requests are served. Requests that are refused while a trial
-# is in flight are told to return after it.
+# is in flight get a Retry-After that ends after it.
 _TRIAL_TYPICAL_S = 0.2
 
 # Time over which the traffic share of a recovered server grows to the usual one.
--- a/src/railfold/_internal/decisions/placement/additional_chains.py
+++ b/src/railfold/_internal/decisions/placement/additional_chains.py
@@ -1,6 +1,6 @@
 """Additional chains over spare engines of a failure domain that covers all layers.
 
-Every chain passes each layer. If the engines of some layers have hardly any capacity
+Every chain passes each layer. If the engines of some layers have almost no capacity
 left beside the existing chains, no further chain is possible, however many engines are
 idle at other layers. One spare engine rarely has memory for all such layers; several
 together do.
--- a/src/railfold/_internal/decisions/planner.py
+++ b/src/railfold/_internal/decisions/planner.py
@@ -149,7 +149,8 @@
         raise NoCapacityError(
             "no live backend servers with room cover all layers",
             why=_describe_gap(usable, layer_count),
-            hint="come back after Retry-After; operators: see 'railfold status'",
+            hint="retry after the delay in Retry-After; "
+            "operators: see 'railfold status'",
         )
     best = min(complete.values(), key=lambda path: path.cost)
     return Chain(best.stages)
@@ -171,7 +172,8 @@
     if not usable:
         raise NoCapacityError(
             "no live backend server of the service has room",
-            hint="come back after Retry-After; operators: see 'railfold status'",
+            hint="retry after the delay in Retry-After; "
+            "operators: see 'railfold status'",
         )
     return min(usable, key=lambda r: _replica_cost(r, frozenset(), weights, rng))
 
--- a/src/railfold/_internal/decisions/routing_table.py
+++ b/src/railfold/_internal/decisions/routing_table.py
@@ -303,6 +303,6 @@
     """
     if table is None:
         raise NotReadyError(
-            "no configuration was read yet", hint="come back after Retry-After"
+            "no configuration was read yet", hint="retry after the delay in Retry-After"
         )
     return table
--- a/src/railfold/_internal/entry/admission.py
+++ b/src/railfold/_internal/entry/admission.py
@@ -71,7 +71,7 @@
         deadline_s: float,
         entry_count: int,
     ) -> AsyncIterator[None]:
-        """Hold capacity for a request while the context is open.
+        """Reserve capacity for a request while the context is open.
 
         The request waits in the queue first if there is no free capacity.
 
@@ -143,7 +143,7 @@
                 self._metrics.count("admission.shed")
                 error = DeadlineExpiredError(
                     "the request was shed: live capacity fell while it waited",
-                    hint="send it again after Retry-After",
+                    hint="retry after the delay in Retry-After",
                 )
                 future = self._waiters.get(ticket)
                 if future is not None and not future.done():
--- a/src/railfold/_internal/entry/agents.py
+++ b/src/railfold/_internal/entry/agents.py
@@ -297,9 +297,10 @@
 
     def _probe_another_agent(self, hosts: set[str]) -> None:
         # If no agent of a chain answers, an answer from another agent shows that the
-        # cause isn't a delay in this process. The agent that was heard last is probed,
-        # from another failure domain if possible. This probe is sent after those of
-        # the chain's agents, because only the answer to a later probe counts as proof.
+        # cause isn't a delay in this process. The agent that sent the latest message is
+        # probed, from another failure domain if possible. This probe is sent after
+        # those of the chain's agents, because only the answer to a later probe counts
+        # as proof.
         members = [m for host in hosts if (m := self.view.get(host)) is not None]
         domains = {member.failure_domain for member in members}
         links = [link for host, link in self._links.items() if host not in hosts]
--- a/src/railfold/_internal/entry/dispatch.py
+++ b/src/railfold/_internal/entry/dispatch.py
@@ -238,7 +238,7 @@
         unsettled = LogUnavailableError(
             "the idempotency key can't be claimed now, so the request wasn't sent",
             why=error.what,
-            hint="send it again with the same key after Retry-After",
+            hint="retry with the same key after the delay in Retry-After",
         )
         delay_s = _RETRY_AFTER_S * (1.0 + self._context.rng.random())
         return error_reply(write.request_id, Unknown(unsettled, round(delay_s, 2)))
@@ -263,6 +263,6 @@
         in_progress = DuplicateKeyError(
             "an earlier request with this key is in progress, or its entry crashed",
             why="its outcome isn't recorded",
-            hint="send it again with the same key after Retry-After",
+            hint="retry with the same key after the delay in Retry-After",
         )
         return error_reply(write.request_id, Unknown(in_progress, _RETRY_AFTER_S))
--- a/src/railfold/_internal/entry/generate.py
+++ b/src/railfold/_internal/entry/generate.py
@@ -194,7 +194,7 @@
             error = OverloadedError(
                 "no retry is allowed now",
                 why="the retry budget is spent",
-                hint="send it again after Retry-After",
+                hint="retry after the delay in Retry-After",
             )
             self._feed(PlanRefused(error, retry_after_s))
             return
--- a/src/railfold/_internal/errors.py
+++ b/src/railfold/_internal/errors.py
@@ -174,9 +174,9 @@
 
 
 class RoomShortError(NoCapacityError):
-    """Engines have no room for the request, or reserve it for requests that go first.
+    """Engines have no capacity, or reserve it for requests that go first.
 
-    :param served_share: share of similar requests that found room recently, 0 to 1.
+    :param served_share: share of similar requests that found capacity recently, 0 to 1.
     :param left_s: time until the client's deadline.
     """
 
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -488,7 +488,7 @@
         error = MemoryQuotaExceededError(
             "there isn't enough memory for the request's body",
             why=f"{reserved_mb:.1f} MB are reserved for clients",
-            hint="come back after Retry-After",
+            hint="retry after the delay in Retry-After",
         )
         self._refusals.refuse_early(exchange, error)
 
--- a/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
+++ b/src/railfold/_internal/forwarding/quarantine/request_quarantine.py
@@ -166,7 +166,7 @@
             "another request with the same path, caller and body is on trial",
             left_s=wait_s,
             why=f"servers crashed running content {digest}; {wait_s:.1f} s are left",
-            hint="come back after Retry-After",
+            hint="retry after the delay in Retry-After",
         )
 
     def check_retry(
@@ -201,7 +201,7 @@
             "caller and body may have crashed backend servers",
             left_s=max(_RETRY_DELAY_S, wait_s),
             why=f"{len(crashes)} servers crashed running content {digest}",
-            hint="come back after Retry-After",
+            hint="retry after the delay in Retry-After",
         )
 
     def may_crash_servers(
--- a/src/railfold/_internal/forwarding/requests/chain_planner.py
+++ b/src/railfold/_internal/forwarding/requests/chain_planner.py
@@ -188,7 +188,7 @@
         if not domains:
             return NoCapacityError(
                 "no backend server holds layers of the model",
-                hint="come back after Retry-After",
+                hint="retry after the delay in Retry-After",
             )
         shortages = []
         for domain in domains:
@@ -208,7 +208,8 @@
         return NoCapacityError(
             "no live backend servers with room cover all layers",
             why=describe_shortages(shortages),
-            hint="come back after Retry-After; operators: see 'railfold status'",
+            hint="retry after the delay in Retry-After; "
+            "operators: see 'railfold status'",
         )
 
     def _eligible_in_s(
@@ -381,7 +382,7 @@
     return RequestOnTrialError(
         "backend servers ended under this request, and only one is left",
         left_s=_LAST_SERVER_RETRY_S,
-        hint="come back after Retry-After",
+        hint="retry after the delay in Retry-After",
     )
 
 
--- a/src/railfold/_internal/forwarding/requests/client_answer.py
+++ b/src/railfold/_internal/forwarding/requests/client_answer.py
@@ -113,7 +113,7 @@
     def send_outcome(self, outcome: Outcome) -> int:
         """Send an error answer if the outcome needs one; return the answer's status.
 
-        The status is 0 if an answer that had begun was aborted.
+        The status is 0 if an answer that had started was aborted.
         """
         match outcome:
             case Answered():
--- a/src/railfold/_internal/forwarding/requests/destination_search.py
+++ b/src/railfold/_internal/forwarding/requests/destination_search.py
@@ -135,7 +135,7 @@
         ):
             error = RoomShortError(
                 "requests that go before need the room at backend servers",
-                hint="come back after Retry-After",
+                hint="retry after the delay in Retry-After",
             )
             self._refuse(contender, error)
             return
--- a/src/railfold/_internal/forwarding/router.py
+++ b/src/railfold/_internal/forwarding/router.py
@@ -207,7 +207,7 @@
                 "whether the newest configuration allows it isn't known",
                 why=f"{error.what}; {error.why}, "
                 f"and was last proved {self.lease.age_s(now_s):.1f} s ago",
-                hint="come back after Retry-After",
+                hint="retry after the delay in Retry-After",
             ) from error
 
     def retry_after_s(self, error: RailfoldError) -> float:
@@ -250,7 +250,7 @@
             raise ConfigurationStaleError(
                 "whether the credential still holds isn't known",
                 why=f"the store last answered {self.lease.age_s(now_s):.1f} s ago",
-                hint="come back after Retry-After",
+                hint="retry after the delay in Retry-After",
             )
 
     def arriving_rps(self, service: str) -> float:
--- a/src/railfold/_internal/forwarding/servers/backoffs.py
+++ b/src/railfold/_internal/forwarding/servers/backoffs.py
@@ -188,7 +188,7 @@
             left_s=left_s,
             service=service,
             why="; ".join(descriptions[:_MAX_LOGGED_SERVERS]),
-            hint="come back after Retry-After",
+            hint="retry after the delay in Retry-After",
         )
 
     def _notify_peers(self, service: str, left_s: float) -> None:
--- a/src/railfold/_internal/forwarding/servers/rate_limits.py
+++ b/src/railfold/_internal/forwarding/servers/rate_limits.py
@@ -259,7 +259,7 @@
             "backend servers that could serve it take no more requests now",
             left_s=left_s,
             why="; ".join(descriptions[:_MAX_LOGGED_SERVERS]),
-            hint="come back after Retry-After",
+            hint="retry after the delay in Retry-After",
         )
 
     # Permits
--- a/src/railfold/_internal/store/follower.py
+++ b/src/railfold/_internal/store/follower.py
@@ -2,7 +2,7 @@
 
 :class:`StreamFollower` is a supervised child that reads a stream until it is cancelled.
 An append through :class:`SettlingAppender` counts as done only when its write id has
-been read in the stream, so that a lost answer leaves no doubt about its effect.
+been read in the stream, so that its effect is known even if an answer is lost.
 """
 
 from __future__ import annotations
