--- a/src/railfold/_internal/agent/orders.py
+++ b/src/railfold/_internal/agent/orders.py
@@ -78,7 +78,7 @@
         return self._reconciler.decide(
             self._desired_order(),
             loaded=loaded,
-            engine_fencing_token=status.fencing,
+            engine_fencing_token=status.fencing_token,
             open_sequences=self._backend.report().running,
             last_contact_s=self._last_contact_s(),
             now_s=asyncio.get_running_loop().time(),
--- a/src/railfold/_internal/decisions/admission/waiting.py
+++ b/src/railfold/_internal/decisions/admission/waiting.py
@@ -34,13 +34,13 @@
 _INTERVAL_WEIGHT = 0.2
 
 
-def capacity_wait_limit_s(objective_s: float, *, started: bool) -> float:
+def capacity_wait_limit_s(objective_s: float, *, answer_started: bool) -> float:
     """Return how long, in seconds, a request may wait for capacity.
 
     :param objective_s: latency objective of the request.
-    :param started: whether the client has received a part of the response.
+    :param answer_started: whether the client has received a part of the response.
     """
-    return _STARTED_WAIT_S if started else _MAX_WAIT_SHARE * objective_s
+    return _STARTED_WAIT_S if answer_started else _MAX_WAIT_SHARE * objective_s
 
 
 @dataclass(slots=True)
--- a/src/railfold/_internal/decisions/configured_loads.py
+++ b/src/railfold/_internal/decisions/configured_loads.py
@@ -24,14 +24,18 @@
     latest: tuple[LoadOrder, int] | None = None
     for name, pipeline in configuration.pipelines.items():
         layers = pipeline.placements.get(host)
-        fencing = configuration.objects[ObjectId("pipeline", name)].version
-        if layers is None or (latest is not None and latest[0].fencing_token > fencing):
+        fencing_token = configuration.objects[ObjectId("pipeline", name)].version
+        if layers is None or (
+            latest is not None and latest[0].fencing_token > fencing_token
+        ):
             continue
-        order = LoadOrder(pipeline.model, pipeline.version, layers, fencing)
-        shuffled = sorted(pipeline.placements, key=lambda h: _shuffle_key(h, fencing))
+        order = LoadOrder(pipeline.model, pipeline.version, layers, fencing_token)
+        shuffled = sorted(
+            pipeline.placements, key=lambda h: _shuffle_key(h, fencing_token)
+        )
         latest = (order, shuffled.index(host))
     return latest
 
 
-def _shuffle_key(host: str, fencing: int) -> bytes:
-    return hashlib.blake2b(f"{fencing}/{host}".encode(), digest_size=8).digest()
+def _shuffle_key(host: str, fencing_token: int) -> bytes:
+    return hashlib.blake2b(f"{fencing_token}/{host}".encode(), digest_size=8).digest()
--- a/src/railfold/_internal/decisions/rate_limits/wait_limit.py
+++ b/src/railfold/_internal/decisions/rate_limits/wait_limit.py
@@ -1,17 +1,17 @@
 """Longest wait of a request for a permit if all servers that can serve it have limits.
 
 Permits are scarce then. A request that may wait longer can take a permit that becomes
-available later, so longer waits give precedence: to answers that have begun first, then
-to requests by their rank.
+available later, so longer waits give precedence: to answers that have started first,
+then to requests by their rank.
 """
 
 from __future__ import annotations
 
 __all__ = ["permit_wait_limit_s"]
 
-# Longest wait for an answer that has begun. Its client gives up after 2 s without an
+# Longest wait for an answer that has started. Its client gives up after 2 s without an
 # event, and pauses count as too long well before that.
-_BEGUN_ANSWER_WAIT_S = 0.5
+_STARTED_ANSWER_WAIT_S = 0.5
 
 # Longest wait of the most urgent rank, as a share of the latency objective. The rest of
 # the objective is left for the server's first event. Each further rank may wait for
@@ -25,7 +25,7 @@
 
 
 def permit_wait_limit_s(
-    objective_s: float, rank: int, random_unit: float, *, begun: bool
+    objective_s: float, rank: int, random_unit: float, *, answer_started: bool
 ) -> float:
     """Return how long a request may wait for a permit, in seconds.
 
@@ -33,10 +33,10 @@
         answer.
     :param rank: 0 is the most urgent.
     :param random_unit: a random number from 0 to 1.
-    :param begun: whether its client has received a part of the answer.
+    :param answer_started: whether its client has received a part of the answer.
     """
-    if begun:
-        return _BEGUN_ANSWER_WAIT_S
+    if answer_started:
+        return _STARTED_ANSWER_WAIT_S
     longest_s = _MAX_OBJECTIVE_SHARE * objective_s
     if random_unit < _UNRANKED_SHARE:
         return longest_s
--- a/src/railfold/_internal/decisions/retry_budget.py
+++ b/src/railfold/_internal/decisions/retry_budget.py
@@ -8,10 +8,10 @@
 __all__ = ["RetryBudget", "RetryBudgets", "RetryLimits", "jittered_retry_after_s"]
 
 
-# Share of ``RetryLimits.slack`` that is reserved for answers that have begun. Without a
-# retry such an answer breaks off. A request whose answer hasn't begun is refused as not
-# run instead, and its client can send it again.
-_RESERVED_FOR_BEGUN = 0.25
+# Share of ``RetryLimits.slack`` that is reserved for answers that have started. Without
+# a retry such an answer breaks off. A request whose answer hasn't started is refused as
+# not run instead, and its client can send it again.
+_RESERVED_FOR_STARTED_ANSWERS = 0.25
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,7 +59,11 @@
         """
         self._drop_expired(now_s)
         limits = self.limits
-        slack = limits.slack if begun else limits.slack * (1.0 - _RESERVED_FOR_BEGUN)
+        slack = (
+            limits.slack
+            if begun
+            else limits.slack * (1.0 - _RESERVED_FOR_STARTED_ANSWERS)
+        )
         allowed = slack + limits.share * len(self._first_attempts_s)
         if allowed <= 0.0:
             return False
--- a/src/railfold/_internal/engines/interface.py
+++ b/src/railfold/_internal/engines/interface.py
@@ -89,7 +89,7 @@
 
     :param engine_id: changes when the engine restarts, which loses its KV caches.
     :param layers: the loaded layers, or None if no model is loaded.
-    :param fencing: the highest fencing token that the engine has seen.
+    :param fencing_token: the highest fencing token that the engine has seen.
     :param checks_fencing: whether the engine refuses orders with an older token.
     """
 
@@ -98,7 +98,7 @@
     version: str
     layers: LayerRange | None
     checks_fencing: bool
-    fencing: int = 0
+    fencing_token: int = 0
 
 
 class Engine(Protocol):
--- a/src/railfold/_internal/forwarding/peers/peering.py
+++ b/src/railfold/_internal/forwarding/peers/peering.py
@@ -96,7 +96,7 @@
         self._on_leadership_released = on_leadership_released
         self._rate_limits = router.limits
         self._backoffs = router.backoffs
-        self._statements = router.statements
+        self._answer_headers = router.answer_headers
         self._configured_key = settings.peer_key
         self._channel: PeerChannel | None = None
         self._peer_list_sync: PeerListSync | None = None
@@ -128,7 +128,7 @@
             proofs.set_channel(self._channel)
             router.limits.set_channel(settings.name, self._channel)
             router.backoffs.set_channel(settings.name, self._channel)
-            router.statements.set_channel(self._channel)
+            router.answer_headers.set_channel(self._channel)
             self._peer_list_sync = PeerListSync(
                 view,
                 adapter.new_log(),
@@ -219,7 +219,7 @@
             case BackoffNotice():
                 self._backoffs.record_notice(message)
             case LeavingNotice():
-                self._statements.record_leaving_notice(message)
+                self._answer_headers.record_leaving_notice(message)
             case _:
                 self._on_entry_message(message)
 
--- a/src/railfold/_internal/forwarding/process.py
+++ b/src/railfold/_internal/forwarding/process.py
@@ -169,7 +169,7 @@
         )
         self.destinations = DestinationChooser(self.router)
         self._refusals = Refusals(self.router)
-        self._room_queue = CapacityQueue(self.router)
+        self._capacity_queue = CapacityQueue(self.router)
         fleet = FleetSize(
             settings.retry_window_s, MEMBER_LEASE_S, initial_members_until_s
         )
@@ -221,7 +221,7 @@
             lambda: self._configuration.reading,
         )
         self.router.others_have_proof = self._proofs.others_have_proof
-        self.router.newer_elsewhere = lambda: self._configuration_feed.peer_has_newer
+        self.router.peer_has_newer = lambda: self._configuration_feed.peer_has_newer
         self._configuration = self._configuration_follower()
         self._peering = Peering(
             settings,
@@ -463,7 +463,7 @@
             self.destinations,
             self._prober,
             self._peering.quarantine,
-            self._room_queue,
+            self._capacity_queue,
         )
         self._drivers[exchange] = driver
         driver.start()
@@ -540,7 +540,7 @@
             self._registrations.pace = self._registration_pace(now_s)
             self._drop_finished_drivers()
             self._update_readiness(now_s)
-            self._room_queue.forget()
+            self._capacity_queue.forget()
             self._clients.forget_closed()
             self.metrics.gauge("in_flight", len(self.router.active))
             self.metrics.gauge("memory.held_bytes", self._memory_quota.total_bytes)
--- a/src/railfold/_internal/forwarding/requests/capacity_queue.py
+++ b/src/railfold/_internal/forwarding/requests/capacity_queue.py
@@ -36,8 +36,8 @@
 # How long retries count as scarce after a retry budget was empty.
 _RETRIES_SCARCE_S = 1.0
 
-# Level of requests whose answer has begun. They go before all others.
-_BEGUN_ANSWER_LEVEL = -2
+# Level of requests whose answer has started. They go before all others.
+_STARTED_ANSWER_LEVEL = -2
 
 
 @dataclass(eq=False, slots=True)
@@ -131,20 +131,22 @@
         )
 
     def enqueue(
-        self, waiter: CapacityWaiter, contender: Contender, *, begun: bool
+        self, waiter: CapacityWaiter, contender: Contender, *, answer_started: bool
     ) -> bool:
         """Queue a request; return whether it is likely to find capacity in time.
 
-        :param begun: whether the client has received a part of the answer.
+        :param answer_started: whether the client has received a part of the answer.
         """
         service = contender.key.service
         waiting = self._waiting.setdefault(service, WaitingRequests())
         now_s = self._loop.time()
-        limit_s = capacity_wait_limit_s(contender.objective_s, started=begun)
+        limit_s = capacity_wait_limit_s(
+            contender.objective_s, answer_started=answer_started
+        )
         limit_s = min(limit_s, contender.deadline_s - now_s)
         shedding_decision = (
-            SheddingDecision(_BEGUN_ANSWER_LEVEL)
-            if begun
+            SheddingDecision(_STARTED_ANSWER_LEVEL)
+            if answer_started
             else contender.shedding_decision
         )
         contender.predicted_wait_s = waiting.predicted_wait_s(shedding_decision.level)
--- a/src/railfold/_internal/forwarding/requests/destination_search.py
+++ b/src/railfold/_internal/forwarding/requests/destination_search.py
@@ -82,7 +82,8 @@
         # The request as a contender for capacity; None before the first search, or if
         # no other requests compete.
         self.contender: Contender | None = None
-        # Arguments of the search that waits for capacity: exclude, is_retry, begun.
+        # Arguments of the search that waits for capacity: exclude, is_retry,
+        # answer_started.
         self._pending_search: tuple[frozenset[str], bool, bool] | None = None
         self._shortage = RoomShortError("no backend server has room")
         # Whether the request was added to the retry budget as a first attempt. It
@@ -95,14 +96,14 @@
         *,
         is_retry: bool,
         was_interrupted: bool,
-        begun: bool,
+        answer_started: bool,
     ) -> None:
         """Search for a destination; the listener is called now or later.
 
         :param exclude: backend servers that the request must not be sent to.
         :param is_retry: whether the request was sent before.
         :param was_interrupted: whether the previous attempt was interrupted.
-        :param begun: whether the client has received a part of the answer.
+        :param answer_started: whether the client has received a part of the answer.
         """
         routed, router = self._routed, self._router
         reserved, self._reserved = self._reserved, None
@@ -122,15 +123,17 @@
             self._listener.destination_refused(refusal)
             return
         if reserved is not None:
-            self._use_destination(reserved, exclude, is_retry=is_retry, begun=begun)
+            self._use_destination(
+                reserved, exclude, is_retry=is_retry, answer_started=answer_started
+            )
             return
         contender = self.contender
         # A request that resumes a stream continues an answer, too.
-        begun = begun or routed.request.last_event_id is not None
+        answer_started = answer_started or routed.request.last_event_id is not None
         if (
             contender is not None
             and is_first_search
-            and not begun
+            and not answer_started
             and self._capacity_queue.is_shed(contender)
         ):
             error = RoomShortError(
@@ -141,25 +144,31 @@
             return
         if (
             contender is not None
-            and not begun
+            and not answer_started
             and self._capacity_queue.must_wait(contender)
         ):
             error = RoomShortError("other requests wait for room at backend servers")
-            self._wait_for_capacity(error, exclude, is_retry=is_retry, begun=begun)
+            self._wait_for_capacity(
+                error, exclude, is_retry=is_retry, answer_started=answer_started
+            )
             return
         try:
             destination = self._choose(
-                exclude, is_first_search=is_first_search, begun=begun
+                exclude, is_first_search=is_first_search, answer_started=answer_started
             )
         except RoomShortError as refusal:
-            self._wait_for_capacity(refusal, exclude, is_retry=is_retry, begun=begun)
+            self._wait_for_capacity(
+                refusal, exclude, is_retry=is_retry, answer_started=answer_started
+            )
         except RequestError as refusal:
             self._listener.destination_refused(refusal)
         else:
-            self._use_destination(destination, exclude, is_retry=is_retry, begun=begun)
+            self._use_destination(
+                destination, exclude, is_retry=is_retry, answer_started=answer_started
+            )
 
     def _choose(
-        self, exclude: frozenset[str], *, is_first_search: bool, begun: bool
+        self, exclude: frozenset[str], *, is_first_search: bool, answer_started: bool
     ) -> Destination:
         routed = self._routed
         return self._destinations.choose(
@@ -168,8 +177,8 @@
             routed.request.size,
             is_first_search=is_first_search,
             is_risky=self._quarantine.may_crash_servers(routed.request, routed.owner),
-            max_wait_s=self._max_wait_s(begun=begun),
-            may_wait_for_capacity=self.contender is not None and not begun,
+            max_wait_s=self._max_wait_s(answer_started=answer_started),
+            may_wait_for_capacity=self.contender is not None and not answer_started,
         )
 
     def _use_destination(
@@ -178,14 +187,16 @@
         exclude: frozenset[str],
         *,
         is_retry: bool,
-        begun: bool,
+        answer_started: bool,
     ) -> None:
         """Dispatch to a destination once its rate limited servers grant a permit."""
         if not self._router.limits.limited_servers(destination.server_ids):
-            self._dispatch_to(destination, is_retry=is_retry, begun=begun)
+            self._dispatch_to(
+                destination, is_retry=is_retry, answer_started=answer_started
+            )
             return
         waiting = self._await_permit(
-            destination, exclude, is_retry=is_retry, begun=begun
+            destination, exclude, is_retry=is_retry, answer_started=answer_started
         )
         self._permit_task = self._loop.create_task(waiting)
 
@@ -197,7 +208,7 @@
         exclude: frozenset[str],
         *,
         is_retry: bool,
-        begun: bool,
+        answer_started: bool,
     ) -> None:
         contender = self.contender
         if contender is None:
@@ -205,17 +216,21 @@
             shortage = NoCapacityError(error.what, why=error.why, hint=error.hint)
             self._listener.destination_refused(shortage)
             return
-        self._pending_search = (exclude, is_retry, begun)
+        self._pending_search = (exclude, is_retry, answer_started)
         self._shortage = error
-        if not self._capacity_queue.enqueue(self, contender, begun=begun):
+        if not self._capacity_queue.enqueue(
+            self, contender, answer_started=answer_started
+        ):
             self.wait_failed()
 
     def find_capacity(self) -> bool:
         """Search again; return whether the wait for capacity is over."""
         assert self._pending_search is not None
-        exclude, is_retry, begun = self._pending_search
+        exclude, is_retry, answer_started = self._pending_search
         try:
-            destination = self._choose(exclude, is_first_search=False, begun=begun)
+            destination = self._choose(
+                exclude, is_first_search=False, answer_started=answer_started
+            )
         except RoomShortError as refusal:
             self._shortage = refusal
             return False
@@ -225,7 +240,9 @@
             return True
         self._pending_search = None
         self._capacity_queue.capacity_found(self)
-        self._use_destination(destination, exclude, is_retry=is_retry, begun=begun)
+        self._use_destination(
+            destination, exclude, is_retry=is_retry, answer_started=answer_started
+        )
         return True
 
     def wait_failed(self) -> None:
@@ -246,14 +263,14 @@
         self._pending_search = None
         self._capacity_queue.cancel(self)
 
-    def _max_wait_s(self, *, begun: bool) -> float:
+    def _max_wait_s(self, *, answer_started: bool) -> float:
         """Return how long the request may wait for a permit."""
         random_unit = self._router.rng.random()
         return permit_wait_limit_s(
             self._routed.route.objective_s,
             self._routed.priority,
             random_unit,
-            begun=begun,
+            answer_started=answer_started,
         )
 
     async def _await_permit(
@@ -262,7 +279,7 @@
         exclude: frozenset[str],
         *,
         is_retry: bool,
-        begun: bool,
+        answer_started: bool,
     ) -> None:
         """Wait for a permit; if it is denied, search for another destination."""
         limits = self._router.limits
@@ -270,18 +287,23 @@
         self._permit_task = None
         match outcome:
             case PermitGranted():
-                self._dispatch_to(destination, is_retry=is_retry, begun=begun)
+                self._dispatch_to(
+                    destination, is_retry=is_retry, answer_started=answer_started
+                )
             case PermitDenied() if self._denial_count < _MAX_DENIALS:
                 self._denial_count += 1
                 self.search(
-                    exclude, is_retry=is_retry, was_interrupted=False, begun=begun
+                    exclude,
+                    is_retry=is_retry,
+                    was_interrupted=False,
+                    answer_started=answer_started,
                 )
             case PermitDenied(wait_s=wait_s):
                 error = limits.refusal_error(destination.server_ids, wait_s)
                 self._listener.destination_refused(error)
 
     def _dispatch_to(
-        self, destination: Destination, *, is_retry: bool, begun: bool
+        self, destination: Destination, *, is_retry: bool, answer_started: bool
     ) -> None:
         """Report a destination if this is a first attempt or a retry is allowed."""
         router = self._router
@@ -290,10 +312,10 @@
             if not self._has_earned_retry:
                 budget.earn(self._loop.time())
             self._has_earned_retry = True
-        elif self._yields_retry(begun=begun):
+        elif self._yields_retry(answer_started=answer_started):
             self._listener.destination_refused(self._no_retry_error())
             return
-        elif budget.spend(self._loop.time(), begun=begun):
+        elif budget.spend(self._loop.time(), begun=answer_started):
             router.metrics.count("requests.retries")
         else:
             router.metrics.count("requests.retry_budget_empty")
@@ -304,12 +326,12 @@
             self._capacity_queue.dispatched(self.contender)
         self._listener.destination_found(destination)
 
-    def _yields_retry(self, *, begun: bool) -> bool:
+    def _yields_retry(self, *, answer_started: bool) -> bool:
         """Return whether the retry is left to more urgent requests, and count that."""
         contender = self.contender
         if (
             contender is None
-            or begun
+            or answer_started
             or not self._capacity_queue.yields_retry(contender)
         ):
             return False
--- a/src/railfold/_internal/forwarding/requests/driver.py
+++ b/src/railfold/_internal/forwarding/requests/driver.py
@@ -94,7 +94,7 @@
         destinations: DestinationChooser,
         prober: ServerProber,
         quarantine: RequestQuarantine,
-        room: CapacityQueue,
+        capacity_queue: CapacityQueue,
     ) -> None:
         self._routed = routed
         self._request = routed.request
@@ -134,7 +134,7 @@
         self._failure_cause = ""
         self._relocation = Relocation(self)
         self._search = DestinationSearch(
-            routed, router, destinations, quarantine, room, self
+            routed, router, destinations, quarantine, capacity_queue, self
         )
         self._deadline_timer = self._loop.call_at(
             routed.deadline_s, self._feed, CallDeadlinePassed()
@@ -176,7 +176,7 @@
         """Handle the certain end of incarnations, and of all requests that ran there.
 
         A request that isn't repeatable fails at once, before its deadline: no answer
-        can arrive any more, unless it has begun already.
+        can arrive any more, unless it has started already.
         """
         destination = self._destination
         if destination is None or self._exchange is None:
@@ -216,7 +216,7 @@
                         exclude,
                         is_retry=is_retry,
                         was_interrupted=self._interrupted,
-                        begun=self._answer.head_sent,
+                        answer_started=self._answer.head_sent,
                     )
                 case SendCall():
                     self._send()
@@ -300,7 +300,7 @@
         """Raise ``RequestError`` if the request must not be sent any more.
 
         The configuration, the quarantine or the server's state may have changed while
-        the request waited for its connection. A stream whose answer has begun was
+        the request waited for its connection. A stream whose answer has started was
         allowed when it was first sent, and may resume while the store is unavailable.
         """
         request = self._request
@@ -370,7 +370,7 @@
         self._answer_kind = kind
         destination = self._destination
         if destination is not None:
-            self._backoff_requested = self._router.statements.record_answer(
+            self._backoff_requested = self._router.answer_headers.record_answer(
                 destination.server.host,
                 kind,
                 head,
@@ -513,7 +513,7 @@
         return self._route.repeatable
 
     @property
-    def answer_begun(self) -> bool:
+    def answer_started(self) -> bool:
         """Whether a part of the answer was sent to the client."""
         return self._answer.head_sent
 
--- a/src/railfold/_internal/forwarding/requests/relocation.py
+++ b/src/railfold/_internal/forwarding/requests/relocation.py
@@ -20,7 +20,7 @@
         """Whether the request may run again."""
 
     @property
-    def answer_begun(self) -> bool:
+    def answer_started(self) -> bool:
         """Whether a part of the answer was sent to the client."""
 
     def reserve_destination(self) -> bool:
@@ -40,7 +40,7 @@
     """Moves one request from suspected backend servers to other destinations.
 
     An attempt continues if only its own backend server can finish it: if the request
-    isn't repeatable, or if the answer has begun and no other destination can continue
+    isn't repeatable, or if the answer has started and no other destination can continue
     it now. The server may still send the rest, and the client can disconnect at any
     time, whereas an answer that was aborted can't be repaired.
     """
@@ -59,7 +59,7 @@
         attempt = self._attempt
         if not attempt.repeatable:
             return
-        if attempt.answer_begun and not attempt.reserve_destination():
+        if attempt.answer_started and not attempt.reserve_destination():
             self._keep_attempt(reason)
             return
         attempt.end_attempt(reason)
--- a/src/railfold/_internal/forwarding/router.py
+++ b/src/railfold/_internal/forwarding/router.py
@@ -112,7 +112,7 @@
         by their predicted latency.
     :param others_have_proof: returns whether another entry can prove that its
         configuration is current while this entry can't.
-    :param newer_elsewhere: returns whether another entry knows a newer configuration
+    :param peer_has_newer: returns whether another entry knows a newer configuration
         than ``table``.
     :param active: requests in flight.
     """
@@ -131,7 +131,7 @@
     entries: int = 1
     predicts_chains: bool = False
     others_have_proof: Callable[[float], bool] = field(default=lambda now_s: False)
-    newer_elsewhere: Callable[[], bool] = field(default=lambda: False)
+    peer_has_newer: Callable[[], bool] = field(default=lambda: False)
     active: set[ActiveRequest] = field(default_factory=set)
     activity: ChainActivity = field(default_factory=ChainActivity)
     avoidance: Avoidance = field(default_factory=Avoidance)
@@ -149,13 +149,13 @@
     limits: RateLimits = field(init=False)
     backoffs: ServerBackoffs = field(init=False)
     eligibility: ServerEligibility = field(init=False)
-    statements: AnswerHeaderReader = field(init=False)
+    answer_headers: AnswerHeaderReader = field(init=False)
 
     def __post_init__(self) -> None:
         """Create the members that depend on other members."""
         self.limits = RateLimits(self.dialect, self.metrics, self.log, self.rng)
         self.backoffs = ServerBackoffs(self.dialect, self.metrics, self.log, self.rng)
-        self.statements = AnswerHeaderReader(
+        self.answer_headers = AnswerHeaderReader(
             self.dialect,
             self.directory,
             self.limits,
@@ -200,7 +200,7 @@
             return route, table.authorize(route, credential)
         except (UnauthorizedError, UnknownTargetError) as error:
             now_s = asyncio.get_running_loop().time()
-            if self.lease.valid(now_s) and not self.newer_elsewhere():
+            if self.lease.valid(now_s) and not self.peer_has_newer():
                 raise
             self.metrics.count("refused.unproved_denials")
             raise ConfigurationStaleError(
--- a/src/railfold/_internal/forwarding/servers/engine_calls.py
+++ b/src/railfold/_internal/forwarding/servers/engine_calls.py
@@ -227,7 +227,7 @@
             connection, call.method, call.target, call.headers, call.body, timeout_s
         )
         self._router.pool.give_back(server_id, connection, self._loop.time())
-        self._router.statements.record_call_answer(server_id, response.head)
+        self._router.answer_headers.record_call_answer(server_id, response.head)
         return response
 
     async def reroute(self, request_id: str, chain: Chain) -> str:
--- a/standins/engine.py
+++ b/standins/engine.py
@@ -55,7 +55,7 @@
     double_runs: int = 0
     out_of_order: int = 0
     responses_to_drop: int = 0
-    fencing: int = 0
+    fencing_token: int = 0
     loads: int = 0
     refused_loads: int = 0
     unfrozen: asyncio.Event = field(default_factory=asyncio.Event)
@@ -165,7 +165,7 @@
                 "first_layer": spec.first_layer,
                 "last_layer": spec.last_layer,
                 "checks_fencing": spec.checks_fencing,
-                "fencing": state.fencing,
+                "fencing": state.fencing_token,
                 "loads": state.loads,
                 "refused_loads": state.refused_loads,
                 "open_sequences": len(state.positions),
@@ -219,15 +219,15 @@
         """Execute the order; refuse an outdated fencing token if those are checked."""
         state = self.state
         order = msgspec.json.decode(self.request.body)
-        fencing = order.pop("fencing")
-        if fencing < state.fencing and state.spec.checks_fencing:
+        fencing_token = order.pop("fencing")
+        if fencing_token < state.fencing_token and state.spec.checks_fencing:
             state.refused_loads += 1
             self.set_status(409)
             self.finish("old fencing number")
             return
         async with state.lock:
             state.spec = dataclasses.replace(state.spec, **order)
-            state.fencing = max(state.fencing, fencing)
+            state.fencing_token = max(state.fencing_token, fencing_token)
             state.loads += 1
             state.caches.clear()
             state.positions.clear()
--- a/tests/lib/admission_simulation.py
+++ b/tests/lib/admission_simulation.py
@@ -274,7 +274,7 @@
         while next_items := entry.waiting.next_items(1):
             (request,) = next_items
             if now_s - request.at_s > capacity_wait_limit_s(
-                OBJECTIVE_S[request.priority], started=False
+                OBJECTIVE_S[request.priority], answer_started=False
             ):
                 entry.waiting.remove(request)
                 self._refuse(entry, request, now_s)
@@ -329,7 +329,9 @@
             self._wait(entry, request, now_s)
 
     def _wait(self, entry: _Entry, request: ClientRequest, now_s: float) -> None:
-        limit_s = capacity_wait_limit_s(OBJECTIVE_S[request.priority], started=False)
+        limit_s = capacity_wait_limit_s(
+            OBJECTIVE_S[request.priority], answer_started=False
+        )
         wait_s = (
             now_s
             - request.at_s
--- a/tests/unit/test_layer_orders.py
+++ b/tests/unit/test_layer_orders.py
@@ -50,7 +50,9 @@
     def decode_report(self, body: bytes) -> SimpleNamespace:
         return SimpleNamespace(busy=self.busy, started_at_ms=1, order_count=0)
 
-    def place_call(self, layers: LayerRange, fencing: int, count: int) -> LayerRange:
+    def place_call(
+        self, layers: LayerRange, fencing_token: int, count: int
+    ) -> LayerRange:
         return layers
 
     def decode_started_at_ms(self, body: bytes) -> int:
--- a/tests/unit/test_permits.py
+++ b/tests/unit/test_permits.py
@@ -167,10 +167,12 @@
     assert isinstance(outcome, PermitDenied)
 
 
-def test_begun_answers_wait_longest_then_the_most_urgent() -> None:
-    waits_s = [permit_wait_limit_s(0.5, rank, 0.9, begun=False) for rank in range(4)]
+def test_started_answers_wait_longest_then_the_most_urgent() -> None:
+    waits_s = [
+        permit_wait_limit_s(0.5, rank, 0.9, answer_started=False) for rank in range(4)
+    ]
     assert waits_s == sorted(waits_s, reverse=True)
-    assert permit_wait_limit_s(0.5, 3, 0.9, begun=True) > waits_s[0]
+    assert permit_wait_limit_s(0.5, 3, 0.9, answer_started=True) > waits_s[0]
 
 
 def test_urgent_requests_get_more_permits_without_starving_others() -> None:
@@ -179,7 +181,9 @@
     granted = [0, 0]
     for tick in range(2000):
         rank = rng.choice((0, 1))
-        max_wait_s = permit_wait_limit_s(2.0, 2 * rank, rng.random(), begun=False)
+        max_wait_s = permit_wait_limit_s(
+            2.0, 2 * rank, rng.random(), answer_started=False
+        )
         outcome = schedule.take(tick * 0.1, 2.0, 1.0, max_wait_s)
         granted[rank] += isinstance(outcome, PermitGranted)
     assert granted[0] > 1.5 * granted[1]
